--- a/desk/src/attempt.rs
+++ b/desk/src/attempt.rs
@@ -10,14 +10,14 @@
 
 use crate::boot;
 use crate::catalog;
+use crate::connection;
 use crate::group;
-use crate::kept;
 use crate::limit;
-use crate::miss;
 use crate::organisation;
 use crate::pinned;
 use crate::pool;
 use crate::reply;
+use crate::retry;
 use crate::source;
 use crate::statement;
 use crate::upstream;
@@ -26,21 +26,21 @@
 use crate::work;
 
 /// Pause before a statement that was refused as not run is offered again.
-const RETRY_PAUSE: time::Duration = time::Duration::from_millis(15);
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(15);
 
 /// Pause before a read that all instances refused is offered to them again: a replica that
 /// is behind applies a few more commits meanwhile, and a full queue of 24 shrinks by six.
-const ROUND_PAUSE: time::Duration = time::Duration::from_millis(40);
+const ROUND_DELAY: time::Duration = time::Duration::from_millis(40);
 
 /// Instances that one read-only transaction is offered to before any is offered it again.
-const ATTEMPTS: usize = 4;
+const MAX_INSTANCES: usize = 4;
 
 /// Longest wait of a read for a connection to one instance; then another is asked.
-const LEND_LIMIT: time::Duration = time::Duration::from_millis(120);
+const LEND_TIMEOUT: time::Duration = time::Duration::from_millis(120);
 
 /// Part of a read's timeout that one instance gets; the rest is for another, where this
 /// one has gone silent. Above the longest work (220 ms) and a full queue (160 ms).
-const ATTEMPT_PERCENT: u32 = 50;
+const INSTANCE_TIMEOUT_PERCENT: u32 = 50;
 
 /// What became of one statement.
 pub enum Outcome {
@@ -55,7 +55,7 @@
 /// It is forwarded under the caller's own id, so that the instance's log and this node's tell
 /// of the same request.
 #[derive(Clone, Debug)]
-pub struct Opening {
+pub struct Begin {
     /// The caller's id.
     pub id: statement::Id,
     /// It only reads.
@@ -73,9 +73,9 @@
     /// For whom it runs.
     pub organisation: &'a organisation::Name,
     /// The session's values.
-    pub values: &'a kept::Values,
+    pub values: &'a connection::Values,
     /// The session's own last commit.
-    pub own: Option<stamp::Stamp>,
+    pub last_commit: Option<stamp::Stamp>,
 }
 
 impl Attempt<'_> {
@@ -84,14 +84,14 @@
         let need = self.need(work.arrived, work.arrived);
         let urgency = limit::urgency(self.route, work.arrived);
         let mut tried = Vec::new();
-        let mut reason = miss::Miss::Unreachable;
+        let mut reason = retry::Reason::Unreachable;
         loop {
             let Some(source) = self.group.source(&need, &tried).await else {
                 // All were tried, or none is fresh enough: again from the start, if the
                 // reason may pass while the caller still waits.
-                let limit = patience(&reason, &urgency, need.deadline);
-                let passes = !tried.is_empty() && !matches!(reason, miss::Miss::Failed(_));
-                if passes && pause(ROUND_PAUSE, limit).await {
+                let limit = retry_deadline(&reason, &urgency, need.deadline);
+                let may_retry = !tried.is_empty() && !matches!(reason, retry::Reason::Failed(_));
+                if may_retry && sleep_before(ROUND_DELAY, limit).await {
                     tried.clear();
                     continue;
                 }
@@ -100,12 +100,15 @@
             tried.push(source.pool.id());
             match self.read_at(work, &source, urgency).await {
                 Ok(reply) => return Outcome::Answered(reply),
-                Err(miss::Miss::Elsewhere) => {}
+                Err(retry::Reason::Unsuitable) => {}
                 Err(found) => reason = found,
             }
         }
         // A read leaves nothing behind, so that refusing it is true wherever it ran.
-        Outcome::Refused(refusal(reason), "no instance could serve this read".into())
+        Outcome::Refused(
+            refusal_code(reason),
+            "no instance could serve this read".into(),
+        )
     }
 
     /// One attempt of a read; the error tells why another instance may do better.
@@ -114,30 +117,30 @@
         work: &work::Work,
         source: &source::Source,
         urgency: urgency::Urgency,
-    ) -> Result<reply::Reply, miss::Miss> {
+    ) -> Result<reply::Reply, retry::Reason> {
         let (group, route) = (&self.group, self.route);
-        let wait = urgency.awaited.min(boot::now() + LEND_LIMIT);
+        let wait = urgency.awaited.min(boot::now() + LEND_TIMEOUT);
         let lent = source
             .pool
             .lend(urgency, self.organisation, self.values, wait)
             .await;
-        let mut lent = lent.map_err(miss::Miss::of_shortage)?;
+        let mut lent = lent.map_err(retry::Reason::from_shortage)?;
         let commands = work.commands(&mut lent, self.values, source.after, false);
         let sent = boot::now();
         let limit = urgency
             .awaited
-            .min(sent + route.timeout * ATTEMPT_PERCENT / 100);
+            .min(sent + route.timeout * INSTANCE_TIMEOUT_PERCENT / 100);
         let replies = lent.run_unless_silent(&commands, limit).await;
         let mut replies = replies.map_err(|failure| {
             tracing::info!(request = %work.id, version = route.version, group = %group.name, instance = %source.pool.id(),
                 sent = failure.sent, detail = %failure.detail, "read not answered");
             if !failure.sent {
-                return miss::Miss::of_unsent(&failure);
+                return retry::Reason::from_unsent(&failure);
             }
-            self.lost(source);
-            miss::Miss::Failed(reply::Code::Aborted)
+            self.note_lost_answer(source);
+            retry::Reason::Failed(reply::Code::Aborted)
         })?;
-        let reply = replies.pop().ok_or(miss::Miss::Elsewhere)?;
+        let reply = replies.pop().ok_or(retry::Reason::Unsuitable)?;
         if let Some(term) = source.leads {
             group.saw_position(term, sent, reply.position);
         }
@@ -158,18 +161,18 @@
             reply::Code::NoStatement => lent.forget(),
             _ => {}
         }
-        Err(miss::Miss::of_code(code))
+        Err(retry::Reason::from_code(code))
     }
 
     /// Writes at the primary; another try only where nothing was sent, or the instance says
     /// that it did not run.
     pub async fn write(&self, work: &work::Work) -> Outcome {
         let (group, route) = (&self.group, self.route);
-        let wait = self.limit_at_primary(work.arrived);
+        let wait = self.primary_wait_deadline(work.arrived);
         let urgency = limit::urgency(self.route, work.arrived);
         loop {
             let Some((pool, term)) = group.primary(wait).await else {
-                return Outcome::Refused(reply::Code::Busy, self.no_primary());
+                return Outcome::Refused(reply::Code::Busy, self.no_primary_text());
             };
             let mut lent = match pool
                 .lend(urgency, self.organisation, self.values, urgency.until)
@@ -183,8 +186,8 @@
                     if shortage == pool::Shortage::Down {
                         group.doubt(term, "no connection to the primary");
                     }
-                    let reason = miss::Miss::of_shortage(shortage);
-                    if !pause_before(patience(&reason, &urgency, wait)).await {
+                    let reason = retry::Reason::from_shortage(shortage);
+                    if !delay_retry(retry_deadline(&reason, &urgency, wait)).await {
                         return Outcome::Refused(reply::Code::Busy, "primary out of reach".into());
                     }
                     continue;
@@ -205,8 +208,8 @@
                 }
                 Err(failure) => {
                     drop(lent);
-                    let reason = miss::Miss::of_unsent(&failure);
-                    if pause_before(patience(&reason, &urgency, wait)).await {
+                    let reason = retry::Reason::from_unsent(&failure);
+                    if delay_retry(retry_deadline(&reason, &urgency, wait)).await {
                         continue;
                     }
                     return Outcome::Refused(reply::Code::Busy, failure.detail);
@@ -227,12 +230,12 @@
             }
             let reason = reply
                 .code()
-                .map_or(miss::Miss::Elsewhere, miss::Miss::of_code);
+                .map_or(retry::Reason::Unsuitable, retry::Reason::from_code);
             metrics::counter!("mangotray_write_retries_total").increment(1);
             tracing::info!(request = %work.id, version = route.version, group = %group.name, instance = %pool.id(), term,
                 code = ?reply.code(), "write not run");
             drop(lent);
-            if !pause_before(patience(&reason, &urgency, wait)).await {
+            if !delay_retry(retry_deadline(&reason, &urgency, wait)).await {
                 return Outcome::Answered(reply);
             }
         }
@@ -241,7 +244,7 @@
     fn need(&self, first: id::Time, arrived: id::Time) -> source::Need {
         let route = self.route;
         let own = match route.freshness {
-            catalog::Freshness::Own(_) => self.own,
+            catalog::Freshness::Own(_) => self.last_commit,
             _ => None,
         };
         source::Need {
@@ -251,14 +254,14 @@
             own,
             organisation: self.organisation.clone(),
             deadline: if route.freshness == catalog::Freshness::Current {
-                self.limit_at_primary(arrived)
+                self.primary_wait_deadline(arrived)
             } else {
-                self.limit(arrived)
+                self.wait_deadline(arrived)
             },
         }
     }
 
-    fn lost(&self, source: &source::Source) {
+    fn note_lost_answer(&self, source: &source::Source) {
         tracing::info!(group = %self.group.name, instance = %source.pool.id(),
             "an answer to a read was lost");
         source.pool.suspect(self.organisation);
@@ -273,15 +276,15 @@
     /// What the caller is told when no instance opened it in time.
     pub async fn open(
         &self,
-        opening: &Opening,
+        begin: &Begin,
         arrived: id::Time,
     ) -> Result<pinned::Pinned, (reply::Code, CompactString)> {
-        let mut need = self.need(opening.arrived, arrived);
-        if !opening.read_only {
+        let mut need = self.need(begin.arrived, arrived);
+        if !begin.read_only {
             // What it reads may be as old as its route accepts; whether the primary still leads when it
             // writes shows at the commit.
             need.writes = true;
-            need.deadline = self.limit_at_primary(arrived);
+            need.deadline = self.primary_wait_deadline(arrived);
         }
         let urgency = limit::urgency(self.route, arrived);
         let mut tried = Vec::new();
@@ -292,14 +295,14 @@
                     "no instance could open the transaction".into(),
                 ));
             };
-            let reason = match self.open_at(&source, opening, &urgency).await {
+            let reason = match self.open_at(&source, begin, &urgency).await {
                 Ok(pinned) => return Ok(pinned),
                 Err(reason) => reason,
             };
-            if opening.read_only && tried.len() + 1 < ATTEMPTS {
+            if begin.read_only && tried.len() + 1 < MAX_INSTANCES {
                 tried.push(source.pool.id());
             }
-            if !pause_before(patience(&reason, &urgency, need.deadline)).await {
+            if !delay_retry(retry_deadline(&reason, &urgency, need.deadline)).await {
                 return Err((
                     reply::Code::Busy,
                     "no instance opened the transaction in time".into(),
@@ -311,9 +314,9 @@
     async fn open_at(
         &self,
         source: &source::Source,
-        opening: &Opening,
+        begin: &Begin,
         urgency: &urgency::Urgency,
-    ) -> Result<pinned::Pinned, miss::Miss> {
+    ) -> Result<pinned::Pinned, retry::Reason> {
         let group = &self.group;
         let lent = source
             .pool
@@ -323,12 +326,12 @@
             if let (pool::Shortage::Down, Some(term)) = (shortage, source.leads) {
                 group.doubt(term, "no connection to the primary");
             }
-            miss::Miss::of_shortage(shortage)
+            retry::Reason::from_shortage(shortage)
         })?;
         let mut commands = lent.prelude(self.values, None, false);
         commands.push(upstream::Command::Begin {
-            id: opening.id.clone(),
-            read_only: opening.read_only,
+            id: begin.id.clone(),
+            read_only: begin.read_only,
             after: source.after,
         });
         // Alone, without the first statement: were this refused, a statement behind it
@@ -336,18 +339,18 @@
         let deadline = boot::now() + self.route.timeout;
         let mut replies = lent.run(&commands, deadline).await.map_err(|failure| {
             if failure.sent {
-                miss::Miss::Unreachable
+                retry::Reason::Unreachable
             } else {
-                miss::Miss::of_unsent(&failure)
+                retry::Reason::from_unsent(&failure)
             }
         })?;
-        let reply = replies.pop().ok_or(miss::Miss::Elsewhere)?;
+        let reply = replies.pop().ok_or(retry::Reason::Unsuitable)?;
         match reply.code() {
             None if reply.state == reply::State::Open => {
                 return Ok(pinned::Pinned {
                     lent,
                     group: rc::Rc::clone(group),
-                    leads: source.leads,
+                    primary_term: source.leads,
                 });
             }
             Some(reply::Code::Behind) => source.pool.note_behind(),
@@ -363,23 +366,23 @@
         }
         Err(reply
             .code()
-            .map_or(miss::Miss::Elsewhere, miss::Miss::of_code))
+            .map_or(retry::Reason::Unsuitable, retry::Reason::from_code))
     }
 
     // How long a statement may wait for an instance.
-    fn limit(&self, arrived: id::Time) -> id::Time {
+    fn wait_deadline(&self, arrived: id::Time) -> id::Time {
         limit::wait(self.route, arrived, self.group.roster().is_lost())
     }
 
     // The same where only the primary will do. While a promotion is held back, or the store is
     // away, a caller that waits each time until it is refused learns nothing for seconds.
-    fn limit_at_primary(&self, arrived: id::Time) -> id::Time {
+    fn primary_wait_deadline(&self, arrived: id::Time) -> id::Time {
         let vacant = limit::is_vacant(self.group.vacancy().since, boot::now());
         limit::wait(self.route, arrived, vacant || self.group.roster().is_lost())
     }
 
     // What a caller is told that needs a primary.
-    fn no_primary(&self) -> CompactString {
+    fn no_primary_text(&self) -> CompactString {
         let now = boot::now();
         match self.group.vacancy().since {
             Some(since) if limit::is_vacant(Some(since), now) => format_compact!(
@@ -393,11 +396,11 @@
 }
 
 // How long a statement may still wait for another try.
-fn patience(reason: &miss::Miss, urgency: &urgency::Urgency, limit: id::Time) -> id::Time {
-    if *reason == miss::Miss::Crowded {
+fn retry_deadline(reason: &retry::Reason, urgency: &urgency::Urgency, limit: id::Time) -> id::Time {
+    if *reason == retry::Reason::Overloaded {
         metrics::counter!("mangotray_crowded_total").increment(1);
     }
-    reason.patience(urgency.until, limit)
+    reason.retry_until(urgency.until, limit)
 }
 
 fn unsure(detail: &str) -> Outcome {
@@ -407,11 +410,13 @@
 
 // What a caller is told of a read that no instance served: codes that promise that
 // nothing is kept, so that it may come back at once.
-fn refusal(reason: miss::Miss) -> reply::Code {
+fn refusal_code(reason: retry::Reason) -> reply::Code {
     match reason {
-        miss::Miss::Crowded | miss::Miss::Unreachable | miss::Miss::Elsewhere => reply::Code::Busy,
-        miss::Miss::Failed(code @ (reply::Code::Aborted | reply::Code::Behind)) => code,
-        miss::Miss::Failed(_) => reply::Code::Aborted,
+        retry::Reason::Overloaded | retry::Reason::Unreachable | retry::Reason::Unsuitable => {
+            reply::Code::Busy
+        }
+        retry::Reason::Failed(code @ (reply::Code::Aborted | reply::Code::Behind)) => code,
+        retry::Reason::Failed(_) => reply::Code::Aborted,
     }
 }
 
@@ -420,14 +425,14 @@
     metrics::counter!("mangotray_reads_total", "source" => source).increment(1);
 }
 
-async fn pause_before(deadline: id::Time) -> bool {
-    pause(RETRY_PAUSE, deadline).await
+async fn delay_retry(deadline: id::Time) -> bool {
+    sleep_before(RETRY_DELAY, deadline).await
 }
 
-async fn pause(pause: time::Duration, deadline: id::Time) -> bool {
-    if boot::now() + pause >= deadline {
+async fn sleep_before(delay: time::Duration, deadline: id::Time) -> bool {
+    if boot::now() + delay >= deadline {
         return false;
     }
-    wait::sleep(pause).await;
+    wait::sleep(delay).await;
     true
 }
--- a/desk/src/kept.rs
+++ b/desk/src/connection.rs
@@ -14,7 +14,7 @@
 pub type Values = collections::BTreeMap<statement::Name, CompactString>;
 
 /// A connection and what was set on it.
-pub struct Kept {
+pub struct Connection {
     /// The connection.
     pub link: Box<dyn upstream::Connection>,
     /// For whom it was opened or, if it serves any, last used.
@@ -29,7 +29,7 @@
     pub used: id::Time,
 }
 
-impl Kept {
+impl Connection {
     /// A fresh connection.
     #[must_use]
     pub fn new(
--- a/desk/src/guard.rs
+++ b/desk/src/guard.rs
@@ -209,7 +209,7 @@
     // started again since has lost its hold, and its word says nothing.
     fn remembers_holds(&self, id: &upstream::Id, now: id::Time) -> bool {
         let pool = self.group.roster().find(id);
-        let reborn = pool.and_then(|pool| pool.reborn());
+        let reborn = pool.and_then(|pool| pool.restarted_at());
         reborn.is_none_or(|reborn| now > reborn + doubt::ORDERS_OVER)
     }
 
--- a/desk/src/lent.rs
+++ b/desk/src/lent.rs
@@ -7,7 +7,7 @@
 use mangotray::id;
 
 use crate::boot;
-use crate::kept;
+use crate::connection;
 use crate::pool;
 use crate::reply;
 use crate::statement;
@@ -37,7 +37,7 @@
 pub struct Lent {
     pool: rc::Rc<pool::Pool>,
     urgency: urgency::Urgency,
-    kept: Option<kept::Kept>,
+    kept: Option<connection::Connection>,
     broken: bool,
     /// A transaction is open on it.
     open: bool,
@@ -50,7 +50,7 @@
     #[must_use]
     pub(crate) const fn new(
         pool: rc::Rc<pool::Pool>,
-        kept: kept::Kept,
+        kept: connection::Connection,
         urgency: urgency::Urgency,
     ) -> Self {
         Self {
@@ -79,7 +79,7 @@
     /// `inside` tells that a transaction is open, in which the connection cannot be cleared.
     pub fn prelude(
         &mut self,
-        values: &kept::Values,
+        values: &connection::Values,
         shape: Option<(&CompactString, &statement::Shape)>,
         inside: bool,
     ) -> Vec<upstream::Command> {
@@ -180,7 +180,7 @@
         let replies = result?;
         self.unsent = false;
         kept.used = boot::now();
-        self.pool.heard(sent, &replies);
+        self.pool.note_replies(sent, &replies);
         self.note_state(replies.last());
         Ok(replies)
     }
@@ -222,14 +222,14 @@
         if self.open {
             self.pool.unpin();
         }
-        self.pool.give_back(whole.then_some(kept));
+        self.pool.release(whole.then_some(kept));
     }
 }
 
 // Sends commands and awaits the answers; an instance that stays silent is suspected before
 // the time is over.
 async fn exchange(
-    kept: &mut kept::Kept,
+    kept: &mut connection::Connection,
     pool: &rc::Rc<pool::Pool>,
     commands: &[upstream::Command],
     urgency: urgency::Urgency,
@@ -251,7 +251,7 @@
         }
     };
     let telling = boot::now() >= heard + TELLING.min(silence);
-    let silent = telling && pool.doubt(heard, &kept.organisation);
+    let silent = telling && pool.suspect_if_silent_since(heard, &kept.organisation);
     let gives_up = silent && patience == Patience::Elsewhere;
     if !gives_up && let Some(result) = wait::until(urgency.awaited, exchange).await {
         return result;
--- a/desk/src/pinned.rs
+++ b/desk/src/pinned.rs
@@ -14,5 +14,5 @@
     /// Group of the instance.
     pub group: rc::Rc<group::Group>,
     /// Term of the primary that it runs on; none on a replica.
-    pub leads: Option<id::Term>,
+    pub primary_term: Option<id::Term>,
 }
--- a/desk/src/pool.rs
+++ b/desk/src/pool.rs
@@ -10,7 +10,7 @@
 use crate::absence;
 use crate::boot;
 use crate::catalog;
-use crate::kept;
+use crate::connection;
 use crate::lent;
 use crate::organisation;
 use crate::queue;
@@ -22,30 +22,30 @@
 use crate::wait;
 
 /// Idle connections that a node keeps; those above it are given back after a while.
-const KEPT: usize = 1;
+const MIN_CONNECTIONS: usize = 1;
 
 /// An instance that said it is full is not asked again for this long.
-const FULL_PAUSE: time::Duration = time::Duration::from_millis(300);
+const FULL_RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
 /// An instance that did not take a connection is not tried again for this long, so that
 /// requests fail over at once in place of waiting for a dead address one after the other.
-const DOWN_PAUSE: time::Duration = time::Duration::from_millis(200);
+const DOWN_RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
 
 /// An address at which another instance answers is not tried again for this long: the one
 /// that was meant has ended, and its entry goes within three heartbeats.
-const GONE_PAUSE: time::Duration = time::Duration::from_secs(4);
+const REPLACED_RETRY_DELAY: time::Duration = time::Duration::from_secs(4);
 
 /// Connections that one node opens to one instance at the same time: each takes one of its
 /// three slots for 12 ms.
-const DIALS: usize = 2;
+const MAX_DIALS: usize = 2;
 
 /// Longest wait for a new connection; one takes 12 ms and its slot on a calm day.
-const DIAL_LIMIT: time::Duration = time::Duration::from_millis(700);
+const DIAL_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
 /// An instance to which no connection came about for this long is lost for this node; what
 /// passes by itself, as a restart of the nodes that lend connections, is over sooner. Nobody
 /// waits for it, as another node may reach it.
-const LOST: time::Duration = time::Duration::from_secs(1);
+const LOST_AFTER: time::Duration = time::Duration::from_secs(1);
 
 /// Why no connection was lent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,29 +69,29 @@
     executor: rc::Rc<async_executor::LocalExecutor<'static>>,
     /// For whom connections are being opened.
     dialling: cell::RefCell<Vec<organisation::Name>>,
-    idle: cell::RefCell<Vec<kept::Kept>>,
+    idle: cell::RefCell<Vec<connection::Connection>>,
     open: cell::Cell<usize>,
     waiting: queue::Queue,
     turns: rc::Rc<turns::Turns>,
     pinned: cell::Cell<usize>,
-    blocked: cell::Cell<id::Time>,
+    full_until: cell::Cell<id::Time>,
     /// Connections that the instance left to this node when it was last full, and until when no more
     /// are tried.
     ceiling: cell::Cell<(usize, id::Time)>,
-    down: cell::Cell<id::Time>,
+    down_until: cell::Cell<id::Time>,
     closed: cell::Cell<bool>,
     /// Another instance answered at its address.
     replaced: cell::Cell<bool>,
-    failing: cell::Cell<Option<id::Time>>,
+    failing_since: cell::Cell<Option<id::Time>>,
     applied: cell::Cell<stamp::Stamp>,
-    behind: cell::Cell<id::Time>,
+    last_behind: cell::Cell<id::Time>,
     /// When, by its last report, it will have applied what it has received.
-    caught_up: cell::Cell<id::Time>,
-    answered: cell::Cell<id::Time>,
-    reborn: cell::Cell<Option<id::Time>>,
+    caught_up_at: cell::Cell<id::Time>,
+    last_answer: cell::Cell<id::Time>,
+    restarted_at: cell::Cell<Option<id::Time>>,
     /// A look found it without records that the primary had had for a while.
-    deaf: cell::Cell<bool>,
-    delay: cell::Cell<time::Duration>,
+    receive_lag: cell::Cell<bool>,
+    latency: cell::Cell<time::Duration>,
 }
 
 impl Pool {
@@ -114,19 +114,19 @@
             waiting: queue::Queue::default(),
             turns: turns::Turns::new(size.abreast),
             pinned: cell::Cell::default(),
-            blocked: cell::Cell::default(),
+            full_until: cell::Cell::default(),
             ceiling: cell::Cell::default(),
-            down: cell::Cell::default(),
+            down_until: cell::Cell::default(),
             closed: cell::Cell::default(),
             replaced: cell::Cell::default(),
-            failing: cell::Cell::default(),
+            failing_since: cell::Cell::default(),
             applied: cell::Cell::default(),
-            behind: cell::Cell::default(),
-            caught_up: cell::Cell::default(),
-            answered: cell::Cell::default(),
-            reborn: cell::Cell::default(),
-            deaf: cell::Cell::default(),
-            delay: cell::Cell::default(),
+            last_behind: cell::Cell::default(),
+            caught_up_at: cell::Cell::default(),
+            last_answer: cell::Cell::default(),
+            restarted_at: cell::Cell::default(),
+            receive_lag: cell::Cell::default(),
+            latency: cell::Cell::default(),
         }
     }
 
@@ -144,25 +144,25 @@
 
     /// When this node learnt that the instance had started again under its id, if it did.
     #[must_use]
-    pub fn reborn(&self) -> Option<id::Time> {
-        self.reborn.get()
+    pub fn restarted_at(&self) -> Option<id::Time> {
+        self.restarted_at.get()
     }
 
     /// Notes that the instance has started again under its id, and has applied nothing yet.
-    pub fn note_rebirth(&self) {
-        self.reborn.set(Some(boot::now()));
+    pub fn note_restart(&self) {
+        self.restarted_at.set(Some(boot::now()));
         self.applied.set(stamp::Stamp::default());
     }
 
     /// Whether the last look found it without records that the primary had had for a while.
     #[must_use]
-    pub fn is_deaf(&self) -> bool {
-        self.deaf.get()
+    pub fn has_receive_lag(&self) -> bool {
+        self.receive_lag.get()
     }
 
     /// Notes whether a look found it so.
-    pub fn note_deaf(&self, deaf: bool) {
-        self.deaf.set(deaf);
+    pub fn note_receive_lag(&self, receive_lag: bool) {
+        self.receive_lag.set(receive_lag);
     }
 
     /// Takes another size, as when this node's part in serving the instance has changed.
@@ -189,20 +189,20 @@
 
     /// When the instance last refused a read for being behind.
     #[must_use]
-    pub fn behind(&self) -> id::Time {
-        self.behind.get()
+    pub fn last_behind(&self) -> id::Time {
+        self.last_behind.get()
     }
 
     /// When the instance last answered anything.
     #[must_use]
-    pub fn answered(&self) -> id::Time {
-        self.answered.get()
+    pub fn last_answer(&self) -> id::Time {
+        self.last_answer.get()
     }
 
     /// Smoothed time of a whole exchange.
     #[must_use]
-    pub fn delay(&self) -> time::Duration {
-        self.delay.get()
+    pub fn latency(&self) -> time::Duration {
+        self.latency.get()
     }
 
     /// Statements that this node lets the instance work on at once.
@@ -214,14 +214,14 @@
     /// Whether the instance did not take a connection a moment ago.
     #[must_use]
     pub fn is_down(&self) -> bool {
-        boot::now() < self.down.get()
+        boot::now() < self.down_until.get()
     }
 
     /// Whether no connection to the instance came about for a while.
     #[must_use]
     pub fn is_lost(&self) -> bool {
-        let since = self.failing.get();
-        since.is_some_and(|since| boot::now() > since + LOST)
+        let since = self.failing_since.get();
+        since.is_some_and(|since| boot::now() > since + LOST_AFTER)
     }
 
     /// Whether the instance's address refused the last connection: its process is gone.
@@ -234,7 +234,7 @@
     #[must_use]
     pub fn sign(&self) -> absence::Sign {
         absence::Sign {
-            answered: self.answered.get(),
+            answered: self.last_answer.get(),
             closed: self.closed.get(),
             replaced: self.replaced.get(),
         }
@@ -242,18 +242,18 @@
 
     /// Notes that the instance refused a read for being behind.
     pub fn note_behind(&self) {
-        self.behind.set(boot::now());
+        self.last_behind.set(boot::now());
     }
 
     /// Takes note of what the instance said of itself in answer to a look.
     pub fn note_load(&self, load: upstream::Load) {
-        self.caught_up.set(boot::now() + load.lag);
+        self.caught_up_at.set(boot::now() + load.lag);
     }
 
     /// Time after which the instance will have applied what it has received, by its last report.
     #[must_use]
     pub fn lag(&self) -> time::Duration {
-        self.caught_up.get().saturating_sub(boot::now())
+        self.caught_up_at.get().saturating_sub(boot::now())
     }
 
     /// Lends a connection of an organisation, the one whose values fit best where several are free.
@@ -266,19 +266,19 @@
         self: &rc::Rc<Self>,
         urgency: urgency::Urgency,
         organisation: &organisation::Name,
-        values: &kept::Values,
+        values: &connection::Values,
         deadline: id::Time,
     ) -> Result<lent::Lent, Shortage> {
         let since = boot::now();
         loop {
-            if let Some(kept) = self.take(organisation, values) {
-                return Ok(self.loan(kept, urgency));
+            if let Some(connection) = self.take_idle(organisation, values) {
+                return Ok(self.loan(connection, urgency));
             }
             let now = boot::now();
-            if now < self.down.get() {
+            if now < self.down_until.get() {
                 return Err(Shortage::Down);
             }
-            if self.open.get() == 0 && now < self.blocked.get() {
+            if self.open.get() == 0 && now < self.full_until.get() {
                 return Err(Shortage::Full);
             }
             self.grow(organisation);
@@ -301,7 +301,11 @@
     pub fn trim(&self) {
         let oldest = boot::now().saturating_sub(self.size.get().spare_idle);
         let mut idle = self.idle.borrow_mut();
-        while self.open.get() > KEPT && idle.first().is_some_and(|kept| kept.used < oldest) {
+        while self.open.get() > MIN_CONNECTIONS
+            && idle
+                .first()
+                .is_some_and(|connection| connection.used < oldest)
+        {
             idle.remove(0);
             self.open.set(self.open.get() - 1);
         }
@@ -309,12 +313,12 @@
 
     // The request goes on waiting, but no other one is sent after it until the instance
     // has answered a new connection. Whether it is silent to all, as far as this node knows.
-    pub(crate) fn doubt(
+    pub(crate) fn suspect_if_silent_since(
         self: &rc::Rc<Self>,
         sent: id::Time,
         organisation: &organisation::Name,
     ) -> bool {
-        if self.answered.get() >= sent {
+        if self.last_answer.get() >= sent {
             return false;
         }
         tracing::info!(instance = %self.id(), "instance is silent");
@@ -328,9 +332,9 @@
     ///
     /// Only the connections may be dead, and not the instance: a new one is opened at once, and tells.
     pub fn suspect(self: &rc::Rc<Self>, organisation: &organisation::Name) {
-        self.down.set(boot::now() + DOWN_PAUSE);
+        self.down_until.set(boot::now() + DOWN_RETRY_DELAY);
         self.clear();
-        let room = self.open.get() < self.most(boot::now());
+        let room = self.open.get() < self.connection_limit(boot::now());
         if room && self.dialling.borrow().is_empty() {
             self.open_for(organisation);
         }
@@ -342,39 +346,48 @@
         self.open.set(self.open.get() - count);
     }
 
-    fn take(&self, organisation: &organisation::Name, values: &kept::Values) -> Option<kept::Kept> {
+    fn take_idle(
+        &self,
+        organisation: &organisation::Name,
+        values: &connection::Values,
+    ) -> Option<connection::Connection> {
         loop {
             let mut idle = self.idle.borrow_mut();
-            let own = |kept: &kept::Kept| kept.serves(organisation);
-            let fits =
-                |kept: &kept::Kept| kept.organisation == *organisation && kept.values == *values;
+            let own = |connection: &connection::Connection| connection.serves(organisation);
+            let fits = |connection: &connection::Connection| {
+                connection.organisation == *organisation && connection.values == *values
+            };
             let index = idle.iter().rposition(fits);
             let index = index.or_else(|| idle.iter().rposition(own))?;
-            let mut kept = idle.remove(index);
-            if kept.link.alive() {
-                kept.assign(organisation);
-                return Some(kept);
+            let mut connection = idle.remove(index);
+            if connection.link.alive() {
+                connection.assign(organisation);
+                return Some(connection);
             }
             self.open.set(self.open.get() - 1);
         }
     }
 
-    fn loan(self: &rc::Rc<Self>, kept: kept::Kept, urgency: urgency::Urgency) -> lent::Lent {
-        lent::Lent::new(rc::Rc::clone(self), kept, urgency)
+    fn loan(
+        self: &rc::Rc<Self>,
+        connection: connection::Connection,
+        urgency: urgency::Urgency,
+    ) -> lent::Lent {
+        lent::Lent::new(rc::Rc::clone(self), connection, urgency)
     }
 
     /// Takes a connection back, or notes that it is gone.
-    pub(crate) fn give_back(&self, kept: Option<kept::Kept>) {
-        let last_resort = |kept: &kept::Kept| {
-            let target = self.target(&kept.organisation);
-            !kept.link.serves_any() && self.dialer.is_last_resort(&target)
+    pub(crate) fn release(&self, connection: Option<connection::Connection>) {
+        let last_resort = |connection: &connection::Connection| {
+            let target = self.target(&connection.organisation);
+            !connection.link.serves_any() && self.dialer.is_last_resort(&target)
         };
-        let Some(kept) = kept.filter(|kept| !last_resort(kept)) else {
+        let Some(connection) = connection.filter(|connection| !last_resort(connection)) else {
             self.open.set(self.open.get() - 1);
             return self.waiting.wake();
         };
-        let organisation = kept.organisation.clone();
-        self.idle.borrow_mut().push(kept);
+        let organisation = connection.organisation.clone();
+        self.idle.borrow_mut().push(connection);
         self.waiting.wake_first(&organisation);
     }
 
@@ -391,33 +404,36 @@
             let own = dialling.iter().filter(|name| *name == organisation);
             (dialling.len(), own.count())
         };
-        let enough = all >= DIALS || own >= wanted;
-        if enough || self.lent() + all >= self.room() || boot::now() < self.blocked.get() {
+        let enough = all >= MAX_DIALS || own >= wanted;
+        if enough
+            || self.lent() + all >= self.useful_connections()
+            || boot::now() < self.full_until.get()
+        {
             return;
         }
-        if self.open.get() >= self.most(boot::now()) && !self.evict() {
+        if self.open.get() >= self.connection_limit(boot::now()) && !self.evict() {
             return;
         }
         self.open_for(organisation);
     }
 
     fn open_for(self: &rc::Rc<Self>, organisation: &organisation::Name) {
-        let place = Place::new(rc::Rc::clone(self), organisation.clone());
+        let reservation = Reservation::new(rc::Rc::clone(self), organisation.clone());
         let pool = rc::Rc::clone(self);
         self.executor
-            .spawn(async move { pool.dial(place).await })
+            .spawn(async move { pool.dial(reservation).await })
             .detach();
     }
 
     // Connections that can be of use now: those of open transactions, one for each statement
     // in the window, and one for the next. More would only be held by statements that wait.
-    fn room(&self) -> usize {
+    fn useful_connections(&self) -> usize {
         let useful = self.pinned.get() + self.window() + 1;
         useful.min(self.size.get().most)
     }
 
     // Connections that this node may have now.
-    fn most(&self, now: id::Time) -> usize {
+    fn connection_limit(&self, now: id::Time) -> usize {
         let most = self.size.get().most;
         match self.ceiling.get() {
             (ceiling, until) if now < until => most.min(ceiling),
@@ -429,8 +445,9 @@
     // serves all: questions to the instance find it.
     fn evict(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let own = |kept: &kept::Kept| kept.organisation == organisation::OWN;
-        let spares_own = idle.iter().filter(|kept| own(kept)).count() > 1;
+        let own =
+            |connection: &connection::Connection| connection.organisation == organisation::OWN;
+        let spares_own = idle.iter().filter(|connection| own(connection)).count() > 1;
         let closable = (0..idle.len()).filter(|index| spares_own || !own(&idle[*index]));
         let Some(oldest) = closable.min_by_key(|index| idle[*index].used) else {
             return false;
@@ -452,17 +469,17 @@
         self.pinned.set(self.pinned.get() - 1);
     }
 
-    async fn dial(self: rc::Rc<Self>, place: Place) {
+    async fn dial(self: rc::Rc<Self>, reservation: Reservation) {
         let permit = self.dialer.permit().await;
         let started = boot::now();
-        let target = self.target(place.organisation());
-        let result = wait::within(DIAL_LIMIT, self.dialer.dial(&target)).await;
+        let target = self.target(reservation.organisation());
+        let result = wait::within(DIAL_TIMEOUT, self.dialer.dial(&target)).await;
         drop(permit);
         let refusal = match result {
             Some(Ok((link, stamp))) => {
-                let organisation = place.organisation().clone();
-                self.opened(link, stamp, organisation.clone());
-                place.keep();
+                let organisation = reservation.organisation().clone();
+                self.add_opened(link, stamp, organisation.clone());
+                reservation.keep();
                 self.waiting.wake_first(&organisation);
                 // One more may begin to open its own.
                 self.waiting.wake();
@@ -477,9 +494,9 @@
         if refusal == upstream::Refusal::Full {
             // In place of one that lies idle there is room for another.
             let others = self.open.get().saturating_sub(1);
-            let until = boot::now() + FULL_PAUSE;
+            let until = boot::now() + FULL_RETRY_DELAY;
             if others == 0 {
-                self.blocked.set(until);
+                self.full_until.set(until);
             } else {
                 self.ceiling.set((others, until));
             }
@@ -488,16 +505,20 @@
             self.replaced.set(wrong);
             self.closed
                 .set(wrong || refusal == upstream::Refusal::Closed);
-            let pause = if wrong { GONE_PAUSE } else { DOWN_PAUSE };
-            self.down.set(boot::now() + pause);
+            let pause = if wrong {
+                REPLACED_RETRY_DELAY
+            } else {
+                DOWN_RETRY_DELAY
+            };
+            self.down_until.set(boot::now() + pause);
         }
-        self.failing
-            .set(Some(self.failing.get().unwrap_or(started)));
-        drop(place);
+        self.failing_since
+            .set(Some(self.failing_since.get().unwrap_or(started)));
+        drop(reservation);
         self.waiting.wake_all();
     }
 
-    fn opened(
+    fn add_opened(
         &self,
         link: Box<dyn upstream::Connection>,
         stamp: Option<stamp::Stamp>,
@@ -506,14 +527,14 @@
         metrics::counter!("mangotray_upstream_dials_total", "result" => "open").increment(1);
         self.closed.set(false);
         self.replaced.set(false);
-        self.failing.set(None);
-        self.down.set(id::Time::ZERO);
-        self.answered.set(boot::now());
+        self.failing_since.set(None);
+        self.down_until.set(id::Time::ZERO);
+        self.last_answer.set(boot::now());
         if let Some(stamp) = stamp {
             self.applied.set(self.applied.get().max(stamp));
         }
-        let kept = kept::Kept::new(link, organisation, boot::now());
-        self.idle.borrow_mut().push(kept);
+        let connection = connection::Connection::new(link, organisation, boot::now());
+        self.idle.borrow_mut().push(connection);
     }
 
     /// A turn to let the instance work, where only so many statements may at once.
@@ -535,9 +556,9 @@
         }
     }
 
-    pub(crate) fn heard(self: &rc::Rc<Self>, sent: id::Time, replies: &[reply::Reply]) {
+    pub(crate) fn note_replies(self: &rc::Rc<Self>, sent: id::Time, replies: &[reply::Reply]) {
         let now = boot::now();
-        self.answered.set(now);
+        self.last_answer.set(now);
         let took = now.saturating_sub(sent);
         if let Some(last) = replies.last()
             && self.turns.adapt(now, last, took)
@@ -545,7 +566,7 @@
             // There is room for one more.
             self.waiting.wake();
         }
-        self.delay.set((self.delay.get() * 7 + took) / 8);
+        self.latency.set((self.latency.get() * 7 + took) / 8);
         let last = replies.iter().rev().find_map(|reply| reply.position);
         if let Some(stamp) = last {
             self.applied.set(self.applied.get().max(stamp));
@@ -554,13 +575,13 @@
 }
 
 /// A counted place for one connection that is being opened, freed unless it is kept.
-struct Place {
+struct Reservation {
     pool: rc::Rc<Pool>,
     organisation: organisation::Name,
     kept: bool,
 }
 
-impl Place {
+impl Reservation {
     fn new(pool: rc::Rc<Pool>, organisation: organisation::Name) -> Self {
         pool.open.set(pool.open.get() + 1);
         pool.dialling.borrow_mut().push(organisation.clone());
@@ -580,7 +601,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let pool = &self.pool;
         {
--- a/desk/src/proof.rs
+++ b/desk/src/proof.rs
@@ -83,7 +83,7 @@
         let now = boot::now();
         group.panel(|panel| reliable.retain(|pool| panel.vouches_alone(pool, lead.term, now)));
         // One that was found deaf is heard again with all others.
-        reliable.retain(|pool| !pool.is_deaf());
+        reliable.retain(|pool| !pool.has_receive_lag());
         let mut heard = reliable.len() < witnesses.len();
         for pool in reliable.iter().take(ALONE) {
             let started = boot::now();
--- a/desk/src/relay.rs
+++ b/desk/src/relay.rs
@@ -94,7 +94,7 @@
     /// When this node cannot reach the instance either.
     pub async fn open(&self) -> Opened {
         let now = boot::now();
-        if self.pool.answered() + OPEN_FRESH > now {
+        if self.pool.last_answer() + OPEN_FRESH > now {
             return Ok(Some(self.pool.applied()));
         }
         let deadline = now + OPEN_LIMIT;
@@ -110,7 +110,7 @@
         {
             Ok(_) => Ok(Some(self.pool.applied())),
             // All connections are busy; the instance is well if it answers on them.
-            Err(pool::Shortage::Late) if self.pool.answered() + OPEN_LIMIT > boot::now() => {
+            Err(pool::Shortage::Late) if self.pool.last_answer() + OPEN_LIMIT > boot::now() => {
                 Ok(Some(self.pool.applied()))
             }
             Err(pool::Shortage::Full) => Err(upstream::Refusal::Full),
--- a/desk/src/roster.rs
+++ b/desk/src/roster.rs
@@ -308,7 +308,7 @@
             size::Size::shared(),
         ));
         if reborn {
-            pool.note_rebirth();
+            pool.note_restart();
         }
         pools.insert(id, pool);
         self.added.set(boot::now());
@@ -335,7 +335,7 @@
     pub fn note_lost_log(&self, id: &upstream::Id) {
         self.lost.set(Some(boot::now()));
         if let Some(pool) = self.pools.borrow().get(id) {
-            pool.note_rebirth();
+            pool.note_restart();
         }
     }
 
--- a/desk/src/router.rs
+++ b/desk/src/router.rs
@@ -32,44 +32,44 @@
 /// Nodes that are asked at once for a connection after the first has failed. Where a cut
 /// parts most nodes from an instance, one in four reaches it; asking one after the other
 /// would take longer than callers wait.
-const TOGETHER: usize = 3;
+const MAX_PARALLEL_LENDERS: usize = 3;
 
 /// Longest wait for another node to lend a connection.
-const LIMIT: time::Duration = time::Duration::from_millis(350);
+const LEND_TIMEOUT: time::Duration = time::Duration::from_millis(350);
 
 /// A node that is starting again is not asked for this long.
-const PAUSE: time::Duration = time::Duration::from_millis(700);
+const RESTARTING_NODE_PAUSE: time::Duration = time::Duration::from_millis(700);
 
 /// A node that could not reach an instance is not asked for this one for this long. It may
 /// reach all others: links are cut one by one, and a cut lasts some seconds.
-const APART: time::Duration = time::Duration::from_secs(3);
+const UNREACHABLE_PAUSE: time::Duration = time::Duration::from_secs(3);
 
 /// A node that did not answer at all is dark, or gone for good: it is not asked for this
 /// long, as each question costs its caller some time.
-const SILENT_PAUSE: time::Duration = time::Duration::from_secs(5);
+const SILENT_NODE_PAUSE: time::Duration = time::Duration::from_secs(5);
 
 /// An instance that has not greeted after this long is also tried through other nodes. A
 /// greeting takes 12 ms, and up to 160 ms where it waits for a slot.
-const PATIENCE: time::Duration = time::Duration::from_millis(180);
+const DETOUR_DELAY: time::Duration = time::Duration::from_millis(180);
 
 /// Nodes that are tried at once when an instance is silent: where half of the nodes are cut
 /// off from it, one of three reaches it seven times in eight.
-const DETOURS: usize = 3;
+const MAX_PARALLEL_DETOURS: usize = 3;
 
 /// An instance that was silent is tried through other nodes at once for this long.
-const DARK: time::Duration = time::Duration::from_secs(2);
+const SILENT_INSTANCE_PERIOD: time::Duration = time::Duration::from_secs(2);
 
 /// A lending node has its part of an instance's connections for itself, and keeps those that lie
 /// idle this long: opening one takes a slot of the instance.
-const LENT_IDLE: time::Duration = time::Duration::from_secs(15);
+const LENT_IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(15);
 
 /// Connections that one node opens at once. After a loss of all nodes each seeks every instance through nodes
 /// that are starting too; the more it tries at once, the fewer are answered in time.
-pub const AT_ONCE: usize = 16;
+pub const MAX_CONCURRENT_DIALS: usize = 16;
 
 /// A connection through another node is given up after this long, in favour of one of
 /// this node's own if the link is well again.
-const DETOUR_LIFE: time::Duration = time::Duration::from_secs(3);
+const DETOUR_LIFETIME: time::Duration = time::Duration::from_secs(3);
 
 /// A dialer that knows the fleet.
 pub struct Router {
@@ -80,11 +80,11 @@
     connections: cell::RefCell<collections::BTreeMap<id::Group, usize>>,
     pools: cell::RefCell<collections::BTreeMap<upstream::Id, rc::Rc<pool::Pool>>>,
     avoided: cell::RefCell<collections::BTreeMap<id::Vm, id::Time>>,
-    apart: cell::RefCell<collections::BTreeMap<(id::Vm, upstream::Id), id::Time>>,
-    dark: cell::RefCell<collections::BTreeMap<upstream::Id, id::Time>>,
+    unreachable: cell::RefCell<collections::BTreeMap<(id::Vm, upstream::Id), id::Time>>,
+    silent: cell::RefCell<collections::BTreeMap<upstream::Id, id::Time>>,
     organisations: cell::Cell<usize>,
     peers: peers::Peers,
-    opening: sync::Arc<async_lock::Semaphore>,
+    dial_permits: sync::Arc<async_lock::Semaphore>,
 }
 
 impl Router {
@@ -103,16 +103,16 @@
             connections: cell::RefCell::default(),
             pools: cell::RefCell::default(),
             avoided: cell::RefCell::default(),
-            apart: cell::RefCell::default(),
-            dark: cell::RefCell::default(),
+            unreachable: cell::RefCell::default(),
+            silent: cell::RefCell::default(),
             organisations: cell::Cell::default(),
             peers: peers::Peers::default(),
-            opening: sync::Arc::new(async_lock::Semaphore::new(AT_ONCE)),
+            dial_permits: sync::Arc::new(async_lock::Semaphore::new(MAX_CONCURRENT_DIALS)),
         })
     }
 
     /// Takes a new list of members.
-    pub fn meet(&self, members: Vec<member::Member>) {
+    pub fn set_members(&self, members: Vec<member::Member>) {
         if *self.members.borrow() != members {
             tracing::info!(members = members.len(), "fleet changed");
             self.members.replace(members);
@@ -147,7 +147,7 @@
         let mut pools = self.pools.borrow_mut();
         // What was seen of an instance's earlier life, and its connections, are over.
         pools.retain(|id, pool| *id != target.id || pool.born() >= target.born);
-        let made = pools.entry(target.id.clone()).or_insert_with(|| {
+        let pool = pools.entry(target.id.clone()).or_insert_with(|| {
             let instance = catalog::Instance {
                 id: target.id.clone(),
                 born: target.born,
@@ -163,8 +163,8 @@
             let executor = rc::Rc::clone(&self.executor);
             rc::Rc::new(pool::Pool::new(instance, dialer, executor, size))
         });
-        made.resize(size);
-        rc::Rc::clone(made)
+        pool.resize(size);
+        rc::Rc::clone(pool)
     }
 
     // How many connections this node may have to an instance, for itself and for those that it
@@ -181,9 +181,9 @@
             .iter()
             .take(nodes)
             .any(|member| member.name == self.name);
-        let (most, spare_idle) = match (self.parts_connections(), serves) {
+        let (most, spare_idle) = match (self.partitions_connections(), serves) {
             (false, _) => (each, size::SPARE_IDLE),
-            (true, true) => (each, LENT_IDLE),
+            (true, true) => (each, LENT_IDLE_TIMEOUT),
             (true, false) => (abreast + 1, size::SPARE_IDLE),
         };
         size::Size {
@@ -194,7 +194,7 @@
     }
 
     // Whether connections belong to one organisation each, so that there are never enough.
-    fn parts_connections(&self) -> bool {
+    fn partitions_connections(&self) -> bool {
         self.organisations.get() > 1
     }
 
@@ -205,8 +205,10 @@
             listed(id) || pool.load() > 0
         });
         let now = boot::now();
-        self.dark.borrow_mut().retain(|_, until| now < *until);
-        self.apart.borrow_mut().retain(|_, until| now < *until);
+        self.silent.borrow_mut().retain(|_, until| now < *until);
+        self.unreachable
+            .borrow_mut()
+            .retain(|_, until| now < *until);
     }
 
     fn way(&self, target: &upstream::Target) -> serving::Way {
@@ -219,16 +221,16 @@
     }
 
     // The nodes to ask, in order; this node itself where it is one of the serving ones.
-    fn servers(&self, target: &upstream::Target) -> Vec<member::Member> {
+    fn lenders(&self, target: &upstream::Target) -> Vec<member::Member> {
         let serving::Way::Through { nodes, .. } = self.way(target) else {
             return Vec::new();
         };
         let members = self.members.borrow();
         let order = serving::order(&members, &target.id, &target.domain);
-        let well = order
+        let available = order
             .into_iter()
             .filter(|member| self.may_lend(&member.name, &target.id));
-        let mut serving: Vec<_> = well.take(nodes).cloned().collect();
+        let mut serving: Vec<_> = available.take(nodes).cloned().collect();
         match serving.iter().position(|member| member.name == self.name) {
             Some(own) => serving = vec![serving.swap_remove(own)],
             None if target.organisation == organisation::OWN => fastrand::shuffle(&mut serving),
@@ -244,30 +246,30 @@
 
     fn may_lend(&self, name: &id::Vm, instance: &upstream::Id) -> bool {
         let now = boot::now();
-        let past = |until: &id::Time| *until < now;
+        let expired = |until: &id::Time| *until < now;
         let avoided = self.avoided.borrow();
-        let apart = self.apart.borrow();
-        avoided.get(name).is_none_or(past)
-            && apart
+        let unreachable = self.unreachable.borrow();
+        avoided.get(name).is_none_or(expired)
+            && unreachable
                 .get(&(name.clone(), instance.clone()))
-                .is_none_or(past)
+                .is_none_or(expired)
     }
 
-    async fn route(&self, target: &upstream::Target) -> Dialled {
-        let servers = self.servers(target);
-        if servers.is_empty() {
-            return self.straight(target).await;
+    async fn connect(&self, target: &upstream::Target) -> Dialled {
+        let lenders = self.lenders(target);
+        if lenders.is_empty() {
+            return self.dial_directly(target).await;
         }
-        match self.lend_from(target, &servers).await {
+        match self.borrow_from_first(target, &lenders).await {
             Err(upstream::Refusal::Silent(_)) => {}
             known => return known,
         }
-        let others = self.servers(target);
+        let others = self.lenders(target);
         if others.iter().any(|other| other.name == self.name) {
-            return self.lend_from(target, &others).await;
+            return self.borrow_from_first(target, &others).await;
         }
-        let others = others.iter().take(TOGETHER);
-        let asked = others.map(|other| self.ask(other, target, None).boxed_local());
+        let others = others.iter().take(MAX_PARALLEL_LENDERS);
+        let asked = others.map(|other| self.borrow_from(other, target, None).boxed_local());
         let asked: Vec<_> = asked.collect();
         if !asked.is_empty()
             && let Ok((dialled, _)) = future::select_ok(asked).await
@@ -276,50 +278,59 @@
         }
         // No serving node is there: better one connection too many than none.
         tracing::info!(instance = %target.id, "no node lends, dialling the instance");
-        self.straight(target).await
+        self.dial_directly(target).await
     }
 
     // From the first of these nodes, which may be this one.
-    async fn lend_from(&self, target: &upstream::Target, servers: &[member::Member]) -> Dialled {
-        let Some(server) = servers.first() else {
+    async fn borrow_from_first(
+        &self,
+        target: &upstream::Target,
+        lenders: &[member::Member],
+    ) -> Dialled {
+        let Some(lender) = lenders.first() else {
             return Err(upstream::Refusal::Silent("no node to ask".into()));
         };
-        if server.name != self.name {
-            return self.ask(server, target, None).await;
+        if lender.name != self.name {
+            return self.borrow_from(lender, target, None).await;
         }
-        let lender = relay::Lender::new(self.pool(target), target.organisation.clone());
-        let opened = lender.open().await;
+        let local = relay::Lender::new(self.pool(target), target.organisation.clone());
+        let opened = local.open().await;
         if let Err(refusal) = &opened {
-            self.note(&self.name, target, refusal);
+            self.note_refusal(&self.name, target, refusal);
         }
-        Ok((Box::new(relay::Local(lender)), opened?))
+        Ok((Box::new(relay::Local(local)), opened?))
     }
 
-    async fn ask(
+    async fn borrow_from(
         &self,
-        server: &member::Member,
+        lender: &member::Member,
         target: &upstream::Target,
         lifetime: Option<time::Duration>,
     ) -> Dialled {
-        let dialled = wait::within(LIMIT, remote::dial(server.address, target, lifetime)).await;
+        let dialled =
+            wait::within(LEND_TIMEOUT, remote::dial(lender.address, target, lifetime)).await;
         let refusal = match dialled {
             Some(Ok(Ok(dialled))) => return Ok(dialled),
             Some(Ok(Err(refusal))) => {
-                self.note(&server.name, target, &refusal);
+                self.note_refusal(&lender.name, target, &refusal);
                 refusal
             }
             Some(Err(error)) => {
                 let silent = error.kind() == io::ErrorKind::TimedOut;
-                let pause = if silent { SILENT_PAUSE } else { PAUSE };
-                self.avoid(&server.name, pause);
+                let pause = if silent {
+                    SILENT_NODE_PAUSE
+                } else {
+                    RESTARTING_NODE_PAUSE
+                };
+                self.avoid(&lender.name, pause);
                 upstream::Refusal::Silent(compact_str::format_compact!("{error}"))
             }
             None => {
-                self.avoid(&server.name, SILENT_PAUSE);
+                self.avoid(&lender.name, SILENT_NODE_PAUSE);
                 upstream::Refusal::Silent("the node does not answer".into())
             }
         };
-        tracing::info!(node = %server.name, instance = %target.id, ?refusal, "node does not lend");
+        tracing::info!(node = %lender.name, instance = %target.id, ?refusal, "node does not lend");
         Err(refusal)
     }
 
@@ -329,10 +340,12 @@
     }
 
     // Notes that a node was not able to reach an instance.
-    fn note(&self, name: &id::Vm, target: &upstream::Target, refusal: &upstream::Refusal) {
+    fn note_refusal(&self, name: &id::Vm, target: &upstream::Target, refusal: &upstream::Refusal) {
         if matches!(refusal, upstream::Refusal::Silent(_)) {
             let pair = (name.clone(), target.id.clone());
-            self.apart.borrow_mut().insert(pair, boot::now() + APART);
+            self.unreachable
+                .borrow_mut()
+                .insert(pair, boot::now() + UNREACHABLE_PAUSE);
         }
     }
 
@@ -341,32 +354,37 @@
     /// A link between this node and an instance can be cut while both are well. The
     /// instance is not lost then, and no reason to replace a primary; but all callers of
     /// this node would wait for it in vain.
-    async fn straight(&self, target: &upstream::Target) -> Dialled {
-        let dark = self.is_dark(&target.id);
-        let patience = if dark { time::Duration::ZERO } else { PATIENCE };
+    async fn dial_directly(&self, target: &upstream::Target) -> Dialled {
+        let silent = self.is_silent(&target.id);
+        let delay = if silent {
+            time::Duration::ZERO
+        } else {
+            DETOUR_DELAY
+        };
         let mut direct = self.direct.dial(target);
-        if let Some(dialled) = wait::within(patience, &mut direct).await {
-            self.mark(target, &dialled);
+        if let Some(dialled) = wait::within(delay, &mut direct).await {
+            self.note_result(target, &dialled);
             return dialled;
         }
-        if let Some(dialled) = self.detour(target).await {
-            let until = boot::now() + DARK;
-            self.dark.borrow_mut().insert(target.id.clone(), until);
+        if let Some(dialled) = self.dial_through_others(target).await {
+            let until = boot::now() + SILENT_INSTANCE_PERIOD;
+            self.silent.borrow_mut().insert(target.id.clone(), until);
             return Ok(dialled);
         }
         let dialled = direct.await;
-        self.mark(target, &dialled);
+        self.note_result(target, &dialled);
         dialled
     }
 
-    async fn detour(&self, target: &upstream::Target) -> Option<upstream::Dialled> {
+    async fn dial_through_others(&self, target: &upstream::Target) -> Option<upstream::Dialled> {
         let mut others = self.members.borrow().clone();
         others.retain(|member| member.name != self.name && self.may_lend(&member.name, &target.id));
         fastrand::shuffle(&mut others);
-        others.truncate(DETOURS);
-        let asked = others
-            .iter()
-            .map(|other| self.ask(other, target, Some(DETOUR_LIFE)).boxed_local());
+        others.truncate(MAX_PARALLEL_DETOURS);
+        let asked = others.iter().map(|other| {
+            self.borrow_from(other, target, Some(DETOUR_LIFETIME))
+                .boxed_local()
+        });
         let asked: Vec<_> = asked.collect();
         if asked.is_empty() {
             return None;
@@ -376,17 +394,17 @@
         Some(dialled)
     }
 
-    fn is_dark(&self, id: &upstream::Id) -> bool {
-        let dark = self.dark.borrow();
-        dark.get(id).is_some_and(|until| boot::now() < *until)
+    fn is_silent(&self, id: &upstream::Id) -> bool {
+        let silent = self.silent.borrow();
+        silent.get(id).is_some_and(|until| boot::now() < *until)
     }
 
-    fn mark(&self, target: &upstream::Target, dialled: &Dialled) {
-        let mut dark = self.dark.borrow_mut();
+    fn note_result(&self, target: &upstream::Target, dialled: &Dialled) {
+        let mut silent = self.silent.borrow_mut();
         if matches!(dialled, Err(upstream::Refusal::Silent(_))) {
-            dark.insert(target.id.clone(), boot::now() + DARK);
+            silent.insert(target.id.clone(), boot::now() + SILENT_INSTANCE_PERIOD);
         } else {
-            dark.remove(&target.id);
+            silent.remove(&target.id);
         }
     }
 }
@@ -399,11 +417,11 @@
         &'a self,
         target: &'a upstream::Target,
     ) -> future::LocalBoxFuture<'a, Result<upstream::Dialled, upstream::Refusal>> {
-        self.route(target).boxed_local()
+        self.connect(target).boxed_local()
     }
 
     fn permit(&self) -> future::LocalBoxFuture<'_, Option<upstream::Permit>> {
-        self.opening.acquire_arc().map(Some).boxed_local()
+        self.dial_permits.acquire_arc().map(Some).boxed_local()
     }
 
     fn nodes(&self) -> usize {
@@ -411,7 +429,7 @@
     }
 
     fn is_last_resort(&self, target: &upstream::Target) -> bool {
-        self.parts_connections() && self.way(target) != serving::Way::Direct
+        self.partitions_connections() && self.way(target) != serving::Way::Direct
     }
 
     fn floor<'a>(
--- a/desk/src/sampler.rs
+++ b/desk/src/sampler.rs
@@ -9,7 +9,7 @@
 use mangotray::stamp;
 
 use crate::boot;
-use crate::kept;
+use crate::connection;
 use crate::lent;
 use crate::organisation;
 use crate::pool;
@@ -95,7 +95,7 @@
     let urgency = urgency::Urgency::now(deadline);
     let own = organisation::OWN;
     let lent = pool
-        .lend(urgency, &own, &kept::Values::new(), deadline)
+        .lend(urgency, &own, &connection::Values::new(), deadline)
         .await;
     lent.ok()
 }
--- a/desk/src/session.rs
+++ b/desk/src/session.rs
@@ -11,8 +11,8 @@
 use crate::attempt;
 use crate::boot;
 use crate::catalog;
+use crate::connection;
 use crate::gate;
-use crate::kept;
 use crate::key;
 use crate::limit;
 use crate::node;
@@ -25,11 +25,11 @@
 use crate::work;
 
 /// Time for a transaction's rollback in the background.
-const ROLLBACK_LIMIT: time::Duration = time::Duration::from_millis(500);
+const ROLLBACK_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
 /// A transaction as its caller sees it.
 struct Transaction {
-    begin: attempt::Opening,
+    begin: attempt::Begin,
     route: rc::Rc<catalog::Route>,
     organisation: organisation::Name,
     /// The connection that it runs on, from its first statement on.
@@ -51,11 +51,11 @@
     /// The last caller that was admitted, for logs.
     organisation: organisation::Name,
     /// The caller's key was taken away.
-    over: bool,
-    values: kept::Values,
+    revoked: bool,
+    values: connection::Values,
     prepared: collections::BTreeMap<statement::Name, statement::Shape>,
     phase: Phase,
-    own: Option<stamp::Stamp>,
+    last_commit: Option<stamp::Stamp>,
 }
 
 impl Session {
@@ -67,11 +67,11 @@
             database,
             key,
             organisation: organisation::OWN,
-            over: false,
-            values: kept::Values::new(),
+            revoked: false,
+            values: connection::Values::new(),
             prepared: collections::BTreeMap::new(),
             phase: Phase::Idle,
-            own: None,
+            last_commit: None,
         }
     }
 
@@ -94,8 +94,8 @@
 
     /// Whether the session is over, as its caller's key was taken away.
     #[must_use]
-    pub const fn is_over(&self) -> bool {
-        self.over
+    pub const fn is_revoked(&self) -> bool {
+        self.revoked
     }
 
     /// Answers one request.
@@ -103,7 +103,7 @@
         let arrived = boot::now();
         let mut reply = self.dispatch(request, arrived).await;
         reply.state = self.state();
-        self.log(request, arrived, &reply);
+        self.record(request, arrived, &reply);
         reply
     }
 
@@ -128,7 +128,7 @@
         }
         match &request.statement {
             statement::Statement::Begin { read_only } => {
-                self.begin(attempt::Opening {
+                self.begin(attempt::Begin {
                     id: request.id.clone(),
                     read_only: *read_only,
                     arrived,
@@ -205,12 +205,15 @@
 
     fn note_refusal(&mut self, refusal: gate::Refusal) {
         metrics::counter!("mangotray_refusals_total", "reason" => refusal.label()).increment(1);
-        self.over |= refusal == gate::Refusal::UnknownKey;
+        self.revoked |= refusal == gate::Refusal::UnknownKey;
     }
 
     // Whether an open transaction may go on: its caller's key may have been taken away, or this
     // node cut off, since its last statement.
-    fn check(&mut self, transaction: &Transaction) -> Result<(), (reply::Code, CompactString)> {
+    fn check_access(
+        &mut self,
+        transaction: &Transaction,
+    ) -> Result<(), (reply::Code, CompactString)> {
         let route = &transaction.route;
         let refusal = match self.node.identify(route, &self.key) {
             Ok(caller) if caller.organisation == transaction.organisation => return Ok(()),
@@ -221,7 +224,7 @@
         Err((reply::Code::Aborted, refusal.text()))
     }
 
-    async fn begin(&mut self, begin: attempt::Opening) -> reply::Reply {
+    async fn begin(&mut self, begin: attempt::Begin) -> reply::Reply {
         if matches!(self.phase, Phase::Open(_)) {
             return self.error(reply::Code::Bad, "a transaction is open already");
         }
@@ -240,7 +243,7 @@
 
     fn rollback(&mut self, request: &statement::Request) -> reply::Reply {
         if let Phase::Open(transaction) = std::mem::replace(&mut self.phase, Phase::Idle) {
-            self.end(*transaction, Some(request.id.clone()));
+            self.roll_back(*transaction, Some(request.id.clone()));
         }
         reply::Reply::done(reply::State::Idle)
     }
@@ -258,16 +261,16 @@
     // The connection goes back only after the instance has confirmed the rollback;
     // otherwise the next statement on it would run inside this transaction.
     fn abandon(&self, transaction: Transaction) {
-        self.end(transaction, None);
+        self.roll_back(transaction, None);
     }
 
     // Rolls a transaction back, under the id of the caller's own request if it asked.
-    fn end(&self, transaction: Transaction, id: Option<statement::Id>) {
+    fn roll_back(&self, transaction: Transaction, id: Option<statement::Id>) {
         let Some(mut pinned) = transaction.pinned else {
             return;
         };
         let rollback = async move {
-            let deadline = boot::now() + ROLLBACK_LIMIT;
+            let deadline = boot::now() + ROLLBACK_TIMEOUT;
             pinned.lent.urge(urgency::Urgency::now(deadline));
             let result = pinned
                 .lent
@@ -301,7 +304,7 @@
         match outcome {
             attempt::Outcome::Answered(reply) => {
                 if work.access == statement::Access::Write && reply.is_done() {
-                    self.own = self.own.max(reply.position);
+                    self.last_commit = self.last_commit.max(reply.position);
                 }
                 reply
             }
@@ -346,7 +349,7 @@
             self.abandon(*transaction);
             return self.error(reply::Code::ReadOnly, "the transaction only reads");
         }
-        if let Err((code, text)) = self.check(&transaction) {
+        if let Err((code, text)) = self.check_access(&transaction) {
             self.abandon(*transaction);
             return self.error(code, text);
         }
@@ -370,14 +373,14 @@
                 "the connection to the instance was lost",
             );
         };
-        if let Some(term) = pinned.leads {
+        if let Some(term) = pinned.primary_term {
             pinned.group.saw_position(term, sent, reply.position);
         }
         if reply.is_done() && reply.state == reply::State::Open {
             self.phase = Phase::Open(transaction);
             return reply;
         }
-        if let (Some(reply::Code::ReadOnly), Some(term)) = (reply.code(), pinned.leads) {
+        if let (Some(reply::Code::ReadOnly), Some(term)) = (reply.code(), pinned.primary_term) {
             pinned.group.doubt(term, "the primary refused a statement");
         }
         self.abandon(*transaction);
@@ -408,7 +411,7 @@
             route,
             organisation,
             values: &self.values,
-            own: self.own,
+            last_commit: self.last_commit,
         }
     }
 
@@ -416,7 +419,7 @@
         let Phase::Open(mut transaction) = std::mem::replace(&mut self.phase, Phase::Idle) else {
             return self.error(reply::Code::Bad, "no transaction");
         };
-        if let Err((code, text)) = self.check(&transaction) {
+        if let Err((code, text)) = self.check_access(&transaction) {
             self.abandon(*transaction);
             return self.error(code, text);
         }
@@ -441,7 +444,7 @@
                 return self.error(reply::Code::Aborted, failure.detail);
             }
             Err(failure) => {
-                if let Some(term) = pinned.leads {
+                if let Some(term) = pinned.primary_term {
                     pinned.group.doubt(term, "a commit was not answered");
                 }
                 return self.error(reply::Code::Unsure, failure.detail);
@@ -455,16 +458,16 @@
             self.abandon(*transaction);
             return reply;
         }
-        if let Some(term) = pinned.leads {
+        if let Some(term) = pinned.primary_term {
             pinned.group.saw_position(term, sent, reply.position);
             if reply.is_done() {
-                self.own = self.own.max(reply.position);
+                self.last_commit = self.last_commit.max(reply.position);
             }
         }
         reply
     }
 
-    fn log(&self, request: &statement::Request, arrived: id::Time, reply: &reply::Reply) {
+    fn record(&self, request: &statement::Request, arrived: id::Time, reply: &reply::Reply) {
         let took = boot::now().saturating_sub(arrived);
         let outcome = match &reply.end {
             reply::End::Done(_) => "done",
--- a/desk/src/source.rs
+++ b/desk/src/source.rs
@@ -130,11 +130,11 @@
     fn candidate(&self, source: &Source, usual: Option<&upstream::Id>) -> candidate::Candidate {
         let pool = &source.pool;
         let leads = source.leads.is_some();
-        let late = boot::now().saturating_sub(pool.behind()) < BEHIND_PAUSE;
+        let late = boot::now().saturating_sub(pool.last_behind()) < BEHIND_PAUSE;
         let behind = !leads && late && pool.applied() < self.floor;
         candidate::Candidate {
             load: pool.load(),
-            delay: pool.delay(),
+            delay: pool.latency(),
             far: pool.instance.borrow().domain != *self.domain,
             leads,
             strange: usual.is_some_and(|usual| *usual != pool.id()),
--- a/desk/src/survey.rs
+++ b/desk/src/survey.rs
@@ -171,7 +171,7 @@
     dialer: &dyn upstream::Dialer,
     uneasy: bool,
 ) -> succession::Reach {
-    let fresh = boot::now().saturating_sub(pool.answered()) < ANSWERED;
+    let fresh = boot::now().saturating_sub(pool.last_answer()) < ANSWERED;
     if fresh && !uneasy {
         return succession::Reach::Answered(pool.applied());
     }
--- a/desk/src/witness.rs
+++ b/desk/src/witness.rs
@@ -57,7 +57,7 @@
     #[must_use]
     pub fn vouches_alone(&self, pool: &pool::Pool, term: id::Term, started: id::Time) -> bool {
         let listed = self.roster.is_fresh(boot::now()) && !self.roster.is_unlisted(pool);
-        listed && self.is_informed(term, started) && self.belief.trusts(pool.reborn(), term)
+        listed && self.is_informed(term, started) && self.belief.trusts(pool.restarted_at(), term)
     }
 
     /// Whether this node knows where the log of the primary of `term` stood a moment before `started`,
@@ -95,7 +95,7 @@
                 return false;
             };
             let deaf = Some(look.status.received) < stood;
-            pool.note_deaf(deaf);
+            pool.note_receive_lag(deaf);
             !deaf
                 && sampler::knows(&look.status, lead.term)
                 && self.vouches_alone(pool, lead.term, started)
@@ -112,7 +112,8 @@
         let says_so = looks
             .iter()
             .any(|look| look.id == lead.id && look.status.role == role::Role::Primary);
-        let lasting = |pool: &&rc::Rc<pool::Pool>| self.belief.trusts(pool.reborn(), lead.term);
+        let lasting =
+            |pool: &&rc::Rc<pool::Pool>| self.belief.trusts(pool.restarted_at(), lead.term);
         let whole = settled && silent.is_empty();
         whole || (says_so && answered.iter().all(lasting))
     }
--- a/desk/src/work.rs
+++ b/desk/src/work.rs
@@ -5,7 +5,7 @@
 use mangotray::id;
 use mangotray::stamp;
 
-use crate::kept;
+use crate::connection;
 use crate::lent;
 use crate::statement;
 use crate::upstream;
@@ -32,7 +32,7 @@
     pub fn commands(
         &self,
         lent: &mut lent::Lent,
-        values: &kept::Values,
+        values: &connection::Values,
         after: Option<stamp::Stamp>,
         inside: bool,
     ) -> Vec<upstream::Command> {
--- a/desk/tests/group.rs
+++ b/desk/tests/group.rs
@@ -7,7 +7,7 @@
 use mangotray::id;
 use mangotray_desk::boot;
 use mangotray_desk::catalog;
-use mangotray_desk::kept;
+use mangotray_desk::connection;
 use mangotray_desk::organisation;
 use mangotray_desk::source;
 use mangotray_desk::urgency;
@@ -206,7 +206,12 @@
         let urgency = urgency::Urgency::now(deadline);
         drop(
             before
-                .lend(urgency, &organisation::OWN, &kept::Values::new(), deadline)
+                .lend(
+                    urgency,
+                    &organisation::OWN,
+                    &connection::Values::new(),
+                    deadline,
+                )
                 .await,
         );
         assert_eq!(before.applied().position, 10);
@@ -224,9 +229,9 @@
         stage.relist();
         let after = find();
         assert_eq!((after.born(), after.applied().position), (2, 0));
-        assert_eq!(after.behind(), id::Time::ZERO);
+        assert_eq!(after.last_behind(), id::Time::ZERO);
         assert!(!group.roster().is_leaving(&"b".into()));
-        assert!(after.reborn().is_some());
+        assert!(after.restarted_at().is_some());
     });
 }
 
--- a/desk/tests/keeper.rs
+++ b/desk/tests/keeper.rs
@@ -310,7 +310,7 @@
         }
         if keepers {
             for one in &nodes {
-                one.node.router().meet(members.clone());
+                one.node.router().set_members(members.clone());
             }
         }
         for one in &nodes {
--- a/desk/tests/organisations.rs
+++ b/desk/tests/organisations.rs
@@ -11,9 +11,9 @@
 use mangotray_desk::boot;
 use mangotray_desk::bucket;
 use mangotray_desk::catalog;
+use mangotray_desk::connection;
 use mangotray_desk::currency;
 use mangotray_desk::gate;
-use mangotray_desk::kept;
 use mangotray_desk::key;
 use mangotray_desk::ledger;
 use mangotray_desk::node;
@@ -47,7 +47,7 @@
 async fn run_for(pool: &rc::Rc<pool::Pool>, name: &str) {
     let deadline = boot::now() + LIMIT;
     let urgency = urgency::Urgency::now(deadline);
-    let values = kept::Values::new();
+    let values = connection::Values::new();
     let lent = pool.lend(urgency, &name.into(), &values, deadline).await;
     let mut lent = lent.expect("a connection");
     lent.run(&stage::read(name), deadline)
@@ -80,7 +80,7 @@
     stage.run(async {
         let deadline = boot::now() + LIMIT;
         let urgency = urgency::Urgency::now(deadline);
-        let values = kept::Values::new();
+        let values = connection::Values::new();
         let own = organisation::OWN;
         let lend = || pool.lend(urgency, &own, &values, deadline);
         let held = [lend().await, lend().await, lend().await];
@@ -101,7 +101,7 @@
     stage.run(async {
         let deadline = boot::now() + LIMIT;
         let urgency = urgency::Urgency::now(deadline);
-        let values = kept::Values::new();
+        let values = connection::Values::new();
         let held = pool.lend(urgency, &"dome".into(), &values, deadline).await;
         let waiting = {
             let pool = rc::Rc::clone(&pool);
@@ -262,7 +262,7 @@
         node.apply(catalog(2, vec![named("dome", &["new"])]));
         let reply = session.handle(&stage::request("COMMIT")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Aborted));
-        assert!(session.is_over());
+        assert!(session.is_revoked());
         let reply = session.handle(&stage::request("READ x")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Unauthorised));
     });
@@ -283,7 +283,7 @@
         node.confirm(boot::now().saturating_sub(BOUND));
         let reply = session.handle(&stage::request("WRITE x 1")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Busy));
-        assert!(!session.is_over());
+        assert!(!session.is_revoked());
         node.confirm(boot::now());
         let reply = session.handle(&stage::request("WRITE x 1")).await;
         assert!(reply.is_done(), "{reply:?}");
--- a/desk/tests/pool.rs
+++ b/desk/tests/pool.rs
@@ -43,11 +43,11 @@
 /// Cause: the values were noted as set though the commands that set them never left.
 #[test]
 fn values_that_were_never_sent_are_sent_to_the_next() {
-    play(false);
-    play(true);
+    check_values_are_resent(false);
+    check_values_are_resent(true);
 }
 
-fn play(dropped: bool) {
+fn check_values_are_resent(dropped: bool) {
     let stage = stage::Stage::new();
     let pool = stage.pool(2, 1);
     stage.run(async {
@@ -151,12 +151,12 @@
 }
 
 /// Opens connections only while it has a permit to give.
-struct Narrow {
+struct Permitted {
     inner: stage::Dialer,
     permits: sync::Arc<async_lock::Semaphore>,
 }
 
-impl upstream::Dialer for Narrow {
+impl upstream::Dialer for Permitted {
     fn dial<'a>(
         &'a self,
         target: &'a upstream::Target,
@@ -180,11 +180,11 @@
     let stage = stage::Stage::new();
     let permits = sync::Arc::new(async_lock::Semaphore::new(1));
     let world = stage::world();
-    let narrow = Narrow {
+    let dialer = Permitted {
         inner: stage::Dialer(rc::Rc::clone(&world)),
         permits: sync::Arc::clone(&permits),
     };
-    let pool = pool_of(&stage, rc::Rc::new(narrow));
+    let pool = pool_of(&stage, rc::Rc::new(dialer));
     stage.run(async {
         let taken = permits.acquire_arc().await;
         let values = Values::new();
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -10,7 +10,7 @@
 use futures_util::future;
 use mangotray::stamp;
 use mangotray_desk::boot;
-use mangotray_desk::kept;
+use mangotray_desk::connection;
 use mangotray_desk::message;
 use mangotray_desk::organisation;
 use mangotray_desk::pool;
@@ -136,7 +136,7 @@
     ));
     stage.run(async {
         let urgency = urgency::Urgency::now(boot::now() + ENDLESS);
-        let (values, own) = (kept::Values::new(), organisation::OWN);
+        let (values, own) = (connection::Values::new(), organisation::OWN);
         let loan = pool.lend(urgency, &own, &values, boot::now() + LIMIT);
         let mut lent = loan.await.expect("a connection");
         let read = stage::read("one");
--- a/desk/tests/miss.rs
+++ b/desk/tests/retry.rs
@@ -1,8 +1,8 @@
 //! What a failed try means for the next one.
 
-use mangotray_desk::miss;
 use mangotray_desk::pool;
 use mangotray_desk::reply;
+use mangotray_desk::retry;
 use mangotray_desk::upstream;
 
 /// Symptom: after a restart of all nodes, requests are refused though the instances are idle.
@@ -10,32 +10,35 @@
 /// one and is told that it waited behind others, for which there is little patience.
 /// Cause: a missing connection was taken for a busy one.
 #[test]
-fn a_connection_that_is_being_opened_is_no_crowd() {
-    let of = miss::Miss::of_shortage;
-    assert_eq!(of(pool::Shortage::Late), miss::Miss::Crowded);
-    assert_eq!(of(pool::Shortage::Opening), miss::Miss::Unreachable);
-    assert_eq!(of(pool::Shortage::Down), miss::Miss::Unreachable);
+fn a_connection_being_opened_does_not_count_as_overload() {
+    let reason = retry::Reason::from_shortage;
+    assert_eq!(reason(pool::Shortage::Late), retry::Reason::Overloaded);
+    assert_eq!(reason(pool::Shortage::Opening), retry::Reason::Unreachable);
+    assert_eq!(reason(pool::Shortage::Down), retry::Reason::Unreachable);
 }
 
 /// Symptom: bookings fail while a primary is replaced, which takes half a second.
 /// Events: the old primary refuses a write, as it leads no more.
 /// Cause: the refusal was taken for one that stays.
 #[test]
-fn a_primary_that_leads_no_more_is_no_reason_to_give_up() {
+fn a_former_primary_is_unsuitable() {
     let code = reply::Code::ReadOnly;
-    assert_eq!(miss::Miss::of_code(&code), miss::Miss::Elsewhere);
+    assert_eq!(retry::Reason::from_code(&code), retry::Reason::Unsuitable);
 }
 
 #[test]
-fn a_refusal_says_whether_the_statement_waited_behind_others() {
+fn an_unsent_failure_tells_overload_from_unreachable() {
     let failure = |crowded| upstream::Failure {
         sent: false,
         crowded,
         detail: "no turn in time".into(),
     };
-    assert_eq!(miss::Miss::of_unsent(&failure(true)), miss::Miss::Crowded);
     assert_eq!(
-        miss::Miss::of_unsent(&failure(false)),
-        miss::Miss::Unreachable
+        retry::Reason::from_unsent(&failure(true)),
+        retry::Reason::Overloaded
+    );
+    assert_eq!(
+        retry::Reason::from_unsent(&failure(false)),
+        retry::Reason::Unreachable
     );
 }
--- a/desk/tests/router.rs
+++ b/desk/tests/router.rs
@@ -25,9 +25,9 @@
 type Local = rc::Rc<async_executor::LocalExecutor<'static>>;
 
 /// A dialer that reaches one instance at most; from all others there is silence.
-struct Narrow(Option<(upstream::Id, stage::Dialer)>);
+struct SingleTarget(Option<(upstream::Id, stage::Dialer)>);
 
-impl upstream::Dialer for Narrow {
+impl upstream::Dialer for SingleTarget {
     fn dial<'a>(
         &'a self,
         target: &'a upstream::Target,
@@ -98,7 +98,7 @@
     let stage = stage::Stage::new();
     let executor = &stage.executor;
     let (own, lending) = (member("own", "far"), member("lending", "near"));
-    let reaches = Narrow(Some((
+    let reaches = SingleTarget(Some((
         "b".into(),
         stage::Dialer(rc::Rc::clone(&stage.world)),
     )));
@@ -109,8 +109,8 @@
     executor
         .spawn(async move { serve.await.expect("a port") })
         .detach();
-    let router = router(&own.name, rc::Rc::new(Narrow(None)), executor);
-    router.meet(vec![own, lending]);
+    let router = router(&own.name, rc::Rc::new(SingleTarget(None)), executor);
+    router.set_members(vec![own, lending]);
     stage.run(async {
         // Until the lending node listens.
         while async_net::TcpStream::connect(lending_address)
@@ -133,7 +133,7 @@
 #[test]
 fn connections_are_lent_for_one_life_of_an_instance() {
     let executor = Local::default();
-    let router = router("vm", rc::Rc::new(Narrow(None)), &executor);
+    let router = router("vm", rc::Rc::new(SingleTarget(None)), &executor);
     let first = target("i");
     let second = upstream::Target {
         born: 2,
@@ -149,11 +149,11 @@
 #[test]
 fn a_node_opens_few_connections_at_once() {
     let stage = stage::Stage::new();
-    let narrow = rc::Rc::new(Narrow(None));
+    let narrow = rc::Rc::new(SingleTarget(None));
     let router = router("vm-1", narrow, &stage.executor);
     stage.run(async {
         let mut permits = Vec::new();
-        for _ in 0..router::AT_ONCE {
+        for _ in 0..router::MAX_CONCURRENT_DIALS {
             permits.push(router.permit().await);
         }
         assert!(wait::within(SHORT, router.permit()).await.is_none());
