--- a/desk/src/account.rs
+++ b/desk/src/audit.rs
@@ -18,10 +18,10 @@
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
-/// use mangotray_desk::{account, sampler, upstream};
+/// use mangotray_desk::{audit, sampler, upstream};
 /// use std::time::Duration;
 /// let status = upstream::Status { role: Role::Replica, term: 1, received: Stamp::new(1, 9), held: 2, load: upstream::Load::default() };
-/// let account = account::Account {
+/// let audit = audit::Audit {
 ///     candidate: "b".into(),
 ///     position: Stamp::new(1, 9),
 ///     term: 2,
@@ -31,11 +31,11 @@
 ///     unlisted: vec!["c".into()],
 ///     forgotten: vec![("d".into(), Duration::from_secs(4))],
 /// };
-/// assert_eq!(account.counted(), "b 1/9 term 1 held 2");
-/// assert_eq!(account.uncounted(), "a replaced, c unlisted, d forgotten 4s ago");
+/// assert_eq!(audit.counted(), "b 1/9 term 1 held 2");
+/// assert_eq!(audit.uncounted(), "a replaced, c unlisted, d forgotten 4s ago");
 /// ```
 #[derive(Clone, Debug)]
-pub struct Account {
+pub struct Audit {
     /// The instance that was chosen.
     pub candidate: upstream::Id,
     /// Its last record when it was chosen.
@@ -54,7 +54,7 @@
     pub forgotten: Vec<(upstream::Id, time::Duration)>,
 }
 
-impl Account {
+impl Audit {
     /// Every instance that was counted, with its last record, its term and its hold.
     #[must_use]
     pub fn counted(&self) -> String {
@@ -102,13 +102,13 @@
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
-    /// use mangotray_desk::{account, sampler, upstream};
+    /// use mangotray_desk::{audit, sampler, upstream};
     /// let look = |id: &str, role, term, number| sampler::Look {
     ///     id: id.into(),
     ///     status: upstream::Status { role, term, received: Stamp::new(term, number), held: 0, load: upstream::Load::default() },
     ///     applied: None,
     /// };
-    /// let account = account::Account {
+    /// let audit = audit::Audit {
     ///     candidate: "b".into(),
     ///     position: Stamp::new(1, 9),
     ///     term: 2,
@@ -120,23 +120,23 @@
     /// };
     /// let leads = look("b", Role::Primary, 2, 12);
     /// let looks = [look("a", Role::Primary, 1, 10), leads, look("c", Role::Replica, 1, 9)];
-    /// assert_eq!(account.beyond(&looks), [&looks[0]]);
+    /// assert_eq!(audit.instances_ahead(&looks), [&looks[0]]);
     /// ```
     #[must_use]
-    pub fn beyond<'a>(&self, looks: &'a [sampler::Look]) -> Vec<&'a sampler::Look> {
+    pub fn instances_ahead<'a>(&self, looks: &'a [sampler::Look]) -> Vec<&'a sampler::Look> {
         let own = looks.iter().find(|look| look.id == self.candidate);
         let own = own.filter(|look| look.status.role == role::Role::Primary);
         let term = own.map_or(self.term, |look| look.status.term);
-        let beyond = |look: &&sampler::Look| {
+        let instances_ahead = |look: &&sampler::Look| {
             let received = look.status.received;
             look.id != self.candidate && received.term < term && received > self.position
         };
-        looks.iter().filter(beyond).collect()
+        looks.iter().filter(instances_ahead).collect()
     }
 
     /// Those that were asked and have not answered.
     #[must_use]
-    pub fn unseen(&self, looks: &[sampler::Look]) -> String {
+    pub fn unanswered(&self, looks: &[sampler::Look]) -> String {
         let seen = |id: &upstream::Id| looks.iter().any(|look| look.id == *id);
         join(self.asked.iter().filter(|id| !seen(id)))
     }
--- a/desk/src/backoff.rs
+++ b/desk/src/backoff.rs
@@ -9,7 +9,7 @@
 
 use mangotray::id;
 
-use crate::succession;
+use crate::detector;
 use crate::upstream;
 
 /// First pause after a promotion that was given up; doubled with each further one.
@@ -32,7 +32,7 @@
 /// What came of the promotions of one group for primaries that live.
 ///
 /// ```
-/// use mangotray_desk::{backoff, succession::Cause};
+/// use mangotray_desk::{backoff, detector::Cause};
 /// use std::time::Duration;
 /// let mut backoff = backoff::Backoff::default();
 /// let seconds = Duration::from_secs;
@@ -73,12 +73,12 @@
 impl Backoff {
     /// Whether a promotion for this cause that replaces `primary` may be tried now.
     #[must_use]
-    pub fn permits(&self, primary: &upstream::Id, cause: succession::Cause, now: id::Time) -> bool {
+    pub fn permits(&self, primary: &upstream::Id, cause: detector::Cause, now: id::Time) -> bool {
         if !cause.can_wait() {
             return true;
         }
         let tried = self.given_up.map(|turn| turn.ends(GIVEN_UP, GIVEN_UP_MOST));
-        let again = cause == succession::Cause::Stalled && self.places.contains(primary);
+        let again = cause == detector::Cause::Stalled && self.places.contains(primary);
         let stalled = self.stalled.filter(|_| again);
         let changed = stalled.map(|turn| turn.ends(STALLED, STALLED_MOST));
         tried.max(changed).is_none_or(|until| now >= until)
@@ -87,7 +87,7 @@
     /// Notes that a promotion for this cause was given up.
     ///
     /// ```
-    /// use mangotray_desk::{backoff, succession::Cause};
+    /// use mangotray_desk::{backoff, detector::Cause};
     /// use std::time::Duration;
     /// let mut backoff = backoff::Backoff::default();
     /// backoff.given_up(Cause::Planned, Duration::from_secs(10));
@@ -95,7 +95,7 @@
     /// assert!(backoff.permits(&"a".into(), Cause::Crashed, Duration::from_millis(10_400)));
     /// assert!(backoff.permits(&"a".into(), Cause::Planned, Duration::from_millis(10_500)));
     /// ```
-    pub fn given_up(&mut self, cause: succession::Cause, now: id::Time) {
+    pub fn given_up(&mut self, cause: detector::Cause, now: id::Time) {
         if cause.can_wait() {
             self.given_up = Some(Turn::after(self.given_up, now));
         }
@@ -106,11 +106,11 @@
         &mut self,
         old: &upstream::Id,
         new: &upstream::Id,
-        cause: succession::Cause,
+        cause: detector::Cause,
         now: id::Time,
     ) {
         self.given_up = None;
-        if cause != succession::Cause::Stalled {
+        if cause != detector::Cause::Stalled {
             return;
         }
         let turn = Turn::after(self.stalled, now);
--- a/desk/src/belief.rs
+++ b/desk/src/belief.rs
@@ -4,10 +4,10 @@
 use mangotray::role;
 use mangotray::stamp;
 
+use crate::detector;
 use crate::floor;
 use crate::receipts;
 use crate::sampler;
-use crate::succession;
 use crate::upstream;
 
 /// What a node believes of who leads a group, and on what evidence.
@@ -53,8 +53,8 @@
 
     /// What was seen while no primary was known.
     #[must_use]
-    pub const fn vacancy(&self) -> succession::Vacancy {
-        succession::Vacancy {
+    pub const fn vacancy(&self) -> detector::Vacancy {
+        detector::Vacancy {
             since: self.vacant,
             received: self.receipts.furthest(),
         }
--- a/desk/src/succession.rs
+++ b/desk/src/detector.rs
@@ -10,39 +10,39 @@
 /// A primary that does not answer for this long is replaced, unless the replicas show that
 /// it goes on working for others. Twenty commits a second reach a group of today's
 /// smaller user: without any for this long, chance is one in a hundred thousand.
-const SILENT: time::Duration = time::Duration::from_millis(600);
+const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// The same for a primary whose address refuses connections: its process is gone.
-const CLOSED: time::Duration = time::Duration::from_millis(150);
+const REFUSED_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
 /// A primary that holds records which no replica receives for this long has lost its
 /// replicas: it acknowledges nothing any more, and its callers wait in vain.
-const STALLED: time::Duration = time::Duration::from_millis(700);
+const STALL_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
 /// Replicas that seem not to move for this long are looked at; those that are only slow
-/// to apply are seen to receive, well before [`STALLED`].
-const DOUBTED: time::Duration = time::Duration::from_millis(400);
+/// to apply are seen to receive, well before [`STALL_TIMEOUT`].
+const STALL_SUSPICION_DELAY: time::Duration = time::Duration::from_millis(400);
 
 /// Replicas that a primary without any has to have, all of which answer: one takes over, another follows
 /// it. The old primary cannot be counted on, as the replicas do not reach it.
-const FOLLOWED: usize = 2;
+const MIN_REPLICAS_FOR_STALL: usize = 2;
 
 /// A promotion whose replicas cannot all be held in this time is given up for now.
-const PATIENCE: time::Duration = time::Duration::from_secs(4);
+const HOLD_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
 /// The same where the primary lives: it has nothing confirmed while its replicas are held. One hold that
 /// is not answered takes as long.
-const BRIEF: time::Duration = time::Duration::from_millis(300);
+const LIVE_HOLD_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
 /// A primary that announced its end is replaced once no instance was added to its group for
 /// this long. An instance receives records, and lets commits be acknowledged, up to 170 ms
 /// before the list shows it. Replicas that are held do not; if the newcomer alone has a
 /// commit and cannot be held, as nobody knows it, the commit is lost with the promotion.
-const NEWCOMER: time::Duration = time::Duration::from_millis(800);
+const LISTING_QUIET_PERIOD: time::Duration = time::Duration::from_millis(800);
 
 /// It is replaced at the latest this long after its announcement, of the seven seconds that
 /// it goes on working.
-const LATEST: time::Duration = time::Duration::from_secs(3);
+const MAX_PLANNED_DELAY: time::Duration = time::Duration::from_secs(3);
 
 /// How the primary answered a look.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,8 +78,8 @@
 
 impl Round {
     // Whether one replica could take over and be followed by another.
-    const fn has_follower(&self) -> bool {
-        self.answers >= FOLLOWED && self.answers == self.replicas
+    const fn has_enough_replicas(&self) -> bool {
+        self.answers >= MIN_REPLICAS_FOR_STALL && self.answers == self.replicas
     }
 }
 
@@ -105,8 +105,8 @@
     /// Its name in metrics.
     ///
     /// ```
-    /// use mangotray_desk::succession;
-    /// assert_eq!(succession::Cause::Relief.label(), "relief");
+    /// use mangotray_desk::detector;
+    /// assert_eq!(detector::Cause::Relief.label(), "relief");
     /// ```
     #[must_use]
     pub const fn label(self) -> &'static str {
@@ -127,11 +127,11 @@
     /// at any moment.
     ///
     /// ```
-    /// use mangotray_desk::succession;
-    /// assert!(succession::Cause::Planned.lives());
+    /// use mangotray_desk::detector;
+    /// assert!(detector::Cause::Planned.primary_may_run());
     /// ```
     #[must_use]
-    pub const fn lives(self) -> bool {
+    pub const fn primary_may_run(self) -> bool {
         matches!(
             self,
             Self::Planned | Self::Stalled | Self::Unfinished | Self::Relief
@@ -141,9 +141,9 @@
     /// Whether the promotion may as well wait, as nothing was ordered and the primary lives.
     ///
     /// ```
-    /// use mangotray_desk::succession;
-    /// assert!(succession::Cause::Stalled.can_wait());
-    /// assert!(!succession::Cause::Unfinished.can_wait());
+    /// use mangotray_desk::detector;
+    /// assert!(detector::Cause::Stalled.can_wait());
+    /// assert!(!detector::Cause::Unfinished.can_wait());
     /// ```
     #[must_use]
     pub const fn can_wait(self) -> bool {
@@ -153,12 +153,16 @@
     /// For how long a promotion tries to hold all replicas before it is given up.
     ///
     /// ```
-    /// use mangotray_desk::succession::Cause;
-    /// assert!(Cause::Planned.patience() < Cause::Crashed.patience());
+    /// use mangotray_desk::detector::Cause;
+    /// assert!(Cause::Planned.hold_timeout() < Cause::Crashed.hold_timeout());
     /// ```
     #[must_use]
-    pub const fn patience(self) -> time::Duration {
-        if self.can_wait() { BRIEF } else { PATIENCE }
+    pub const fn hold_timeout(self) -> time::Duration {
+        if self.can_wait() {
+            LIVE_HOLD_TIMEOUT
+        } else {
+            HOLD_TIMEOUT
+        }
     }
 }
 
@@ -175,7 +179,7 @@
 ///
 /// ```
 /// use mangotray::stamp::Stamp;
-/// use mangotray_desk::succession::{Cause, Reach, Round, Watch};
+/// use mangotray_desk::detector::{Cause, Reach, Round, Detector};
 /// use std::time::Duration;
 /// let round = |millis, primary| Round {
 ///     started: Duration::from_millis(millis),
@@ -187,23 +191,23 @@
 ///     replicas: 2,
 ///     answers: 2,
 /// };
-/// let mut watch = Watch::default();
-/// assert_eq!(watch.judge(&round(0, Reach::Answered(Stamp::new(1, 5)))), None);
-/// assert_eq!(watch.judge(&round(100, Reach::Silent)), None);
-/// assert_eq!(watch.judge(&round(800, Reach::Silent)), Some(Cause::Silent));
+/// let mut detector = Detector::default();
+/// assert_eq!(detector.judge(&round(0, Reach::Answered(Stamp::new(1, 5)))), None);
+/// assert_eq!(detector.judge(&round(100, Reach::Silent)), None);
+/// assert_eq!(detector.judge(&round(800, Reach::Silent)), Some(Cause::Silent));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct Detector {
     received: Option<stamp::Stamp>,
-    moved: id::Time,
-    silent: Option<id::Time>,
-    closed: Option<id::Time>,
-    leaving: Option<id::Time>,
+    received_at: id::Time,
+    silent_since: Option<id::Time>,
+    closed_since: Option<id::Time>,
+    leaving_since: Option<id::Time>,
     /// Since when a record of the primary is known that no replica was seen to have received since.
     ahead: Option<(id::Time, stamp::Stamp)>,
 }
 
-impl Watch {
+impl Detector {
     /// A watch that goes on from what this node saw before it held the seat.
     ///
     /// The load that this answers: the store is away, a primary is lost meanwhile, and so is
@@ -213,7 +217,7 @@
     ///
     /// ```
     /// use mangotray::stamp::Stamp;
-    /// use mangotray_desk::succession::{Cause, Reach, Round, Vacancy, Watch};
+    /// use mangotray_desk::detector::{Cause, Reach, Round, Vacancy, Detector};
     /// use std::time::Duration;
     /// let vacancy = Vacancy {
     ///     since: Some(Duration::from_secs(5)),
@@ -229,16 +233,16 @@
     ///     replicas: 2,
     ///     answers: 2,
     /// };
-    /// assert_eq!(Watch::default().judge(&round), None);
-    /// assert_eq!(Watch::resumed(vacancy).judge(&round), Some(Cause::Silent));
+    /// assert_eq!(Detector::default().judge(&round), None);
+    /// assert_eq!(Detector::resumed(vacancy).judge(&round), Some(Cause::Silent));
     /// ```
     #[must_use]
     pub fn resumed(vacancy: Vacancy) -> Self {
         let seen = vacancy.received.filter(|_| vacancy.since.is_some());
         Self {
             received: seen.map(|(received, _)| received),
-            moved: seen.map(|(_, moved)| moved).unwrap_or_default(),
-            silent: vacancy.since.filter(|_| seen.is_some()),
+            received_at: seen.map(|(_, moved)| moved).unwrap_or_default(),
+            silent_since: vacancy.since.filter(|_| seen.is_some()),
             ..Self::default()
         }
     }
@@ -249,27 +253,28 @@
         if round.held {
             return Some(Cause::Unfinished);
         }
-        if let Some(since) = self.leaving {
-            let quiet = round.started >= since.max(round.added) + NEWCOMER;
-            let late = round.started >= since + LATEST;
-            return (quiet || late).then_some(Cause::Planned);
+        if let Some(since) = self.leaving_since {
+            let list_is_stable = round.started >= since.max(round.added) + LISTING_QUIET_PERIOD;
+            let late = round.started >= since + MAX_PLANNED_DELAY;
+            return (list_is_stable || late).then_some(Cause::Planned);
         }
         let over = |since: Option<id::Time>, limit| {
             since.is_some_and(|since| {
-                let still = since.max(self.moved);
-                round.started >= still + limit
+                let since_last_change = since.max(self.received_at);
+                round.started >= since_last_change + limit
             })
         };
         // Only with a word from the replicas: a node that reaches nobody knows nothing.
         round.received?;
-        if over(self.closed, CLOSED) {
+        if over(self.closed_since, REFUSED_TIMEOUT) {
             return Some(Cause::Crashed);
         }
-        if over(self.silent, SILENT) {
+        if over(self.silent_since, SILENCE_TIMEOUT) {
             return Some(Cause::Silent);
         }
         let answers = matches!(round.primary, Reach::Answered(_));
-        let stalled = answers && over(self.missing_since(), STALLED) && round.has_follower();
+        let stalled =
+            answers && over(self.missing_since(), STALL_TIMEOUT) && round.has_enough_replicas();
         stalled.then_some(Cause::Stalled)
     }
 
@@ -281,23 +286,26 @@
 
     /// Whether something is amiss, so that the next round should come soon.
     #[must_use]
-    pub fn is_uneasy(&self, now: id::Time) -> bool {
+    pub fn is_suspect(&self, now: id::Time) -> bool {
         let ahead = self
             .missing_since()
-            .is_some_and(|since| now >= since.max(self.moved) + DOUBTED);
-        self.silent.is_some() || self.closed.is_some() || ahead
+            .is_some_and(|since| now >= since.max(self.received_at) + STALL_SUSPICION_DELAY);
+        self.silent_since.is_some() || self.closed_since.is_some() || ahead
     }
 
     fn note(&mut self, round: &Round) {
         let now = round.started;
         if round.received > self.received {
             self.received = round.received;
-            self.moved = now;
+            self.received_at = now;
         }
         let began = |old: Option<id::Time>, holds: bool| holds.then(|| old.unwrap_or(now));
-        self.silent = began(self.silent, !matches!(round.primary, Reach::Answered(_)));
-        self.closed = began(self.closed, round.primary == Reach::Closed);
-        self.leaving = began(self.leaving, round.leaving);
+        self.silent_since = began(
+            self.silent_since,
+            !matches!(round.primary, Reach::Answered(_)),
+        );
+        self.closed_since = began(self.closed_since, round.primary == Reach::Closed);
+        self.leaving_since = began(self.leaving_since, round.leaving);
         // A primary whose connections are taken by writes that wait answers only now and then.
         self.ahead
             .take_if(|(_, record)| round.received >= Some(*record));
--- a/desk/src/group.rs
+++ b/desk/src/group.rs
@@ -10,6 +10,7 @@
 use crate::belief;
 use crate::boot;
 use crate::catalog;
+use crate::detector;
 use crate::keeper;
 use crate::pool;
 use crate::proof;
@@ -17,7 +18,6 @@
 use crate::sampler;
 use crate::seat;
 use crate::source;
-use crate::succession;
 use crate::upstream;
 use crate::wait;
 use crate::witness;
@@ -273,7 +273,7 @@
 
     /// What this node has seen of the group while it knew no primary.
     #[must_use]
-    pub fn vacancy(&self) -> succession::Vacancy {
+    pub fn vacancy(&self) -> detector::Vacancy {
         self.belief.borrow().vacancy()
     }
 
--- a/desk/src/intent.rs
+++ b/desk/src/intent.rs
@@ -13,7 +13,7 @@
 use mangotray::store;
 
 use crate::duty;
-use crate::plan;
+use crate::promotion;
 use crate::sampler;
 use crate::upstream;
 
@@ -120,7 +120,7 @@
 
     /// The process that is to lead.
     #[must_use]
-    pub fn life(&self) -> plan::Life {
+    pub fn life(&self) -> promotion::Process {
         (self.candidate.clone(), self.born)
     }
 
--- a/desk/src/guard.rs
+++ b/desk/src/monitor.rs
@@ -10,6 +10,7 @@
 
 use crate::backoff;
 use crate::boot;
+use crate::detector;
 use crate::doubt;
 use crate::era;
 use crate::group;
@@ -17,28 +18,27 @@
 use crate::promoter;
 use crate::relief;
 use crate::sampler;
-use crate::succession;
 use crate::survey;
 use crate::upstream;
 use crate::wait;
 
 /// Pause between rounds of looks at a calm group. Three groups cost about ten looks a
 /// second, of which most are answered by traffic.
-const CALM: time::Duration = time::Duration::from_millis(300);
+const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
 /// Pause between rounds while something is amiss.
-const UNEASY: time::Duration = time::Duration::from_millis(100);
+const SUSPECT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// An order that has not taken effect this long after this node first asked for its end never
 /// will: the call takes 0.8 s at most and a promotion 0.6 s; the rest is for a platform that
 /// carries out late what it did not answer. Until then nobody may take writes.
-pub const LATE: time::Duration = time::Duration::from_secs(8);
+pub const ORDER_TIMEOUT: time::Duration = time::Duration::from_secs(8);
 
 /// The watch over one group.
-pub struct Guard {
+pub struct Monitor {
     promoter: rc::Rc<promoter::Promoter>,
     group: rc::Rc<group::Group>,
-    watch: succession::Watch,
+    detector: detector::Detector,
     watched: Option<sampler::Lead>,
     /// One that is watched though nobody has seen it lead: an order may have made it the primary.
     assumed: Option<sampler::Lead>,
@@ -47,43 +47,48 @@
     /// Since when a promotion is held back.
     held_back: Option<id::Time>,
     /// The promotion that was resumed last, and since when this node knows of it.
-    resumed: Option<(intent::Intent, id::Time)>,
+    resumed_order: Option<(intent::Intent, id::Time)>,
 }
 
-impl Guard {
+impl Monitor {
     /// A watch that has seen nothing yet.
     #[must_use]
     pub fn new(promoter: rc::Rc<promoter::Promoter>, group: rc::Rc<group::Group>) -> Self {
         Self {
             promoter,
             group,
-            watch: succession::Watch::default(),
+            detector: detector::Detector::default(),
             watched: None,
             assumed: None,
             relief: relief::Relief::default(),
             backoff: backoff::Backoff::default(),
             held_back: None,
-            resumed: None,
+            resumed_order: None,
         }
     }
 
     /// Watches for ever.
     pub async fn run(mut self) {
         loop {
-            let uneasy = self.watch.is_uneasy(boot::now()) || self.relief.is_near();
-            wait::sleep(if uneasy { UNEASY } else { CALM }).await;
+            let suspect = self.detector.is_suspect(boot::now()) || self.relief.is_near();
+            wait::sleep(if suspect {
+                SUSPECT_INTERVAL
+            } else {
+                IDLE_INTERVAL
+            })
+            .await;
             if !self.promoter.seat().had() {
-                self.watch = succession::Watch::resumed(self.group.vacancy());
+                self.detector = detector::Detector::resumed(self.group.vacancy());
                 self.note_held_back(false);
                 continue;
             }
-            self.follow().await;
-            self.round().await;
+            self.update_watched().await;
+            self.run_round().await;
         }
     }
 
     // Takes over what this node believes of who leads, or makes a guess.
-    async fn follow(&mut self) {
+    async fn update_watched(&mut self) {
         // A belief older than the last promotion would have it taken for one left undone.
         let term = self.watched.as_ref().map_or(0, |lead| lead.term);
         if let Some(lead) = self.group.lead().filter(|lead| lead.term >= term) {
@@ -93,7 +98,7 @@
                 Some(old) if lead.term > old.term && lead.id != old.id => {
                     self.adopt(lead, &old).await;
                 }
-                _ => self.watch_over(lead),
+                _ => self.set_watched(lead),
             }
         }
         if self.watched.is_none() {
@@ -101,18 +106,18 @@
         }
     }
 
-    fn watch_over(&mut self, lead: sampler::Lead) {
+    fn set_watched(&mut self, lead: sampler::Lead) {
         if self.watched.as_ref() != Some(&lead) {
-            self.watch = succession::Watch::default();
+            self.detector = detector::Detector::default();
             self.watched = Some(lead);
         }
     }
 
-    async fn round(&mut self) {
+    async fn run_round(&mut self) {
         let Some(lead) = self.watched.clone() else {
             return;
         };
-        let Some(cause) = self.cause(&lead).await else {
+        let Some(cause) = self.find_cause(&lead).await else {
             return;
         };
         // A promotion holds all replicas that are listed: one that is missing may be the
@@ -126,12 +131,12 @@
         if found.is_some_and(|found| found != lead && found.term >= lead.term) {
             return;
         }
-        if self.settles_lost_order(&lead).await {
-            wait::sleep(CALM).await;
+        if self.handle_lost_order(&lead).await {
+            wait::sleep(IDLE_INTERVAL).await;
             return;
         }
-        if cause.can_wait() && !self.may_try(&lead, cause).await {
-            wait::sleep(CALM).await;
+        if cause.can_wait() && !self.may_attempt(&lead, cause).await {
+            wait::sleep(IDLE_INTERVAL).await;
             return;
         }
         let furthest = self.furthest(&lead);
@@ -143,22 +148,22 @@
             .promoter
             .replace(&self.group, &lead, cause, furthest)
             .await;
-        self.watch = succession::Watch::default();
-        self.note_held_back(done == promoter::Done::HeldBack);
+        self.detector = detector::Detector::default();
+        self.note_held_back(done == promoter::Outcome::HeldBack);
         match done {
-            promoter::Done::Leads(found) => {
+            promoter::Outcome::Promoted(found) => {
                 let now = boot::now();
-                if cause == succession::Cause::Relief {
+                if cause == detector::Cause::Relief {
                     self.relief.done(now);
                 }
                 self.backoff.changed(&lead.id, &found.id, cause, now);
                 self.watched = Some(found);
             }
-            promoter::Done::Overtaken(found) => self.adopt(found, &lead).await,
-            promoter::Done::HeldBack => wait::sleep(CALM).await,
-            promoter::Done::GivenUp => {
+            promoter::Outcome::Overtaken(found) => self.adopt(found, &lead).await,
+            promoter::Outcome::HeldBack => wait::sleep(IDLE_INTERVAL).await,
+            promoter::Outcome::GivenUp => {
                 self.backoff.given_up(cause, boot::now());
-                wait::sleep(UNEASY).await;
+                wait::sleep(SUSPECT_INTERVAL).await;
             }
         }
     }
@@ -166,7 +171,7 @@
     // Whether a primary that lives may have its replicas held now: meanwhile it has nothing confirmed, so
     // all of them have to answer, and a promotion that came to nothing lately is not repeated unless the
     // primary has ended since.
-    async fn may_try(&self, lead: &sampler::Lead, cause: succession::Cause) -> bool {
+    async fn may_attempt(&self, lead: &sampler::Lead, cause: detector::Cause) -> bool {
         let survey = survey::Survey::new(&self.group, lead);
         let rested = self.backoff.permits(&lead.id, cause, boot::now());
         let permitted = rested || !survey.leads().await;
@@ -180,21 +185,21 @@
 
     // Whether the store may have lost the record of an order, so that nobody is ordered in this round
     // and no replica freed. Where its candidate leads by now, that one is taken over.
-    async fn settles_lost_order(&mut self, lead: &sampler::Lead) -> bool {
-        if !self.promoter.is_in_doubt(&self.group.name) {
+    async fn handle_lost_order(&mut self, lead: &sampler::Lead) -> bool {
+        if !self.promoter.may_have_lost_order(&self.group.name) {
             return false;
         }
         let others = survey::Survey::new(&self.group, lead).others;
         let mut looks = self.group.look_at(&others, survey::LOOK).await;
         let answers = looks.len();
         let now = boot::now();
-        looks.retain(|look| leads_any(look) || self.remembers_holds(&look.id, now));
+        looks.retain(|look| is_primary(look) || self.has_reliable_hold_state(&look.id, now));
         let order = era::order(lead.term, others.len(), &looks);
         tracing::info!(group = %self.group.name, primary = %lead.id, term = lead.term, ?order,
             answers, remembering = looks.len(), "the store may have lost the record of a promotion");
         match order {
             era::Order::None => {
-                self.promoter.note_clear(&self.group.name);
+                self.promoter.note_no_lost_order(&self.group.name);
                 false
             }
             era::Order::Done(found) => {
@@ -207,32 +212,32 @@
 
     // Whether an instance that is not held was not held by an order in doubt either: one that has
     // started again since has lost its hold, and its word says nothing.
-    fn remembers_holds(&self, id: &upstream::Id, now: id::Time) -> bool {
+    fn has_reliable_hold_state(&self, id: &upstream::Id, now: id::Time) -> bool {
         let pool = self.group.roster().find(id);
         let reborn = pool.and_then(|pool| pool.restarted_at());
         reborn.is_none_or(|reborn| now > reborn + doubt::ORDERS_OVER)
     }
 
     // Why the primary is to be replaced, if it is.
-    async fn cause(&mut self, lead: &sampler::Lead) -> Option<succession::Cause> {
+    async fn find_cause(&mut self, lead: &sampler::Lead) -> Option<detector::Cause> {
         if let Some(intent) = self.promoter.seat().intent(&self.group.name) {
             self.group.note_received(intent.received);
             if intent.term > lead.term {
                 return self.resume(&intent, lead).await;
             }
             // One that may never have led is no reason to dismiss the primary before it.
-            if intent.candidate == lead.id && self.has_led(lead) {
-                self.promoter.settle(&self.group, &intent, intent.term);
+            if intent.candidate == lead.id && self.was_seen_leading(lead) {
+                self.promoter.clean_up(&self.group, &intent, intent.term);
             }
         }
         let survey = survey::Survey::new(&self.group, lead);
-        let round = survey.round(self.watch.is_uneasy(boot::now())).await;
-        let cause = self.watch.judge(&round);
-        if cause.is_none() && matches!(round.primary, succession::Reach::Answered(_)) {
+        let round = survey.round(self.detector.is_suspect(boot::now())).await;
+        let cause = self.detector.judge(&round);
+        if cause.is_none() && matches!(round.primary, detector::Reach::Answered(_)) {
             self.note_held_back(false);
         }
-        if cause.is_none() && self.may_relieve(lead).await {
-            return Some(succession::Cause::Relief);
+        if cause.is_none() && self.needs_relief(lead).await {
+            return Some(detector::Cause::Relief);
         }
         cause
     }
@@ -242,17 +247,17 @@
         &mut self,
         intent: &intent::Intent,
         lead: &sampler::Lead,
-    ) -> Option<succession::Cause> {
+    ) -> Option<detector::Cause> {
         let pools = self.group.roster().pools();
         let listed: Vec<_> = pools.iter().map(|pool| pool.id()).collect();
         let looks = self.group.look_at(&pools, survey::LOOK).await;
         let mut outcome = intent.outcome(&looks, &listed);
         // Another process of the candidate has none of its records, and a primary that leads as
         // before goes on.
-        let lives: Vec<_> = pools.iter().map(|pool| (pool.id(), pool.born())).collect();
-        let other = !lives.contains(&intent.life());
+        let processes: Vec<_> = pools.iter().map(|pool| (pool.id(), pool.born())).collect();
+        let other = !processes.contains(&intent.life());
         let open = outcome == intent::Outcome::Open;
-        if open && (other || leads(&looks, lead)) && self.is_late(intent) {
+        if open && (other || answers_as_primary(&looks, lead)) && self.is_timed_out(intent) {
             outcome = intent::Outcome::Void;
         }
         tracing::info!(group = %self.group.name, candidate = %intent.candidate, term = intent.term,
@@ -263,14 +268,14 @@
                 self.adopt(found, lead).await;
                 None
             }
-            intent::Outcome::Open => Some(succession::Cause::Unfinished),
+            intent::Outcome::Open => Some(detector::Cause::Unfinished),
             intent::Outcome::Silent => {
                 let assumed = sampler::Lead {
                     id: intent.candidate.clone(),
                     term: intent.term,
                 };
                 self.assumed = Some(assumed.clone());
-                self.watch_over(assumed);
+                self.set_watched(assumed);
                 None
             }
             intent::Outcome::Unknown => {
@@ -279,8 +284,8 @@
             }
             intent::Outcome::Void => {
                 self.promoter.seat().retract(&self.group.name);
-                if leads(&looks, lead) {
-                    self.promoter.free(&self.group, lead).await;
+                if answers_as_primary(&looks, lead) {
+                    self.promoter.release(&self.group, lead).await;
                 }
                 None
             }
@@ -288,7 +293,7 @@
     }
 
     // Whether the watched primary was seen to lead, be it lately.
-    fn has_led(&mut self, lead: &sampler::Lead) -> bool {
+    fn was_seen_leading(&mut self, lead: &sampler::Lead) -> bool {
         if self.group.lead().as_ref() == Some(lead) {
             self.assumed = None;
         }
@@ -296,12 +301,12 @@
     }
 
     // Whether a recorded promotion would have taken effect by now.
-    fn is_late(&mut self, intent: &intent::Intent) -> bool {
+    fn is_timed_out(&mut self, intent: &intent::Intent) -> bool {
         let now = boot::now();
-        match &self.resumed {
-            Some((known, since)) if known.is_same_as(intent) => now > *since + LATE,
+        match &self.resumed_order {
+            Some((known, since)) if known.is_same_as(intent) => now > *since + ORDER_TIMEOUT,
             _ => {
-                self.resumed = Some((intent.clone(), now));
+                self.resumed_order = Some((intent.clone(), now));
                 false
             }
         }
@@ -322,13 +327,13 @@
             place: intent::Place::default(),
         });
         let term = found.term.min(intent.term);
-        self.promoter.close(&self.group, &intent, term).await;
+        self.promoter.complete(&self.group, &intent, term).await;
         self.group.search();
-        self.watch_over(found);
+        self.set_watched(found);
     }
 
     // Whether the primary should change places with a replica for relief.
-    async fn may_relieve(&mut self, lead: &sampler::Lead) -> bool {
+    async fn needs_relief(&mut self, lead: &sampler::Lead) -> bool {
         let age = self.promoter.node().catalog().oldest(&self.group.name);
         let survey = survey::Survey::new(&self.group, lead);
         let Some(view) = survey.strain(age).await else {
@@ -343,7 +348,7 @@
     // Furthest record that may have been acknowledged, by all that was seen and recorded. A
     // watch forgets with each try; what replicas have received must not be forgotten with it.
     fn furthest(&self, lead: &sampler::Lead) -> Option<stamp::Stamp> {
-        let watched = self.watch.furthest();
+        let watched = self.detector.furthest();
         let watched = watched.filter(|stamp| stamp.term >= lead.term);
         self.group.furthest().max(watched)
     }
@@ -367,12 +372,12 @@
     }
 }
 
-fn leads_any(look: &sampler::Look) -> bool {
+fn is_primary(look: &sampler::Look) -> bool {
     look.status.role == role::Role::Primary
 }
 
 // Whether the watched primary answers and leads.
-fn leads(looks: &[sampler::Look], lead: &sampler::Lead) -> bool {
+fn answers_as_primary(looks: &[sampler::Look], lead: &sampler::Lead) -> bool {
     let own = looks.iter().find(|look| look.id == lead.id);
-    own.is_some_and(leads_any)
+    own.is_some_and(is_primary)
 }
--- a/desk/src/promoter.rs
+++ b/desk/src/promoter.rs
@@ -11,20 +11,20 @@
 use mangotray::store;
 use mangotray::telemetry;
 
-use crate::account;
+use crate::audit;
 use crate::boot;
+use crate::cleanup;
+use crate::detector;
 use crate::duty;
 use crate::group;
-use crate::guard;
 use crate::intent;
+use crate::monitor;
 use crate::node;
-use crate::plan;
 use crate::pool;
+use crate::promotion;
 use crate::resumes;
 use crate::sampler;
 use crate::seat;
-use crate::settlement;
-use crate::succession;
 use crate::survey;
 use crate::upstream;
 use crate::verdict;
@@ -32,19 +32,19 @@
 use crate::witness;
 
 /// Pause between looks for groups that are new in the configuration.
-const NEW_GROUPS: time::Duration = time::Duration::from_millis(300);
+const GROUP_SCAN_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
 /// Time after which an instance that receives records is listed, and the list has come here.
-const LISTED: time::Duration = time::Duration::from_millis(500);
+const LISTING_DELAY: time::Duration = time::Duration::from_millis(500);
 
 /// Pause between holds while an earlier end of a hold may yet arrive.
-const HOLD_AGAIN: time::Duration = time::Duration::from_millis(100);
+const HOLD_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// What came of one try to replace a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum Outcome {
     /// The candidate leads.
-    Leads(sampler::Lead),
+    Promoted(sampler::Lead),
     /// Another instance leads a later term already.
     Overtaken(sampler::Lead),
     /// Only an instance that does not answer may have all commits.
@@ -54,9 +54,9 @@
 }
 
 /// The replicas of a group, all held.
-struct Held {
+struct Selection {
     looks: Vec<sampler::Look>,
-    lives: plan::Lives,
+    processes: promotion::Processes,
     candidate: upstream::Id,
     /// Last record of the candidate.
     position: stamp::Stamp,
@@ -74,11 +74,11 @@
     seat: rc::Rc<seat::Seat>,
     duty: rc::Rc<dyn duty::Duty>,
     /// The ends of promotions, done or under way, that this node knows of.
-    settlements: cell::RefCell<collections::BTreeMap<id::Group, Progress>>,
+    cleanups: cell::RefCell<collections::BTreeMap<id::Group, Progress>>,
     /// The last orders, and when this node last knew them on their way.
     ordered: cell::RefCell<collections::BTreeMap<id::Group, (intent::Intent, id::Time)>>,
     /// Groups of which no order was under way when the store came back, and in which era.
-    clear: cell::RefCell<collections::BTreeMap<id::Group, store::Era>>,
+    orderless: cell::RefCell<collections::BTreeMap<id::Group, store::Era>>,
     resumes: rc::Rc<cell::RefCell<resumes::Resumes>>,
 }
 
@@ -94,9 +94,9 @@
             node,
             seat,
             duty,
-            settlements: cell::RefCell::default(),
+            cleanups: cell::RefCell::default(),
             ordered: cell::RefCell::default(),
-            clear: cell::RefCell::default(),
+            orderless: cell::RefCell::default(),
             resumes: rc::Rc::default(),
         })
     }
@@ -119,11 +119,11 @@
         loop {
             for group in self.node.groups() {
                 if watched.insert(group.name.clone()) {
-                    let guard = guard::Guard::new(rc::Rc::clone(&self), group);
-                    self.node.executor().spawn(guard.run()).detach();
+                    let monitor = monitor::Monitor::new(rc::Rc::clone(&self), group);
+                    self.node.executor().spawn(monitor.run()).detach();
                 }
             }
-            wait::sleep(NEW_GROUPS).await;
+            wait::sleep(GROUP_SCAN_INTERVAL).await;
         }
     }
 
@@ -132,9 +132,9 @@
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
         lead: &sampler::Lead,
-        cause: succession::Cause,
+        cause: detector::Cause,
         furthest: Option<stamp::Stamp>,
-    ) -> Done {
+    ) -> Outcome {
         self.resumes.borrow_mut().promotes(&group.name, true);
         let done = self.promote(group, lead, cause, furthest).await;
         self.resumes.borrow_mut().promotes(&group.name, false);
@@ -145,10 +145,10 @@
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
         lead: &sampler::Lead,
-        cause: succession::Cause,
+        cause: detector::Cause,
         furthest: Option<stamp::Stamp>,
-    ) -> Done {
-        let plan = plan::Plan {
+    ) -> Outcome {
+        let promotion = promotion::Promotion {
             group: rc::Rc::clone(group),
             old: survey::Survey::new(group, lead).primary,
             cause,
@@ -156,46 +156,56 @@
             began: boot::now(),
             furthest,
         };
-        let held = match self.hold_surely(&plan, lead).await {
-            Ok(held) => held,
+        let selection = match self.hold_after_resumes(&promotion, lead).await {
+            Ok(selection) => selection,
             Err(done) => return done,
         };
-        let candidate = &held.candidate;
-        let account = account(&plan, &held);
-        tracing::info!(group = %group.name, %candidate, term = plan.term, position = %held.position,
-            counted = account.counted(), uncounted = account.uncounted(),
-            furthest = plan.furthest.map(tracing::field::display), "candidate chosen");
-        let relief = cause == succession::Cause::Relief;
-        if relief && !self.step_down(&plan, candidate, &held.looks).await {
-            self.free(group, lead).await;
-            return Done::GivenUp;
+        let candidate = &selection.candidate;
+        let audit = audit(&promotion, &selection);
+        tracing::info!(group = %group.name, %candidate, term = promotion.term, position = %selection.position,
+            counted = audit.counted(), uncounted = audit.uncounted(),
+            furthest = promotion.furthest.map(tracing::field::display), "candidate chosen");
+        let relief = cause == detector::Cause::Relief;
+        if relief
+            && !self
+                .step_down_first(&promotion, candidate, &selection.looks)
+                .await
+        {
+            self.release(group, lead).await;
+            return Outcome::GivenUp;
         }
-        if cause == succession::Cause::Planned && plan.is_ahead_of(candidate, &held.looks).await {
+        if cause == detector::Cause::Planned
+            && promotion.is_ahead_of(candidate, &selection.looks).await
+        {
             tracing::warn!(group = %group.name, %candidate, "the primary has records that no replica has");
-            self.free(group, lead).await;
-            return Done::GivenUp;
+            self.release(group, lead).await;
+            return Outcome::GivenUp;
         }
-        let outcome = self.order(&plan, lead, &held).await;
+        let outcome = self.send_order(&promotion, lead, &selection).await;
         if let duty::Outcome::Refused(_) = outcome {
             if relief {
                 // Without a primary the replicas stay held, for a promotion that is finished
                 // next; nobody may go on believing in the one that has given up.
                 group.doubt(lead.term, "the primary has given up");
-            } else if cause.lives() && survey::Survey::new(&plan.group, lead).leads().await {
+            } else if cause.primary_may_run()
+                && survey::Survey::new(&promotion.group, lead).leads().await
+            {
                 // It surely was not carried out: a primary that lives goes on, in place of
                 // waiting for replicas that are held until promotions are possible again.
-                self.free(group, lead).await;
+                self.release(group, lead).await;
             }
-            return Done::GivenUp;
+            return Outcome::GivenUp;
         }
         // Where nobody knows whether the order arrived, the primary may be the only one for long:
         // it is told once the candidate leads. Its replicas are held, so that it acknowledges nothing.
-        if cause.lives() && outcome == duty::Outcome::Accepted {
-            plan.keeping_held(candidate, plan.demote_once()).await;
+        if cause.primary_may_run() && outcome == duty::Outcome::Accepted {
+            promotion
+                .while_holding(candidate, promotion.demote_predecessor())
+                .await;
         }
-        let done = self.finish(&plan, candidate).await;
-        if matches!(done, Done::Leads(_)) {
-            let check = check(rc::Rc::clone(group), account);
+        let done = self.finish(&promotion, candidate).await;
+        if matches!(done, Outcome::Promoted(_)) {
+            let check = check_losses(rc::Rc::clone(group), audit);
             self.node.executor().spawn(check).detach();
         }
         done
@@ -208,16 +218,16 @@
     // replicas and be withdrawn. Once it has given up it acknowledges nothing more. If it is
     // ahead then, only an instance that is not listed yet can have had part in an
     // acknowledgement; it is waited for, and the promotion begins anew if one appears.
-    async fn step_down(
+    async fn step_down_first(
         &self,
-        plan: &plan::Plan,
+        promotion: &promotion::Promotion,
         candidate: &upstream::Id,
         held: &[sampler::Look],
     ) -> bool {
         if self.seat.confirm().await.is_none() {
             return false;
         }
-        let Some(stands) = plan.give_up().await else {
+        let Some(stands) = promotion.step_down().await else {
             return false;
         };
         let received = held
@@ -225,65 +235,69 @@
             .find(|look| look.id == *candidate)
             .map(|look| look.status.received);
         let ahead = stands.is_none() || stands > received;
-        tracing::info!(group = %plan.group.name, ?stands, ?received, ahead, "the primary has given up");
+        tracing::info!(group = %promotion.group.name, ?stands, ?received, ahead, "the primary has given up");
         if ahead {
-            wait::sleep(LISTED).await;
+            wait::sleep(LISTING_DELAY).await;
         }
         true
     }
 
     // Whether an order may be in force, or take effect, that makes an instance the primary of a
     // later term than `lead` has.
-    fn is_open(&self, group: &id::Group, lead: &sampler::Lead) -> bool {
+    fn has_open_order(&self, group: &id::Group, lead: &sampler::Lead) -> bool {
         let intent = self.seat.intent(group);
         intent.is_some_and(|intent| intent.term > lead.term)
     }
 
     /// Whether an order may be in force whose record the store has lost.
-    pub fn is_in_doubt(&self, group: &id::Group) -> bool {
-        let clear = self.clear.borrow().get(group).copied();
-        self.seat.is_doubtful() && clear != Some(self.seat.era())
+    pub fn may_have_lost_order(&self, group: &id::Group) -> bool {
+        let orderless = self.orderless.borrow().get(group).copied();
+        self.seat.is_doubtful() && orderless != Some(self.seat.era())
     }
 
     /// Notes that there is none.
-    pub fn note_clear(&self, group: &id::Group) {
+    pub fn note_no_lost_order(&self, group: &id::Group) {
         let era = self.seat.era();
-        self.clear.borrow_mut().insert(group.clone(), era);
+        self.orderless.borrow_mut().insert(group.clone(), era);
     }
 
     // Whether the one that was replaced last knows, or is gone.
-    fn is_settled(&self, group: &id::Group) -> bool {
-        let settlements = self.settlements.borrow();
-        settlements.get(group).is_none_or(|progress| progress.done)
+    fn is_predecessor_demoted(&self, group: &id::Group) -> bool {
+        let cleanups = self.cleanups.borrow();
+        cleanups.get(group).is_none_or(|progress| progress.done)
     }
 
     // Holds all replicas, and again until no end of an earlier hold was on its way to them meanwhile.
-    async fn hold_surely(&self, plan: &plan::Plan, lead: &sampler::Lead) -> Result<Held, Done> {
-        let group = &plan.group;
-        let mut told = false;
+    async fn hold_after_resumes(
+        &self,
+        promotion: &promotion::Promotion,
+        lead: &sampler::Lead,
+    ) -> Result<Selection, Outcome> {
+        let group = &promotion.group;
+        let mut logged = false;
         loop {
-            let open = self.resumes.borrow_mut().until(&group.name, boot::now());
-            if open.is_some() && plan.cause.can_wait() {
-                tracing::info!(group = %group.name, term = plan.term,
+            let resume_until = self.resumes.borrow_mut().until(&group.name, boot::now());
+            if resume_until.is_some() && promotion.cause.can_wait() {
+                tracing::info!(group = %group.name, term = promotion.term,
                     "no promotion yet: the end of an earlier hold may be on its way");
-                return Err(Done::GivenUp);
+                return Err(Outcome::GivenUp);
             }
-            let held = self.hold(plan, lead).await?;
-            let Some(until) = open else {
-                return Ok(held);
+            let selection = self.hold(promotion, lead).await?;
+            let Some(until) = resume_until else {
+                return Ok(selection);
             };
-            if self.has_returned(plan, lead).await {
-                tracing::warn!(group = %group.name, term = plan.term, "promotion given up: the primary has returned");
-                self.free(group, lead).await;
-                return Err(Done::GivenUp);
+            if self.has_returned(promotion, lead).await {
+                tracing::warn!(group = %group.name, term = promotion.term, "promotion given up: the primary has returned");
+                self.release(group, lead).await;
+                return Err(Outcome::GivenUp);
             }
             let left = until.saturating_sub(boot::now());
-            if !told {
-                tracing::info!(group = %group.name, term = plan.term, left_ms = left.as_millis(),
+            if !logged {
+                tracing::info!(group = %group.name, term = promotion.term, left_ms = left.as_millis(),
                     "no order yet: the end of an earlier hold may be on its way");
-                told = true;
+                logged = true;
             }
-            wait::sleep(left.min(HOLD_AGAIN)).await;
+            wait::sleep(left.min(HOLD_RETRY_INTERVAL)).await;
         }
     }
 
@@ -291,28 +305,32 @@
     ///
     /// Any of them may be the only one besides the old primary that has an acknowledged
     /// commit; promoting without it would lose a booking that somebody was promised.
-    async fn hold(&self, plan: &plan::Plan, lead: &sampler::Lead) -> Result<Held, Done> {
-        let group = &plan.group;
+    async fn hold(
+        &self,
+        promotion: &promotion::Promotion,
+        lead: &sampler::Lead,
+    ) -> Result<Selection, Outcome> {
+        let group = &promotion.group;
         loop {
             group.forget_ended();
             group.seek_successors(survey::LOOK).await;
-            let pools = plan.replicas();
-            let lives = plan.lives();
-            let looks = hold_all(plan, &pools).await;
-            self.demote_stale(plan, lead, &pools, &looks).await;
+            let pools = promotion.replicas();
+            let processes = promotion.processes();
+            let looks = hold_each(promotion, &pools).await;
+            self.demote_stale(promotion, lead, &pools, &looks).await;
             let pending = self.seat.intent(&group.name);
             let pending = pending.filter(|intent| {
-                let open = intent.term > lead.term && lives.contains(&intent.life());
-                open && !self.is_late(intent)
+                let open = intent.term > lead.term && processes.contains(&intent.life());
+                open && !self.is_timed_out(intent)
             });
             let view = verdict::View {
                 lead,
-                term: plan.term,
+                term: promotion.term,
                 expected: pools.len(),
                 looks: &looks,
-                furthest: plan.furthest.max(group.furthest()),
+                furthest: promotion.furthest.max(group.furthest()),
                 pending: pending.as_ref().map(|intent| &intent.candidate),
-                loss: self.loss(plan, lead),
+                loss: self.loss(promotion, lead),
             };
             let leaves = |id: &upstream::Id| group.roster().is_leaving(id);
             let mut verdict = view.judge(leaves);
@@ -321,84 +339,88 @@
             }
             let mut stands = None;
             if verdict == verdict::Verdict::Lacking {
-                let old = plan.ask_old().await;
+                let old = promotion.query_predecessor().await;
                 verdict = view.resolve(&old, leaves);
                 stands = old.look().cloned();
-                tracing::info!(group = %group.name, furthest = ?plan.furthest, loss = ?view.loss, ?old, ?verdict,
+                tracing::info!(group = %group.name, furthest = ?promotion.furthest, loss = ?view.loss, ?old, ?verdict,
                     "no replica has all that one had received");
             }
             if let verdict::Verdict::Promote(candidate) = &verdict
                 && view.is_empty(candidate)
-                && let old @ verdict::Old::Answers(_) = plan.ask_old().await
+                && let old @ verdict::Predecessor::Answers(_) = promotion.query_predecessor().await
             {
                 verdict = view.resolve(&old, leaves);
                 stands = old.look().cloned();
                 tracing::info!(group = %group.name, ?old, ?verdict, "no replica has any record");
             }
             match verdict {
-                verdict::Verdict::Promote(candidate) if plan.is_unnamed(&candidate) => {
+                verdict::Verdict::Promote(candidate) if promotion.has_unknown_id(&candidate) => {
                     tracing::info!(group = %group.name, %candidate,
                         "an instance whose id is not known has the furthest log");
                 }
                 verdict::Verdict::Promote(candidate) => {
                     let mut answers = looks.iter().chain(&stands);
-                    let own = answers.find(|look| look.id == candidate);
-                    let position = own.map(|look| look.status.received);
-                    return Ok(Held {
+                    let chosen = answers.find(|look| look.id == candidate);
+                    let position = chosen.map(|look| look.status.received);
+                    return Ok(Selection {
                         position: position.unwrap_or_default(),
                         looks,
-                        lives,
+                        processes,
                         candidate,
                     });
                 }
-                verdict::Verdict::Overtaken(found) => return Err(Done::Overtaken(found)),
+                verdict::Verdict::Overtaken(found) => return Err(Outcome::Overtaken(found)),
                 verdict::Verdict::HeldBack => {
                     // A primary that comes back has to find replicas that receive from it.
-                    self.free(group, lead).await;
-                    return Err(Done::HeldBack);
+                    self.release(group, lead).await;
+                    return Err(Outcome::HeldBack);
                 }
                 verdict::Verdict::Returned => {
-                    self.free(group, lead).await;
-                    return Err(Done::GivenUp);
+                    self.release(group, lead).await;
+                    return Err(Outcome::GivenUp);
                 }
                 verdict::Verdict::Wait | verdict::Verdict::Lacking => {}
             }
-            let late = boot::now() > plan.began + plan.cause.patience();
-            let returned = self.has_returned(plan, lead).await;
+            let late = boot::now() > promotion.began + promotion.cause.hold_timeout();
+            let returned = self.has_returned(promotion, lead).await;
             if late || returned || self.seat.held().is_none() {
-                tracing::warn!(group = %group.name, term = plan.term, expected = pools.len(),
+                tracing::warn!(group = %group.name, term = promotion.term, expected = pools.len(),
                     answers = looks.len(), late, returned,
                     pending = pending.map(|intent| intent.candidate.to_string()),
                     "promotion given up");
-                self.free(group, lead).await;
-                return Err(Done::GivenUp);
+                self.release(group, lead).await;
+                return Err(Outcome::GivenUp);
             }
-            wait::sleep(plan::POLL).await;
+            wait::sleep(promotion::POLL_INTERVAL).await;
         }
     }
 
     // What a replica may have confirmed before it lost its log, where one has lost it under this
     // primary. With an open order all were held before, with what is recorded. A primary that
     // lives and is cut off from its replicas would keep its place for as long as that lasts.
-    fn loss(&self, plan: &plan::Plan, lead: &sampler::Lead) -> Option<verdict::Loss> {
+    fn loss(
+        &self,
+        promotion: &promotion::Promotion,
+        lead: &sampler::Lead,
+    ) -> Option<verdict::Loss> {
         let floors = |panel: &witness::Panel<'_>| panel.belief.floors().loss(lead.term);
-        let stood = plan.group.panel(floors)?;
-        if plan.cause == succession::Cause::Stalled {
+        let bound = promotion.group.panel(floors)?;
+        if promotion.cause == detector::Cause::Stalled {
             return None;
         }
-        let intent = self.seat.intent(&plan.group.name);
+        let intent = self.seat.intent(&promotion.group.name);
         let intent = intent.filter(|intent| intent.term > lead.term);
-        let within = intent.map(|intent| intent.received).or(stood);
+        let within = intent.map(|intent| intent.received).or(bound);
         Some(within.map_or(verdict::Loss::Unknown, verdict::Loss::Within))
     }
 
     // Whether a recorded order would have taken effect by now. Waiting for it has to end: its candidate
     // may lack what another has, and nobody leads meanwhile.
-    fn is_late(&self, intent: &intent::Intent) -> bool {
+    fn is_timed_out(&self, intent: &intent::Intent) -> bool {
         let now = boot::now();
         let mut ordered = self.ordered.borrow_mut();
         match ordered.get(&intent.group) {
-            Some((known, since)) if known == intent => now > *since + guard::LATE,
+            Some((known, since)) if known == intent => now > *since + monitor::ORDER_TIMEOUT,
             _ => {
                 ordered.insert(intent.group.clone(), (intent.clone(), now));
                 false
@@ -413,7 +435,7 @@
     // only for a promotion that can be ordered now.
     async fn demote_stale(
         &self,
-        plan: &plan::Plan,
+        promotion: &promotion::Promotion,
         lead: &sampler::Lead,
         pools: &[rc::Rc<pool::Pool>],
         looks: &[sampler::Look],
@@ -425,35 +447,35 @@
             return;
         };
         let known = looks.iter().any(|look| look.status.term >= lead.term);
-        if !known && !self.could_order(plan, pools.len(), looks).await {
+        if !known && !self.could_order(promotion, pools.len(), looks).await {
             return;
         }
         if let Some(pool) = pools.iter().find(|pool| pool.id() == found.id) {
-            let demote = upstream::Command::Demote(plan.term);
-            plan::tell(pool, &demote, plan.group.dialer()).await;
+            let demote = upstream::Command::Demote(promotion.term);
+            promotion::send(pool, &demote, promotion.group.dialer()).await;
         }
     }
 
     // Whether all but one of the instances are held, and the seat is confirmed.
     async fn could_order(
         &self,
-        plan: &plan::Plan,
+        promotion: &promotion::Promotion,
         expected: usize,
         looks: &[sampler::Look],
     ) -> bool {
         let held = looks.iter().filter(|look| {
-            look.status.role == role::Role::Replica && look.status.held >= plan.term
+            look.status.role == role::Role::Replica && look.status.held >= promotion.term
         });
         held.count() + 1 == expected && self.seat.confirm().await.is_some()
     }
 
     // Whether a primary that was given up, or that a promotion without an order has left
     // without replicas, answers and leads.
-    async fn has_returned(&self, plan: &plan::Plan, lead: &sampler::Lead) -> bool {
-        let unfinished = plan.cause == succession::Cause::Unfinished;
-        let given_up = !plan.cause.lives();
-        let unordered = unfinished && !self.is_open(&plan.group.name, lead);
-        (given_up || unordered) && survey::Survey::new(&plan.group, lead).leads().await
+    async fn has_returned(&self, promotion: &promotion::Promotion, lead: &sampler::Lead) -> bool {
+        let unfinished = promotion.cause == detector::Cause::Unfinished;
+        let given_up = !promotion.cause.primary_may_run();
+        let unordered = unfinished && !self.has_open_order(&promotion.group.name, lead);
+        (given_up || unordered) && survey::Survey::new(&promotion.group, lead).leads().await
     }
 
     /// Frees the replicas of a promotion that is given up, unless a primary that was replaced
@@ -466,21 +488,21 @@
     ///
     /// A node that does not surely hold the seat ends no hold: it may be that of its successor, who finds the
     /// replicas held and knows why.
-    pub async fn free(&self, group: &rc::Rc<group::Group>, lead: &sampler::Lead) {
+    pub async fn release(&self, group: &rc::Rc<group::Group>, lead: &sampler::Lead) {
         if self.seat.held().is_none() {
             tracing::info!(group = %group.name, "replicas stay held: the seat is not surely held");
             return;
         }
-        if self.is_in_doubt(&group.name) {
+        if self.may_have_lost_order(&group.name) {
             tracing::info!(group = %group.name, "replicas stay held: the store may have lost the record of an order");
             return;
         }
-        if self.is_open(&group.name, lead) {
+        if self.has_open_order(&group.name, lead) {
             tracing::info!(group = %group.name, "replicas stay held: an order may be in force");
             return;
         }
         let survey = survey::Survey::new(group, lead);
-        if !self.is_settled(&group.name) && !survey.leads().await {
+        if !self.is_predecessor_demoted(&group.name) && !survey.leads().await {
             tracing::info!(group = %group.name, "replicas stay held: a replaced primary does not know yet");
             return;
         }
@@ -488,41 +510,47 @@
         let resumes = survey
             .others
             .iter()
-            .map(|pool| plan::resume(pool, group, &self.resumes, may));
+            .map(|pool| promotion::resume(pool, group, &self.resumes, may));
         futures_util::future::join_all(resumes).await;
     }
 
-    async fn order(&self, plan: &plan::Plan, lead: &sampler::Lead, held: &Held) -> duty::Outcome {
-        let group = &plan.group.name;
-        let open = self.is_open(group, lead);
+    async fn send_order(
+        &self,
+        promotion: &promotion::Promotion,
+        lead: &sampler::Lead,
+        selection: &Selection,
+    ) -> duty::Outcome {
+        let group = &promotion.group.name;
+        let open = self.has_open_order(group, lead);
         let Some(seat) = self
             .seat
-            .record(&plan.intent(&held.candidate, &held.looks))
+            .record(&promotion.intent(&selection.candidate, &selection.looks))
             .await
         else {
             tracing::warn!(%group, "the seat is not confirmed, no order");
             return duty::Outcome::Refused("the seat is not confirmed".into());
         };
         // One that has started again since is not held, and one that was added never was.
-        let outcome = if plan.are_held().await && plan.lives() == held.lives {
+        let outcome = if promotion.are_held().await && promotion.processes() == selection.processes
+        {
             let order = duty::Order {
                 group: group.clone(),
-                candidate: held.candidate.clone(),
+                candidate: selection.candidate.clone(),
                 holder: self.node.name.clone(),
                 fence: seat.fence,
             };
-            let outcome = plan
-                .keeping_held(&held.candidate, self.duty.promote(&order))
+            let outcome = promotion
+                .while_holding(&selection.candidate, self.duty.promote(&order))
                 .await;
             if let Some(intent) = self.seat.intent(group) {
-                let news = (intent, boot::now());
-                self.ordered.borrow_mut().insert(group.clone(), news);
+                let entry = (intent, boot::now());
+                self.ordered.borrow_mut().insert(group.clone(), entry);
             }
             outcome
         } else {
             duty::Outcome::Refused("a replica is no longer as it was held".into())
         };
-        tracing::info!(%group, candidate = %held.candidate, fence = seat.fence, ?outcome,
+        tracing::info!(%group, candidate = %selection.candidate, fence = seat.fence, ?outcome,
             "promotion ordered");
         if matches!(outcome, duty::Outcome::Refused(_)) && !open {
             self.seat.retract(group);
@@ -530,20 +558,26 @@
         outcome
     }
 
-    async fn finish(self: &rc::Rc<Self>, plan: &plan::Plan, candidate: &upstream::Id) -> Done {
-        let leads = plan.leads(candidate, plan::LEADING).await;
-        let group = &plan.group;
+    async fn finish(
+        self: &rc::Rc<Self>,
+        promotion: &promotion::Promotion,
+        candidate: &upstream::Id,
+    ) -> Outcome {
+        let leads = promotion
+            .await_leadership(candidate, promotion::LEADERSHIP_TIMEOUT)
+            .await;
+        let group = &promotion.group;
         group.search();
-        tracing::info!(group = %group.name, %candidate, term = plan.term, leads = leads.is_some(), led = leads,
-            cause = ?plan.cause, took_ms = boot::now().saturating_sub(plan.began).as_millis(), "promotion over");
+        tracing::info!(group = %group.name, %candidate, term = promotion.term, leads = leads.is_some(), led = leads,
+            cause = ?promotion.cause, took_ms = boot::now().saturating_sub(promotion.began).as_millis(), "promotion over");
         let Some(term) = leads else {
-            return Done::GivenUp;
+            return Outcome::GivenUp;
         };
-        metrics::counter!(telemetry::PROMOTIONS, "cause" => plan.cause.label()).increment(1);
+        metrics::counter!(telemetry::PROMOTIONS, "cause" => promotion.cause.label()).increment(1);
         if let Some(intent) = self.seat.intent(&group.name) {
-            self.close(group, &intent, term).await;
+            self.complete(group, &intent, term).await;
         }
-        Done::Leads(sampler::Lead {
+        Outcome::Promoted(sampler::Lead {
             id: candidate.clone(),
             term,
         })
@@ -554,7 +588,7 @@
     /// Where an order before it never took effect, that may be an earlier term than the replicas were held for.
     /// Were the record to keep the later one, replicas would be held for it again, and nobody would believe in a primary
     /// that is seen to be replaced.
-    pub async fn close(
+    pub async fn complete(
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
         intent: &intent::Intent,
@@ -564,7 +598,7 @@
             term,
             ..intent.clone()
         };
-        self.settle(group, &led, intent.term);
+        self.clean_up(group, &led, intent.term);
         if term < intent.term && self.seat.record(&led).await.is_none() {
             tracing::warn!(group = %group.name, candidate = %intent.candidate, term,
                 "the term of a promotion is not corrected in its record");
@@ -573,23 +607,23 @@
 
     /// Brings a promotion whose candidate leads to its end in the background, once: the replaced
     /// primary is told, then the replicas are freed that were held for the term `held` or an earlier one.
-    pub fn settle(
+    pub fn clean_up(
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
         intent: &intent::Intent,
         held: id::Term,
     ) {
         let term = intent.term;
-        let mut settlements = self.settlements.borrow_mut();
-        if settlements
+        let mut cleanups = self.cleanups.borrow_mut();
+        if cleanups
             .get(&group.name)
             .is_some_and(|progress| progress.term >= term)
         {
             return;
         }
         let done = false;
-        settlements.insert(group.name.clone(), Progress { term, done });
-        let settlement = settlement::Settlement::new(
+        cleanups.insert(group.name.clone(), Progress { term, done });
+        let cleanup = cleanup::Cleanup::new(
             rc::Rc::clone(group),
             intent,
             held,
@@ -598,18 +632,18 @@
         );
         let promoter = rc::Rc::clone(self);
         let name = group.name.clone();
-        let settle = async move {
-            let told = settlement.tell().await;
-            promoter.note_settled(&name, term);
-            let done = told && settlement.free().await;
+        let work = async move {
+            let told = cleanup.demote_predecessor().await;
+            promoter.note_predecessor_demoted(&name, term);
+            let done = told && cleanup.release().await;
             tracing::info!(group = %name, term, done, "promotion settled");
         };
-        self.node.executor().spawn(settle).detach();
+        self.node.executor().spawn(work).detach();
     }
 
-    fn note_settled(&self, group: &id::Group, term: id::Term) {
-        let mut settlements = self.settlements.borrow_mut();
-        let progress = settlements.get_mut(group);
+    fn note_predecessor_demoted(&self, group: &id::Group, term: id::Term) {
+        let mut cleanups = self.cleanups.borrow_mut();
+        let progress = cleanups.get_mut(group);
         if let Some(progress) = progress.filter(|progress| progress.term == term) {
             progress.done = true;
         }
@@ -617,17 +651,17 @@
 }
 
 // Whose logs this choice rests on.
-fn account(plan: &plan::Plan, held: &Held) -> account::Account {
-    let roster = plan.group.roster();
+fn audit(promotion: &promotion::Promotion, selection: &Selection) -> audit::Audit {
+    let roster = promotion.group.roster();
     let now = boot::now();
     let ids = |pools: Vec<rc::Rc<pool::Pool>>| pools.iter().map(|pool| pool.id()).collect();
     let forgotten = roster.forgotten().into_iter();
-    account::Account {
-        candidate: held.candidate.clone(),
-        position: held.position,
-        term: plan.term,
-        old: plan.old.as_ref().map(|old| old.id()),
-        looks: held.looks.clone(),
+    audit::Audit {
+        candidate: selection.candidate.clone(),
+        position: selection.position,
+        term: promotion.term,
+        old: promotion.old.as_ref().map(|old| old.id()),
+        looks: selection.looks.clone(),
         asked: ids(roster.pools()),
         unlisted: ids(roster.absent()),
         forgotten: forgotten
@@ -638,16 +672,16 @@
 
 // Looks once at all instances after a promotion, and tells whose records the new primary lacks. What
 // is seen here is no part of what this node believes.
-async fn check(group: rc::Rc<group::Group>, account: account::Account) {
+async fn check_losses(group: rc::Rc<group::Group>, audit: audit::Audit) {
     let pools = group.roster().pools();
     let looks = sampler::look_at_all(&pools, group.dialer(), survey::LOOK).await;
-    let (candidate, position, term) = (&account.candidate, account.position, account.term);
-    let beyond = account.beyond(&looks);
+    let (candidate, position, term) = (&audit.candidate, audit.position, audit.term);
+    let ahead = audit.instances_ahead(&looks);
     tracing::info!(group = %group.name, %candidate, term, answers = looks.len(),
-        unseen = account.unseen(&looks), beyond = beyond.len(), "promotion checked");
-    for look in beyond {
+        unseen = audit.unanswered(&looks), beyond = ahead.len(), "promotion checked");
+    for look in ahead {
         let received = look.status.received;
-        if account.old.as_ref() == Some(&look.id) {
+        if audit.old.as_ref() == Some(&look.id) {
             tracing::warn!(group = %group.name, instance = %look.id, %received, %candidate, %position, term,
                 "the replaced primary has records that its successor lacks: nobody confirmed them, or they are lost");
         } else {
@@ -659,13 +693,18 @@
 }
 
 // Holds these instances.
-async fn hold_all(plan: &plan::Plan, pools: &[rc::Rc<pool::Pool>]) -> Vec<sampler::Look> {
-    let dialer = plan.group.dialer();
-    let hold = upstream::Command::Hold(plan.term);
+async fn hold_each(
+    promotion: &promotion::Promotion,
+    pools: &[rc::Rc<pool::Pool>],
+) -> Vec<sampler::Look> {
+    let dialer = promotion.group.dialer();
+    let hold = upstream::Command::Hold(promotion.term);
     let started = boot::now();
-    let holds = pools.iter().map(|pool| plan::tell(pool, &hold, dialer));
+    let holds = pools
+        .iter()
+        .map(|pool| promotion::send(pool, &hold, dialer));
     let answers = futures_util::future::join_all(holds).await;
     let looks: Vec<_> = answers.into_iter().flatten().collect();
-    plan.group.hear(&looks, started);
+    promotion.group.hear(&looks, started);
     looks
 }
--- a/desk/src/plan.rs
+++ b/desk/src/promotion.rs
@@ -11,43 +11,43 @@
 use mangotray::stamp;
 
 use crate::boot;
+use crate::detector;
 use crate::group;
 use crate::intent;
 use crate::pool;
 use crate::resumes;
 use crate::sampler;
-use crate::succession;
 use crate::upstream;
 use crate::verdict;
 use crate::wait;
 
 /// Longest wait for the answer to one hold.
-const HOLD: time::Duration = time::Duration::from_millis(300);
+const COMMAND_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
 /// Longest wait for a loaded primary to take a command: its queue of 24 takes 160 ms.
-const GIVE_UP: time::Duration = time::Duration::from_millis(600);
+const STEP_DOWN_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
 /// Longest wait for an ordered candidate to lead; promotions take 300 to 600 ms.
-pub const LEADING: time::Duration = time::Duration::from_millis(1800);
+pub const LEADERSHIP_TIMEOUT: time::Duration = time::Duration::from_millis(1800);
 
 /// Pause between looks at a candidate.
-pub const POLL: time::Duration = time::Duration::from_millis(40);
+pub const POLL_INTERVAL: time::Duration = time::Duration::from_millis(40);
 
 /// Pause between looks at a held replica while an order takes effect.
-const WATCH: time::Duration = time::Duration::from_millis(120);
+const HOLD_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(120);
 
 /// Longest wait for the last looks before an order. With [`seat::CONFIRMED`](crate::seat::CONFIRMED) before it, it
 /// stays below the time that the next holder of the seat waits.
-const LAST_LOOK: time::Duration = time::Duration::from_millis(100);
+const FINAL_CHECK_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 
 /// One replacement under way.
-pub struct Plan {
+pub struct Promotion {
     /// The group.
     pub group: rc::Rc<group::Group>,
     /// The primary that is replaced, if it is still listed.
     pub old: Option<rc::Rc<pool::Pool>>,
     /// Why.
-    pub cause: succession::Cause,
+    pub cause: detector::Cause,
     /// Term for which replicas are held.
     pub term: id::Term,
     /// When it began.
@@ -57,15 +57,19 @@
 }
 
 /// One process of an instance.
-pub type Life = (upstream::Id, upstream::Birth);
+pub type Process = (upstream::Id, upstream::Birth);
 
 /// The lives of the replicas that were held.
-pub type Lives = Vec<Life>;
+pub type Processes = Vec<Process>;
 
-impl Plan {
+impl Promotion {
     /// The term in which the candidate comes to lead within `limit`, if it does. The other replicas are kept held meanwhile.
-    pub async fn leads(&self, candidate: &upstream::Id, limit: time::Duration) -> Option<id::Term> {
-        self.keeping_held(candidate, self.comes_to_lead(candidate, limit))
+    pub async fn await_leadership(
+        &self,
+        candidate: &upstream::Id,
+        limit: time::Duration,
+    ) -> Option<id::Term> {
+        self.while_holding(candidate, self.poll_leadership(candidate, limit))
             .await
     }
 
@@ -74,7 +78,7 @@
     /// An order takes some hundred milliseconds. A replica that starts again in that time, or that a late command
     /// frees, would let the old primary acknowledge what its successor never gets. A hold that arrives only
     /// after the effect is ended with the promotion.
-    pub async fn keeping_held<T>(
+    pub async fn while_holding<T>(
         &self,
         candidate: &upstream::Id,
         work: impl Future<Output = T>,
@@ -96,31 +100,31 @@
                 future::pending::<()>().await;
             };
             // One that was added has to be held as well.
-            self.changes(candidate, &pools).or(watches).await;
+            self.membership_changed(candidate, &pools).or(watches).await;
         }
     }
 
     async fn keep_one_held(&self, pool: &rc::Rc<pool::Pool>) {
         let dialer = self.group.dialer();
         loop {
-            wait::sleep(WATCH).await;
+            wait::sleep(HOLD_CHECK_INTERVAL).await;
             let Some(look) = sampler::look(pool, dialer, sampler::LOOK_LIMIT).await else {
                 continue;
             };
-            if is_loose(&look, self.term) {
+            if is_not_held(&look, self.term) {
                 tracing::warn!(group = %self.group.name, instance = %look.id, term = self.term,
                     received = %look.status.received, "a hold has ended before its promotion");
-                tell(pool, &upstream::Command::Hold(self.term), dialer).await;
+                send(pool, &upstream::Command::Hold(self.term), dialer).await;
             }
         }
     }
 
-    async fn changes(&self, candidate: &upstream::Id, pools: &[rc::Rc<pool::Pool>]) {
+    async fn membership_changed(&self, candidate: &upstream::Id, pools: &[rc::Rc<pool::Pool>]) {
         let ids = |pools: &[rc::Rc<pool::Pool>]| pools.iter().map(|pool| pool.id()).collect();
         let before: Vec<_> = ids(pools);
         while before == ids(&self.others(candidate)) {
-            wait::sleep(WATCH).await;
-            self.group.seek_successors(LAST_LOOK).await;
+            wait::sleep(HOLD_CHECK_INTERVAL).await;
+            self.group.seek_successors(FINAL_CHECK_TIMEOUT).await;
         }
     }
 
@@ -142,18 +146,18 @@
     /// Whether no replica tells right before the order that its hold has ended since; silence tells nothing.
     pub async fn are_held(&self) -> bool {
         let pools = self.replicas();
-        let looks = self.group.look_at(&pools, LAST_LOOK);
-        let seek = self.group.seek_successors(LAST_LOOK);
+        let looks = self.group.look_at(&pools, FINAL_CHECK_TIMEOUT);
+        let seek = self.group.seek_successors(FINAL_CHECK_TIMEOUT);
         let (looks, ()) = futures_util::future::join(looks, seek).await;
-        let loose = looks.iter().find(|look| is_loose(look, self.term));
-        if let Some(look) = loose {
+        let released = looks.iter().find(|look| is_not_held(look, self.term));
+        if let Some(look) = released {
             tracing::warn!(group = %self.group.name, instance = %look.id, term = self.term,
                 received = %look.status.received, "a hold has ended before its order");
         }
-        loose.is_none()
+        released.is_none()
     }
 
-    async fn comes_to_lead(
+    async fn poll_leadership(
         &self,
         candidate: &upstream::Id,
         limit: time::Duration,
@@ -161,25 +165,25 @@
         let deadline = boot::now() + limit;
         while boot::now() < deadline {
             let pool = self.group.roster().find(candidate)?;
-            let look = sampler::look(&pool, self.group.dialer(), HOLD).await;
+            let look = sampler::look(&pool, self.group.dialer(), COMMAND_TIMEOUT).await;
             if let Some(look) = look.filter(|look| look.status.role == role::Role::Primary) {
                 return Some(look.status.term);
             }
-            wait::sleep(POLL).await;
+            wait::sleep(POLL_INTERVAL).await;
         }
         None
     }
 
     /// The replicas that there are, and which life of each.
     #[must_use]
-    pub fn lives(&self) -> Lives {
+    pub fn processes(&self) -> Processes {
         let pools = self.replicas();
         pools.iter().map(|pool| (pool.id(), pool.born())).collect()
     }
 
     /// Whether nobody knows the id of the instance, so that it cannot be ordered to lead.
     #[must_use]
-    pub fn is_unnamed(&self, id: &upstream::Id) -> bool {
+    pub fn has_unknown_id(&self, id: &upstream::Id) -> bool {
         let pool = self.group.roster().find(id);
         pool.is_some_and(|pool| pool.instance.borrow().any)
     }
@@ -223,24 +227,24 @@
 
     /// Asks the old primary, where no replica has all that one had received. One that has become
     /// a replica is held, as it may be the only one that has it.
-    pub async fn ask_old(&self) -> verdict::Old {
+    pub async fn query_predecessor(&self) -> verdict::Predecessor {
         let Some(old) = &self.old else {
-            return verdict::Old::Gone;
+            return verdict::Predecessor::Gone;
         };
-        let look = sampler::look(old, self.group.dialer(), HOLD).await;
+        let look = sampler::look(old, self.group.dialer(), COMMAND_TIMEOUT).await;
         let replica = look
             .as_ref()
             .is_some_and(|look| look.status.role == role::Role::Replica);
         let look = if replica {
             let hold = upstream::Command::Hold(self.term);
-            tell(old, &hold, self.group.dialer()).await
+            send(old, &hold, self.group.dialer()).await
         } else {
             look
         };
         match look {
-            Some(look) => verdict::Old::Answers(look),
-            None if self.may_return() => verdict::Old::Silent,
-            None => verdict::Old::Gone,
+            Some(look) => verdict::Predecessor::Answers(look),
+            None if self.may_return() => verdict::Predecessor::Silent,
+            None => verdict::Predecessor::Gone,
         }
     }
 
@@ -250,7 +254,7 @@
     /// is not listed yet has received them.
     pub async fn is_ahead_of(&self, candidate: &upstream::Id, held: &[sampler::Look]) -> bool {
         let Some(old) = &self.old else { return false };
-        let look = sampler::look(old, self.group.dialer(), HOLD).await;
+        let look = sampler::look(old, self.group.dialer(), COMMAND_TIMEOUT).await;
         let received = held
             .iter()
             .find(|look| look.id == *candidate)
@@ -259,24 +263,24 @@
     }
 
     /// Tells the old primary that it no longer leads; `true` once it knows.
-    pub async fn demote_once(&self) -> bool {
+    pub async fn demote_predecessor(&self) -> bool {
         let Some(old) = &self.old else { return true };
         let command = upstream::Command::Demote(self.term);
-        let look = tell(old, &command, self.group.dialer()).await;
+        let look = send(old, &command, self.group.dialer()).await;
         look.is_some_and(|look| look.status.role == role::Role::Replica)
     }
 
     /// Tells the old primary to give up, before a successor is ordered. Nothing while it goes on
     /// leading; else its last record, if it said so.
-    pub async fn give_up(&self) -> Option<Option<stamp::Stamp>> {
+    pub async fn step_down(&self) -> Option<Option<stamp::Stamp>> {
         let old = self.old.as_ref()?;
         let command = upstream::Command::Demote(self.term);
         let dialer = self.group.dialer();
-        let told = tell_within(old, &command, dialer, GIVE_UP).await;
+        let told = send_within(old, &command, dialer, STEP_DOWN_TIMEOUT).await;
         let look = match told {
             Some(look) => Some(look),
             // The answer may have been lost, or the command may still wait.
-            None => sampler::look(old, dialer, GIVE_UP).await,
+            None => sampler::look(old, dialer, STEP_DOWN_TIMEOUT).await,
         };
         let leads = look
             .as_ref()
@@ -286,17 +290,17 @@
 }
 
 // Whether an instance is neither held for this term nor knows of its primary.
-const fn is_loose(look: &sampler::Look, term: id::Term) -> bool {
+const fn is_not_held(look: &sampler::Look, term: id::Term) -> bool {
     !sampler::knows(&look.status, term)
 }
 
 /// Sends one order to an instance and reads what it says of itself then.
-pub async fn tell(
+pub async fn send(
     pool: &rc::Rc<pool::Pool>,
     command: &upstream::Command,
     dialer: &dyn upstream::Dialer,
 ) -> Option<sampler::Look> {
-    tell_within(pool, command, dialer, HOLD).await
+    send_within(pool, command, dialer, COMMAND_TIMEOUT).await
 }
 
 /// Ends the hold of a replica, if `may` still says so when there is a connection for it.
@@ -306,7 +310,7 @@
     resumes: &cell::RefCell<resumes::Resumes>,
     may: impl Fn() -> bool,
 ) {
-    let deadline = boot::now() + HOLD;
+    let deadline = boot::now() + COMMAND_TIMEOUT;
     let Some(mut lent) = sampler::connection(pool, deadline).await else {
         return;
     };
@@ -324,7 +328,7 @@
         open, "instance told");
 }
 
-async fn tell_within(
+async fn send_within(
     pool: &rc::Rc<pool::Pool>,
     command: &upstream::Command,
     dialer: &dyn upstream::Dialer,
--- a/desk/src/roster.rs
+++ b/desk/src/roster.rs
@@ -11,8 +11,8 @@
 use crate::absence;
 use crate::boot;
 use crate::catalog;
-use crate::plan;
 use crate::pool;
+use crate::promotion;
 use crate::size;
 use crate::upstream;
 
@@ -64,7 +64,7 @@
     /// Those that are missing from the list and may live.
     absent: cell::RefCell<collections::BTreeMap<upstream::Id, absence::Absence>>,
     /// Processes that have ended though they are listed, as another instance answered at their address.
-    ended: cell::RefCell<collections::BTreeSet<plan::Life>>,
+    ended: cell::RefCell<collections::BTreeSet<promotion::Process>>,
     /// Addresses of instances that were forgotten: a successor may live there that cannot write its entry.
     vacated: cell::RefCell<Vec<Vacated>>,
     added: cell::Cell<id::Time>,
--- a/desk/src/source.rs
+++ b/desk/src/source.rs
@@ -135,15 +135,15 @@
         candidate::Candidate {
             load: pool.load(),
             delay: pool.latency(),
-            far: pool.instance.borrow().domain != *self.domain,
+            cross_domain: pool.instance.borrow().domain != *self.domain,
             leads,
-            strange: usual.is_some_and(|usual| *usual != pool.id()),
-            standing: if pool.is_down() {
-                candidate::Standing::Down
+            other_preferred: usual.is_some_and(|usual| *usual != pool.id()),
+            health: if pool.is_down() {
+                candidate::Health::Down
             } else if behind || self.roster.is_leaving(&pool.id()) {
-                candidate::Standing::Doubtful
+                candidate::Health::Degraded
             } else {
-                candidate::Standing::Well
+                candidate::Health::Healthy
             },
         }
     }
--- a/desk/src/survey.rs
+++ b/desk/src/survey.rs
@@ -7,11 +7,11 @@
 use mangotray::stamp;
 
 use crate::boot;
+use crate::detector;
 use crate::group;
 use crate::pool;
 use crate::relief;
 use crate::sampler;
-use crate::succession;
 use crate::upstream;
 
 /// A primary that answered a request this recently needs no look.
@@ -46,7 +46,7 @@
     }
 
     /// One round of looks for the reasons to replace a primary.
-    pub async fn round(&self, uneasy: bool) -> succession::Round {
+    pub async fn round(&self, uneasy: bool) -> detector::Round {
         let started = boot::now();
         let (group, lead, others) = (self.group, self.lead, &self.others);
         let dialer = group.dialer();
@@ -56,9 +56,9 @@
                 let doubted = uneasy || group.lead().as_ref() != Some(lead);
                 reach(pool, dialer, doubted).await
             }
-            None => succession::Reach::Silent,
+            None => detector::Reach::Silent,
         };
-        let calm = matches!(reach, succession::Reach::Answered(_)) && !uneasy;
+        let calm = matches!(reach, detector::Reach::Answered(_)) && !uneasy;
         let (received, held, answers) = if calm && group.lead().is_some() {
             (applied(others), false, 0)
         } else {
@@ -67,7 +67,7 @@
             let received = looks.iter().map(|look| look.status.received).max();
             (received, looks.iter().any(held), looks.len())
         };
-        succession::Round {
+        detector::Round {
             started,
             primary: reach,
             leaving: self
@@ -170,17 +170,17 @@
     pool: &rc::Rc<pool::Pool>,
     dialer: &dyn upstream::Dialer,
     uneasy: bool,
-) -> succession::Reach {
+) -> detector::Reach {
     let fresh = boot::now().saturating_sub(pool.last_answer()) < ANSWERED;
     if fresh && !uneasy {
-        return succession::Reach::Answered(pool.applied());
+        return detector::Reach::Answered(pool.applied());
     }
     match sampler::look(pool, dialer, LOOK).await {
         Some(look) if look.status.role == role::Role::Primary => {
-            succession::Reach::Answered(look.status.received)
+            detector::Reach::Answered(look.status.received)
         }
-        None if pool.is_closed() => succession::Reach::Closed,
+        None if pool.is_closed() => detector::Reach::Closed,
         // One that answers, but leads no more, is as bad for callers as a silent one.
-        Some(_) | None => succession::Reach::Silent,
+        Some(_) | None => detector::Reach::Silent,
     }
 }
--- a/desk/src/verdict.rs
+++ b/desk/src/verdict.rs
@@ -42,7 +42,7 @@
 
 /// What is known of the instance that is replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Old {
+pub enum Predecessor {
     /// It is listed no more: it cannot come back with its log.
     Gone,
     /// It does not answer, and may come back with its log.
@@ -51,11 +51,11 @@
     Answers(sampler::Look),
 }
 
-impl Old {
+impl Predecessor {
     /// What it answered.
     ///
     /// ```
-    /// assert_eq!(mangotray_desk::verdict::Old::Gone.look(), None);
+    /// assert_eq!(mangotray_desk::verdict::Predecessor::Gone.look(), None);
     /// ```
     #[must_use]
     pub const fn look(&self) -> Option<&sampler::Look> {
@@ -128,19 +128,19 @@
     /// let looks = [sampler::Look { id: "b".into(), status, applied: None }];
     /// let view = verdict::View { lead: &lead, term: 2, expected: 1, looks: &looks, furthest: Some(Stamp::new(1, 9)), pending: None, loss: None };
     /// assert_eq!(view.judge(|_| false), verdict::Verdict::Lacking);
-    /// assert_eq!(view.resolve(&verdict::Old::Silent, |_| false), verdict::Verdict::HeldBack);
-    /// assert_eq!(view.resolve(&verdict::Old::Gone, |_| false), verdict::Verdict::Promote("b".into()));
+    /// assert_eq!(view.resolve(&verdict::Predecessor::Silent, |_| false), verdict::Verdict::HeldBack);
+    /// assert_eq!(view.resolve(&verdict::Predecessor::Gone, |_| false), verdict::Verdict::Promote("b".into()));
     /// ```
     #[must_use]
-    pub fn resolve(&self, old: &Old, leaves: impl Fn(&upstream::Id) -> bool) -> Verdict {
+    pub fn resolve(&self, old: &Predecessor, leaves: impl Fn(&upstream::Id) -> bool) -> Verdict {
         let Some(best) = self.best(leaves) else {
             return Verdict::Wait;
         };
         let look = match old {
-            Old::Silent => return Verdict::HeldBack,
+            Predecessor::Silent => return Verdict::HeldBack,
             // Nobody has the records any more; waiting would leave the group dark for nothing.
-            Old::Gone => return self.promote(best),
-            Old::Answers(look) => look,
+            Predecessor::Gone => return self.promote(best),
+            Predecessor::Answers(look) => look,
         };
         let leads = look.status.role == role::Role::Primary;
         if leads && look.status.term > self.lead.term {
--- a/desk/tests/account.rs
+++ b/desk/tests/audit.rs
@@ -8,7 +8,7 @@
 use mangotray::role;
 use mangotray::stamp;
 use mangotray::telemetry;
-use mangotray_desk::account;
+use mangotray_desk::audit;
 use mangotray_desk::sampler;
 use mangotray_desk::upstream;
 use mangotray_desk::wait;
@@ -28,8 +28,8 @@
 }
 
 // `b` is chosen at 3/420 to follow `a`.
-fn account() -> account::Account {
-    account::Account {
+fn audit() -> audit::Audit {
+    audit::Audit {
         candidate: "b".into(),
         position: stamp::Stamp::new(3, 420),
         term: 4,
@@ -41,31 +41,31 @@
     }
 }
 
-fn beyond(looks: &[sampler::Look]) -> Vec<&str> {
-    let found = account().beyond(looks);
+fn instances_ahead(looks: &[sampler::Look]) -> Vec<&str> {
+    let found = audit().instances_ahead(looks);
     found.iter().map(|found| found.id.as_str()).collect()
 }
 
 /// Guards against a promotion whose log lines do not tell who was passed over.
 #[test]
-fn every_instance_is_told_with_its_position_or_why_it_was_not_counted() {
-    let mut account = account();
-    assert_eq!(account.counted(), "b 3/420 term 3 held 0");
+fn every_instance_is_reported_with_its_position_or_why_it_was_not_counted() {
+    let mut audit = audit();
+    assert_eq!(audit.counted(), "b 3/420 term 3 held 0");
     assert_eq!(
-        account.uncounted(),
+        audit.uncounted(),
         "a replaced, c unlisted, d forgotten 7s ago"
     );
-    account.looks.push(look("c", role::Role::Replica, 3, 400));
-    account.asked.push("e".into());
+    audit.looks.push(look("c", role::Role::Replica, 3, 400));
+    audit.asked.push("e".into());
     assert_eq!(
-        account.counted(),
+        audit.counted(),
         "b 3/420 term 3 held 0, c 3/400 term 3 held 0 unlisted"
     );
     assert_eq!(
-        account.uncounted(),
+        audit.uncounted(),
         "a replaced, e not held, d forgotten 7s ago"
     );
-    assert_eq!(account.unseen(&account.looks), "a, e");
+    assert_eq!(audit.unanswered(&audit.looks), "a, e");
 }
 
 /// Guards against a loss that nobody sees, as the replica that shows it was not counted.
@@ -74,14 +74,14 @@
     let leads = look("b", role::Role::Primary, 4, 440);
     let replica = look("c", role::Role::Replica, 3, 421);
     let old = look("a", role::Role::Primary, 3, 425);
-    assert_eq!(beyond(&[old, leads, replica.clone()]), ["a", "c"]);
+    assert_eq!(instances_ahead(&[old, leads, replica.clone()]), ["a", "c"]);
     // The new primary does not answer.
-    assert_eq!(beyond(&[replica]), ["c"]);
+    assert_eq!(instances_ahead(&[replica]), ["c"]);
 }
 
 /// Guards against an alarm after a promotion that has lost nothing.
 #[test]
-fn what_the_new_primary_has_or_wrote_is_no_loss() {
+fn records_of_the_new_primary_are_no_loss() {
     // It leads a later term than its replicas were held for, and one has records of the term between.
     let leads = look("b", role::Role::Primary, 6, 440);
     let followers = [
@@ -89,9 +89,9 @@
         look("c", role::Role::Replica, 6, 439),
     ];
     let [first, second] = followers;
-    assert!(beyond(&[first, leads, second]).is_empty());
+    assert!(instances_ahead(&[first, leads, second]).is_empty());
     let behind = look("c", role::Role::Replica, 2, 500);
-    assert!(beyond(&[behind]).is_empty());
+    assert!(instances_ahead(&[behind]).is_empty());
 }
 
 // Loses the primary; the other replica has `more` records than the candidate when that leads.
@@ -114,7 +114,7 @@
 
 /// Guards against lost commits that only callers find.
 #[test]
-fn a_replica_with_more_than_the_new_primary_is_counted() {
+fn a_replica_ahead_of_the_new_primary_is_counted_as_a_loss() {
     let metrics = telemetry::Handle::install();
     let line = format!("{}{{group=\"{}\"}} ", telemetry::LOSSES, stage::GROUP);
     let losses = || {
--- a/desk/tests/succession.rs
+++ b/desk/tests/detector.rs
@@ -4,18 +4,18 @@
 
 use mangotray::stamp;
 use mangotray_desk::backoff;
-use mangotray_desk::succession;
+use mangotray_desk::detector;
 
 fn at(millis: u64) -> time::Duration {
     time::Duration::from_millis(millis)
 }
 
 /// A look at a leaving primary.
-fn round(millis: u64, added: u64) -> succession::Round {
+fn round(millis: u64, added: u64) -> detector::Round {
     let stamp = stamp::Stamp::new(1, 5);
-    succession::Round {
+    detector::Round {
         started: at(millis),
-        primary: succession::Reach::Answered(stamp),
+        primary: detector::Reach::Answered(stamp),
         leaving: true,
         added: at(added),
         received: Some(stamp),
@@ -26,9 +26,9 @@
 }
 
 /// A look at a primary that holds records which no replica receives.
-fn stalled(millis: u64, replicas: usize, answers: usize) -> succession::Round {
-    succession::Round {
-        primary: succession::Reach::Answered(stamp::Stamp::new(1, 9)),
+fn stalled(millis: u64, replicas: usize, answers: usize) -> detector::Round {
+    detector::Round {
+        primary: detector::Reach::Answered(stamp::Stamp::new(1, 9)),
         leaving: false,
         replicas,
         answers,
@@ -36,11 +36,11 @@
     }
 }
 
-fn judge_for_seconds(replicas: usize, answers: usize) -> Option<succession::Cause> {
-    let mut watch = succession::Watch::default();
+fn judge_for_seconds(replicas: usize, answers: usize) -> Option<detector::Cause> {
+    let mut detector = detector::Detector::default();
     let rounds = (10_000..13_000).step_by(100);
     rounds.fold(None, |cause, millis| {
-        cause.or(watch.judge(&stalled(millis, replicas, answers)))
+        cause.or(detector.judge(&stalled(millis, replicas, answers)))
     })
 }
 
@@ -49,83 +49,83 @@
 /// later; the promotion begins before.
 /// Cause: nothing waited for the successor, which may be the only one with a commit.
 #[test]
-fn a_planned_change_waits_for_the_list_to_settle() {
-    let mut watch = succession::Watch::default();
-    assert_eq!(watch.judge(&round(10_000, 9_900)), None);
-    assert_eq!(watch.judge(&round(10_300, 10_170)), None);
-    assert_eq!(watch.judge(&round(10_900, 10_170)), None);
-    let planned = Some(succession::Cause::Planned);
-    assert_eq!(watch.judge(&round(11_000, 10_170)), planned);
+fn a_planned_promotion_waits_for_the_list_to_be_stable() {
+    let mut detector = detector::Detector::default();
+    assert_eq!(detector.judge(&round(10_000, 9_900)), None);
+    assert_eq!(detector.judge(&round(10_300, 10_170)), None);
+    assert_eq!(detector.judge(&round(10_900, 10_170)), None);
+    let planned = Some(detector::Cause::Planned);
+    assert_eq!(detector.judge(&round(11_000, 10_170)), planned);
 }
 
 #[test]
-fn a_planned_change_waits_no_longer_than_the_primary_works() {
-    let mut watch = succession::Watch::default();
+fn a_planned_promotion_waits_no_longer_than_the_primary_runs() {
+    let mut detector = detector::Detector::default();
     for millis in (10_000..12_900).step_by(300) {
-        assert_eq!(watch.judge(&round(millis, millis)), None);
+        assert_eq!(detector.judge(&round(millis, millis)), None);
     }
-    let planned = Some(succession::Cause::Planned);
-    assert_eq!(watch.judge(&round(13_000, 13_000)), planned);
+    let planned = Some(detector::Cause::Planned);
+    assert_eq!(detector.judge(&round(13_000, 13_000)), planned);
 }
 
 /// Guards against a change of places that leaves the new primary without a replica as well.
 #[test]
 fn a_primary_without_replicas_is_replaced_only_where_two_answer() {
-    assert_eq!(judge_for_seconds(2, 2), Some(succession::Cause::Stalled));
+    assert_eq!(judge_for_seconds(2, 2), Some(detector::Cause::Stalled));
     assert_eq!(judge_for_seconds(1, 1), None);
     assert_eq!(judge_for_seconds(2, 1), None);
 }
 
 /// Guards against a stall with two healthy replicas that takes longer to mend than it has to.
 #[test]
-fn a_stall_with_two_replicas_is_answered_after_seven_tenths_of_a_second() {
-    let mut watch = succession::Watch::default();
-    assert_eq!(watch.judge(&stalled(10_000, 2, 2)), None);
-    assert_eq!(watch.judge(&stalled(10_600, 2, 2)), None);
-    let cause = Some(succession::Cause::Stalled);
-    assert_eq!(watch.judge(&stalled(10_700, 2, 2)), cause);
+fn a_stall_with_two_replicas_triggers_a_promotion_after_700_ms() {
+    let mut detector = detector::Detector::default();
+    assert_eq!(detector.judge(&stalled(10_000, 2, 2)), None);
+    assert_eq!(detector.judge(&stalled(10_600, 2, 2)), None);
+    let cause = Some(detector::Cause::Stalled);
+    assert_eq!(detector.judge(&stalled(10_700, 2, 2)), cause);
 }
 
 /// Guards against a stalled primary that is kept for seconds, as it answers only every other look while its callers' writes wait.
 #[test]
 fn a_stalled_primary_that_answers_now_and_then_is_replaced() {
-    let mut watch = succession::Watch::default();
-    let silent = |millis| succession::Round {
-        primary: succession::Reach::Silent,
+    let mut detector = detector::Detector::default();
+    let silent = |millis| detector::Round {
+        primary: detector::Reach::Silent,
         ..stalled(millis, 2, 2)
     };
-    assert_eq!(watch.judge(&stalled(10_000, 2, 2)), None);
-    assert_eq!(watch.judge(&silent(10_300)), None);
-    assert_eq!(watch.judge(&stalled(10_600, 2, 2)), None);
-    assert_eq!(watch.judge(&silent(10_800)), None);
-    let cause = Some(succession::Cause::Stalled);
-    assert_eq!(watch.judge(&stalled(11_100, 2, 2)), cause);
+    assert_eq!(detector.judge(&stalled(10_000, 2, 2)), None);
+    assert_eq!(detector.judge(&silent(10_300)), None);
+    assert_eq!(detector.judge(&stalled(10_600, 2, 2)), None);
+    assert_eq!(detector.judge(&silent(10_800)), None);
+    let cause = Some(detector::Cause::Stalled);
+    assert_eq!(detector.judge(&stalled(11_100, 2, 2)), cause);
 }
 
 /// Guards against a primary that is taken for stalled for a record that is only on its way, after a moment of silence.
 #[test]
-fn a_record_on_its_way_after_a_silence_is_no_stall() {
-    let mut watch = succession::Watch::default();
-    let at_work = |millis, own, theirs| succession::Round {
-        primary: succession::Reach::Answered(stamp::Stamp::new(1, own)),
+fn a_record_in_flight_after_a_silence_is_no_stall() {
+    let mut detector = detector::Detector::default();
+    let at_work = |millis, own, theirs| detector::Round {
+        primary: detector::Reach::Answered(stamp::Stamp::new(1, own)),
         received: Some(stamp::Stamp::new(1, theirs)),
         ..stalled(millis, 2, 2)
     };
-    let silent = |millis| succession::Round {
-        primary: succession::Reach::Silent,
+    let silent = |millis| detector::Round {
+        primary: detector::Reach::Silent,
         ..at_work(millis, 9, 8)
     };
-    assert_eq!(watch.judge(&at_work(10_000, 8, 7)), None);
-    assert_eq!(watch.judge(&silent(10_300)), None);
-    assert_eq!(watch.judge(&silent(10_800)), None);
-    assert_eq!(watch.judge(&at_work(11_100, 9, 8)), None);
+    assert_eq!(detector.judge(&at_work(10_000, 8, 7)), None);
+    assert_eq!(detector.judge(&silent(10_300)), None);
+    assert_eq!(detector.judge(&silent(10_800)), None);
+    assert_eq!(detector.judge(&at_work(11_100, 9, 8)), None);
 }
 
 /// Guards against instances that cannot reach each other and change places again and again.
 #[test]
-fn changes_of_places_for_a_stall_between_the_same_instances_come_less_and_less_often() {
+fn stall_promotions_between_the_same_instances_back_off() {
     let mut backoff = backoff::Backoff::default();
-    let cause = succession::Cause::Stalled;
+    let cause = detector::Cause::Stalled;
     let (a, b) = ("a".into(), "b".into());
     backoff.changed(&a, &b, cause, at(10_000));
     assert!(!backoff.permits(&b, cause, at(13_900)));
@@ -139,9 +139,9 @@
 
 /// Guards against replicas that are held again and again in vain, with a primary that can have nothing confirmed meanwhile.
 #[test]
-fn promotions_that_are_given_up_come_less_and_less_often_and_before_a_leaving_primary_ends() {
+fn given_up_promotions_back_off_and_repeat_before_a_leaving_primary_ends() {
     let mut backoff = backoff::Backoff::default();
-    let cause = succession::Cause::Planned;
+    let cause = detector::Cause::Planned;
     let primary = "a".into();
     let (mut now, mut tries) = (13_000, Vec::new());
     while now < 17_000 {
--- a/desk/tests/handover.rs
+++ b/desk/tests/handover.rs
@@ -12,7 +12,7 @@
 /// A world in which `a` was replaced by `b`, in term 2, while it could not be told, and
 /// whose promoter ended right after. Replica `c` is still held, and `a` takes itself for
 /// the primary of term 1.
-fn left_half_done() -> (stage::Shared, play::Store) {
+fn unfinished_promotion() -> (stage::Shared, play::Store) {
     let first = play::play();
     first.stage.run(async {
         first.led(1).await;
@@ -52,10 +52,10 @@
 // Whether `a` could acknowledge a write that nobody who leads later would have.
 fn could_acknowledge(world: &cell::RefCell<stage::World>) -> bool {
     let mut world = world.borrow_mut();
-    let believes = world.at("a").role == role::Role::Primary && world.at("a").term == 1;
-    let reaches = world.at("a").up;
-    let confirms = world.at("c").held == 0 && world.at("c").term == 1;
-    believes && reaches && confirms
+    let leads_old_term = world.at("a").role == role::Role::Primary && world.at("a").term == 1;
+    let is_up = world.at("a").up;
+    let has_free_replica = world.at("c").held == 0 && world.at("c").term == 1;
+    leads_old_term && is_up && has_free_replica
 }
 
 /// Symptom: forty acknowledged writes are gone, and reads miss them.
@@ -68,8 +68,8 @@
 /// `promotion given up` with `answers 1` of `expected 2`, and `instance told c Resume` right
 /// after, while another promoter's `promotion over b leads true` stood before both.
 #[test]
-fn a_hold_outlasts_a_promotion_that_its_successor_gives_up() {
-    let (world, store) = left_half_done();
+fn a_promoter_that_gives_up_keeps_the_holds_of_its_predecessor() {
+    let (world, store) = unfinished_promotion();
     world.borrow_mut().at("b").up = false;
     world.borrow_mut().at("a").up = true;
     let second = play::play_with(stage::Stage::of(rc::Rc::clone(&world)), store);
@@ -93,8 +93,8 @@
 /// began anew every four seconds: `replacing the primary ... Unfinished`, `promotion given up`.
 /// Nobody told the first primary that it leads no more, as whoever had replaced it was gone.
 #[test]
-fn a_primary_that_leads_is_kept_and_the_one_before_it_is_told() {
-    let (world, store) = left_half_done();
+fn a_leading_primary_is_kept_and_its_predecessor_is_demoted() {
+    let (world, store) = unfinished_promotion();
     world.borrow_mut().at("c").held = 3;
     let second = play::play_with(stage::Stage::of(rc::Rc::clone(&world)), store);
     second.stage.run(async {
@@ -120,7 +120,7 @@
 /// Cause: a primary that may come back with its log was waited for. It had come back, without it:
 /// `no replica has all that one had received before it started again` every second.
 #[test]
-fn a_promotion_is_held_back_only_while_somebody_may_have_the_records() {
+fn a_promotion_is_held_back_only_while_an_instance_may_have_the_records() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
@@ -176,7 +176,7 @@
 /// Cause: the primary was told that it leads no more although nobody knew of a successor:
 /// `promotion ordered ... Unknown`, `instance told i-a Demote`, `promotion over ... leads false`.
 #[test]
-fn a_primary_that_lives_is_told_only_once_its_successor_may_be_there() {
+fn a_running_primary_is_demoted_only_once_its_successor_may_lead() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
@@ -203,7 +203,7 @@
 /// Cause: an order that might take effect late was waited for, for ever, though the process that
 /// it named is gone.
 #[test]
-fn an_order_for_a_process_that_is_gone_is_forgotten() {
+fn an_order_for_a_process_that_is_gone_is_dropped() {
     let first = play::play();
     let world = rc::Rc::clone(&first.stage.world);
     first.stage.run(async {
@@ -233,7 +233,7 @@
 /// follow.
 /// Cause: an order that might take effect late kept the replicas held, however late it was.
 #[test]
-fn a_primary_that_lives_goes_on_once_a_lost_order_is_too_late() {
+fn a_running_primary_continues_once_a_lost_order_has_timed_out() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
--- a/desk/tests/holds.rs
+++ b/desk/tests/holds.rs
@@ -11,24 +11,24 @@
 use mangotray::role;
 use mangotray::stamp;
 use mangotray_desk::boot;
+use mangotray_desk::cleanup;
 use mangotray_desk::intent;
 use mangotray_desk::resumes;
 use mangotray_desk::seat;
-use mangotray_desk::settlement;
 use mangotray_desk::upstream;
 use mangotray_desk::wait;
 
 /// Shorter than the time after which a command that got no answer cannot arrive any more.
-const ON_ITS_WAY: time::Duration = time::Duration::from_secs(2);
+const IN_FLIGHT: time::Duration = time::Duration::from_secs(2);
 
 /// Time in which a promotion takes effect, longer than instances need.
-const EFFECT: time::Duration = time::Duration::from_secs(1);
+const PROMOTION_TIME: time::Duration = time::Duration::from_secs(1);
 
 /// Time in which the store records a promotion, short enough for the order to leave.
-const RECORD: time::Duration = time::Duration::from_millis(120);
+const STORE_DELAY: time::Duration = time::Duration::from_millis(120);
 
 /// Pause between looks of a test at the stage.
-const PAUSE: time::Duration = time::Duration::from_millis(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 fn held(play: &play::Play, id: &str) -> u64 {
     play.stage.world.borrow_mut().at(id).held
@@ -47,7 +47,7 @@
 
 // `a` is replaced while it cannot be told, and this node loses the seat before it can. Returns the replica
 // that is held.
-async fn lose_seat_before_the_end(play: &play::Play) -> &'static str {
+async fn lose_seat_before_cleanup(play: &play::Play) -> &'static str {
     play.led(1).await;
     play.stage.world.borrow_mut().at("a").up = false;
     play.led(2).await;
@@ -65,7 +65,7 @@
 /// Guards against an old primary that goes on through a promotion, as the late end of an earlier hold reaches a
 /// replica after the order.
 #[test]
-fn no_order_leaves_while_the_end_of_an_earlier_hold_may_arrive() {
+fn no_order_is_sent_while_an_earlier_resume_may_arrive() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
@@ -83,10 +83,10 @@
         let sent = boot::now();
         let refused = play.duty.orders.borrow().len();
         play.duty.refuse.set(false);
-        play.duty.takes.set(EFFECT);
-        while boot::now() < sent + ON_ITS_WAY {
+        play.duty.takes.set(PROMOTION_TIME);
+        while boot::now() < sent + IN_FLIGHT {
             assert_eq!(play.duty.orders.borrow().len(), refused);
-            wait::sleep(PAUSE).await;
+            wait::sleep(POLL_INTERVAL).await;
         }
         play.stage.world.borrow_mut().deliver();
         play.led(2).await;
@@ -96,7 +96,7 @@
 
 /// Guards against a holder that has lost the seat and ends the holds of its successor.
 #[test]
-fn a_promotion_that_is_given_up_without_the_seat_frees_nobody() {
+fn a_promotion_given_up_without_the_seat_releases_no_hold() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
@@ -112,10 +112,10 @@
 
 /// Guards against a holder that has lost the seat and ends the holds of a promotion that is no longer its own.
 #[test]
-fn the_end_of_a_promotion_without_the_seat_frees_nobody() {
+fn cleanup_without_the_seat_releases_no_hold() {
     let play = play::play();
     play.stage.run(async {
-        let other = lose_seat_before_the_end(&play).await;
+        let other = lose_seat_before_cleanup(&play).await;
         wait::sleep(play::LONG).await;
         assert_eq!(held(&play, other), 2);
     });
@@ -123,11 +123,11 @@
 
 /// Guards against replicas that stay held as nobody but a holder that lost the seat would have freed them.
 #[test]
-fn replicas_that_were_left_held_are_freed_by_whoever_has_the_seat_next() {
+fn replicas_left_held_are_released_by_the_next_holder_of_the_seat() {
     for same in [true, false] {
         let play = play::play();
         play.stage.run(async {
-            let other = lose_seat_before_the_end(&play).await;
+            let other = lose_seat_before_cleanup(&play).await;
             wait::sleep(play::SHORT).await;
             assert_eq!(held(&play, other), 2);
             play.store.at().entry = None;
@@ -147,7 +147,7 @@
 
 /// Guards against a settled promotion whose late end of a hold undoes a hold of the next one.
 #[test]
-fn no_order_leaves_while_the_end_of_a_settled_hold_may_arrive() {
+fn no_order_is_sent_while_a_resume_of_a_cleanup_may_arrive() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
@@ -165,11 +165,11 @@
         })
         .await;
         let sent = boot::now();
-        play.duty.takes.set(EFFECT);
+        play.duty.takes.set(PROMOTION_TIME);
         play.stage.world.borrow_mut().at(&first).up = false;
-        while boot::now() < sent + ON_ITS_WAY {
+        while boot::now() < sent + IN_FLIGHT {
             assert_eq!(play.duty.orders.borrow().len(), 1);
-            wait::sleep(PAUSE).await;
+            wait::sleep(POLL_INTERVAL).await;
         }
         play.stage.world.borrow_mut().deliver();
         play.led(3).await;
@@ -178,10 +178,10 @@
 }
 
 // The end of a promotion to term 1, by a node that holds the seat and promotes nobody else.
-async fn settled(
+async fn cleanup_of_term_one(
     stage: &stage::Stage,
     resumes: &rc::Rc<cell::RefCell<resumes::Resumes>>,
-) -> settlement::Settlement {
+) -> cleanup::Cleanup {
     let store = rc::Rc::new(play::Store::default());
     let seat = seat::Seat::new(store, &"vm".into(), play::SHORTEST);
     stage.executor.spawn(rc::Rc::clone(&seat).keep()).detach();
@@ -197,19 +197,19 @@
         received: stamp::Stamp::default(),
         place: intent::Place::default(),
     };
-    settlement::Settlement::new(group, &intent, intent.term, seat, rc::Rc::clone(resumes))
+    cleanup::Cleanup::new(group, &intent, intent.term, seat, rc::Rc::clone(resumes))
 }
 
 /// Guards against a settled promotion that ends the holds of the next one, between its look and its command.
 #[test]
-fn the_end_of_a_promotion_frees_nobody_while_the_next_one_is_under_way() {
+fn cleanup_releases_no_hold_while_the_next_promotion_runs() {
     let stage = stage::Stage::new();
     stage.run(async {
         let resumes = rc::Rc::default();
-        let settlement = settled(&stage, &resumes).await;
+        let cleanup = cleanup_of_term_one(&stage, &resumes).await;
         resumes.borrow_mut().promotes(&stage::GROUP.into(), true);
         stage.world.borrow_mut().at("c").held = 1;
-        let free = async move { settlement.free().await };
+        let free = async move { cleanup.release().await };
         stage.executor.spawn(free).detach();
         wait::sleep(play::LONG).await;
         assert_eq!(stage.world.borrow_mut().at("c").held, 1);
@@ -223,13 +223,13 @@
 
 /// Guards against a settled promotion that ends holds for a later term.
 #[test]
-fn the_end_of_a_promotion_by_a_holder_of_the_seat_frees_only_its_own_holds() {
+fn cleanup_releases_only_its_own_holds() {
     let stage = stage::Stage::new();
     stage.run(async {
-        let settlement = settled(&stage, &rc::Rc::default()).await;
+        let cleanup = cleanup_of_term_one(&stage, &rc::Rc::default()).await;
         stage.world.borrow_mut().at("b").held = 7;
         stage.world.borrow_mut().at("c").held = 1;
-        assert!(settlement.free().await);
+        assert!(cleanup.release().await);
         let mut world = stage.world.borrow_mut();
         assert_eq!((world.at("b").held, world.at("c").held), (7, 0));
     });
@@ -237,11 +237,11 @@
 
 /// Guards against an old primary that goes on through a promotion, as a replica has started again since the order.
 #[test]
-fn a_replica_that_starts_again_after_the_order_is_held_before_its_effect() {
+fn a_replica_that_restarts_after_the_order_is_held_before_the_promotion() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
-        play.duty.takes.set(EFFECT);
+        play.duty.takes.set(PROMOTION_TIME);
         play.stage.world.borrow_mut().at("a").up = false;
         let other = play.ordered().await.other;
         play.stage.world.borrow_mut().at(other).held = 0;
@@ -255,12 +255,12 @@
 /// Guards against an old primary that goes on through a promotion, as the call for it is answered late and a
 /// replica is freed meanwhile.
 #[test]
-fn a_replica_that_is_freed_while_the_order_is_unanswered_is_held_again() {
+fn a_replica_released_while_the_order_is_unanswered_is_held_again() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
-        play.duty.answers.set(EFFECT);
-        play.duty.takes.set(EFFECT);
+        play.duty.answers.set(PROMOTION_TIME);
+        play.duty.takes.set(PROMOTION_TIME);
         play.stage.world.borrow_mut().at("a").up = false;
         let other = play.ordered().await.other;
         play.stage.world.borrow_mut().at(other).held = 0;
@@ -280,7 +280,7 @@
     let play = play::play_on(stage::Stage::of(world));
     play.stage.run(async {
         play.led(1).await;
-        play.duty.takes.set(EFFECT);
+        play.duty.takes.set(PROMOTION_TIME);
         play.stage.world.borrow_mut().at("a").up = false;
         assert_eq!(play.ordered().await.other, "c");
         {
@@ -295,11 +295,11 @@
 
 /// Guards against a replica that nobody frees, as its hold arrives only after the effect and the end of the promotion.
 #[test]
-fn a_hold_that_arrives_after_the_effect_is_ended() {
+fn a_hold_that_arrives_after_the_promotion_is_released() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
-        play.duty.takes.set(EFFECT);
+        play.duty.takes.set(PROMOTION_TIME);
         play.stage.world.borrow_mut().at("a").up = false;
         let other = play.ordered().await.other;
         {
@@ -329,11 +329,11 @@
 
 /// Guards against an order that leaves although a replica was freed while the store recorded the promotion.
 #[test]
-fn no_order_leaves_once_a_replica_tells_that_its_hold_has_ended() {
+fn no_order_is_sent_once_a_replica_reports_a_lost_hold() {
     let play = play::play();
     play.stage.run(async {
         play.led(1).await;
-        play.store.at().takes = RECORD;
+        play.store.at().takes = STORE_DELAY;
         play.stage.world.borrow_mut().at("a").up = false;
         stage::until("the promotion is being recorded", || {
             play.store.at().under_way > 0
--- a/desk/tests/promoter.rs
+++ b/desk/tests/promoter.rs
@@ -10,10 +10,10 @@
 use mangotray::stamp;
 use mangotray::store;
 use mangotray_desk::boot;
-use mangotray_desk::plan;
+use mangotray_desk::detector;
+use mangotray_desk::promotion;
 use mangotray_desk::sampler;
 use mangotray_desk::seat;
-use mangotray_desk::succession;
 use mangotray_desk::upstream;
 use mangotray_desk::wait;
 
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_leaving_primary_hands_over_and_is_told() {
+fn a_leaving_primary_is_replaced_and_demoted() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -96,7 +96,7 @@
 /// Events: a primary announces its end; the replicas are held; promotions are refused.
 /// Cause: the replicas stayed held until promotions were possible again.
 #[test]
-fn a_refused_order_frees_the_replicas_of_a_primary_that_lives() {
+fn a_refused_order_releases_the_replicas_of_a_running_primary() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -117,7 +117,7 @@
 /// Events: the order to promote is carried out, its answer is lost.
 /// Cause: the order was repeated for another candidate without asking the first.
 #[test]
-fn an_order_whose_answer_is_lost_is_settled_at_the_candidate() {
+fn a_lost_answer_to_an_order_is_resolved_by_asking_the_candidate() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -139,7 +139,7 @@
 /// old holder has not noticed; a primary crashes.
 /// Cause: the old holder acted on its lease without asking the store.
 #[test]
-fn a_holder_that_lost_its_seat_unawares_orders_nothing() {
+fn a_holder_unaware_that_it_lost_its_seat_orders_nothing() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -159,7 +159,7 @@
 /// Events: the claim of the seat takes effect, its answer is lost.
 /// Cause: the claimant did not look whose entry it is.
 #[test]
-fn a_claim_whose_answer_is_lost_is_settled_by_reading() {
+fn a_claim_whose_answer_is_lost_is_resolved_by_reading() {
     let play = play();
     play.store.at().lose = 1;
     play.stage.run(async { play.led(1).await });
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_later_holder_has_a_higher_number() {
+fn a_later_holder_has_a_higher_fencing_token() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -189,7 +189,7 @@
 /// Events: a holder holds all replicas and dies before it orders; the primary lives.
 /// Cause: its successor waited for a primary that nobody can prove while replicas are held.
 #[test]
-fn a_promotion_left_half_done_is_finished_by_the_next_holder() {
+fn an_unfinished_promotion_is_finished_by_the_next_holder() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -248,7 +248,7 @@
 /// Cause: a holder took an answer of a demoted primary for a sign that it leads, and its
 /// successor found nobody that was silent.
 #[test]
-fn a_group_in_which_nobody_leads_gets_a_primary() {
+fn a_group_without_a_leader_gets_a_primary() {
     for seen in [true, false] {
         let stage = stage::Stage::new();
         if !seen {
@@ -273,7 +273,7 @@
 /// promotion's end frees the replicas; they take commits that the candidate lacks.
 /// Cause: the end of a promotion freed holds that were not its own.
 #[test]
-fn the_end_of_a_promotion_frees_only_its_own_holds() {
+fn cleanup_without_the_seat_keeps_the_holds_of_a_later_term() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -322,13 +322,13 @@
     assert_eq!(play.leader(), ["c"]);
 }
 
-fn replacement(play: &Play) -> plan::Plan {
+fn crash_promotion(play: &Play) -> promotion::Promotion {
     let group = play.stage.node.group(&stage::GROUP.into());
     let mut pools = group.roster().pools();
-    plan::Plan {
+    promotion::Promotion {
         old: Some(pools.remove(0)),
         group,
-        cause: succession::Cause::Crashed,
+        cause: detector::Cause::Crashed,
         term: 2,
         began: boot::now(),
         furthest: Some(stamp::Stamp::new(1, 11)),
@@ -357,13 +357,13 @@
 fn a_group_whose_records_were_lost_with_a_replica_waits_for_its_primary() {
     let play = play();
     play.stage.run(async {
-        let change = replacement(&play);
-        assert!(change.lacks_records(&[held("b", 0), held("c", 10)]));
-        assert!(!change.lacks_records(&[held("b", 11), held("c", 10)]));
+        let promotion = crash_promotion(&play);
+        assert!(promotion.lacks_records(&[held("b", 0), held("c", 10)]));
+        assert!(!promotion.lacks_records(&[held("b", 11), held("c", 10)]));
         // Nobody has the commit any more; without a primary the group would stay dark.
         play.stage.world.borrow_mut().instances.remove("a");
         play.stage.relist();
-        assert!(!change.lacks_records(&[held("b", 0), held("c", 10)]));
+        assert!(!promotion.lacks_records(&[held("b", 0), held("c", 10)]));
     });
 }
 
@@ -372,16 +372,16 @@
 /// order leaves; or one that nobody has held is added to the list.
 /// Cause: a hold was believed of an instance, not of its process.
 #[test]
-fn a_hold_is_over_once_a_replica_has_started_again() {
+fn a_hold_ends_when_its_replica_restarts() {
     let play = play();
     play.stage.run(async {
-        let change = replacement(&play);
-        let lives = change.lives();
+        let promotion = crash_promotion(&play);
+        let processes = promotion.processes();
         play.stage.relist();
-        assert_eq!(change.lives(), lives);
+        assert_eq!(promotion.processes(), processes);
         play.stage.world.borrow_mut().at("c").born = 2;
         play.stage.relist();
-        assert_ne!(change.lives(), lives);
+        assert_ne!(promotion.processes(), processes);
     });
 }
 
@@ -389,7 +389,7 @@
 /// Events: a primary is replaced while it cannot be told; the other replica starts again.
 /// Cause: replicas were held once.
 #[test]
-fn a_replica_that_starts_again_is_held_again_until_the_old_primary_knows() {
+fn a_restarted_replica_is_held_again_until_the_old_primary_is_demoted() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -436,7 +436,7 @@
 /// acknowledge.
 /// Cause: a primary that was ahead of the held replicas kept its place.
 #[test]
-fn a_primary_that_is_ahead_gives_up_before_its_successor_is_ordered() {
+fn a_primary_that_is_ahead_steps_down_before_its_successor_is_ordered() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -484,7 +484,7 @@
 /// gone; the listed replica has received less.
 /// Cause: the listed replicas were taken for all.
 #[test]
-fn a_holder_that_has_just_started_waits_for_the_list_to_be_whole() {
+fn a_holder_that_has_just_started_waits_for_a_complete_list() {
     let world = stage::world();
     let missing = world.borrow_mut().instances.remove("c");
     world.borrow_mut().at("b").position = 5;
@@ -579,7 +579,7 @@
 /// Cause: the records of the one that gave up counted as received by a replica, so that no
 /// replica seemed to have all.
 #[test]
-fn a_change_of_places_whose_order_is_refused_is_finished() {
+fn a_relief_whose_order_is_refused_is_finished() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -603,7 +603,7 @@
 /// starts again, with an empty log; the promotion is finished.
 /// Cause: a candidate whose order might yet take effect was kept to by its id.
 #[test]
-fn a_candidate_that_started_again_is_not_kept_to() {
+fn a_restarted_candidate_is_not_promoted() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
--- a/desk/tests/stalled.rs
+++ b/desk/tests/stalled.rs
@@ -14,7 +14,7 @@
 use play::play_on;
 
 /// Pause between looks at the instances on stage.
-const STEP: time::Duration = time::Duration::from_millis(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// Records that the primary takes and no replica receives.
 fn stall(play: &Play) {
@@ -25,7 +25,7 @@
 async fn is_held_within(play: &Play, id: &str, limit: time::Duration) -> bool {
     let held = async {
         while play.stage.world.borrow_mut().at(id).held == 0 {
-            wait::sleep(STEP).await;
+            wait::sleep(POLL_INTERVAL).await;
         }
     };
     wait::within(limit, held).await.is_some()
@@ -44,7 +44,7 @@
 
 /// Guards against primaries that change places every second, as whoever takes over has no replica either.
 #[test]
-fn a_stall_that_a_change_of_places_does_not_end_is_not_answered_with_the_next_at_once() {
+fn a_stall_that_outlasts_a_promotion_triggers_no_second_one_at_once() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
@@ -57,7 +57,7 @@
 
 /// Guards against a promotion of the only replica, which has none itself while the old primary is out of reach.
 #[test]
-fn a_stalled_primary_with_one_replica_goes_on() {
+fn a_stalled_primary_with_one_replica_is_kept() {
     let world = stage::world();
     world.borrow_mut().instances.remove("c");
     let play = play_on(stage::Stage::of(world));
--- a/desk/tests/verdict.rs
+++ b/desk/tests/verdict.rs
@@ -64,15 +64,18 @@
     };
     assert_eq!(view.judge(stays), verdict::Verdict::Lacking);
     let resolve = |old| view.resolve(&old, stays);
-    let answers = |look| resolve(verdict::Old::Answers(look));
+    let answers = |look| resolve(verdict::Predecessor::Answers(look));
     let promote = |id: &str| verdict::Verdict::Promote(id.into());
-    assert_eq!(resolve(verdict::Old::Silent), verdict::Verdict::HeldBack);
+    assert_eq!(
+        resolve(verdict::Predecessor::Silent),
+        verdict::Verdict::HeldBack
+    );
     // It ends: the primary leads on, or hands over what it has, or has nothing any more.
     let primary = look("a", role::Role::Primary, 3, 470, 0);
     assert_eq!(answers(primary), verdict::Verdict::Returned);
     assert_eq!(answers(held("a", 3, 470)), promote("a"));
     assert_eq!(answers(held("a", 1, 0)), promote("c"));
-    assert_eq!(resolve(verdict::Old::Gone), promote("c"));
+    assert_eq!(resolve(verdict::Predecessor::Gone), promote("c"));
 }
 
 /// Symptom: a replica that could be held later is passed over.
@@ -142,7 +145,7 @@
 /// Symptom: hundreds of acknowledged writes are lost.
 /// Events: a candidate whose order may yet take effect loses its log.
 #[test]
-fn a_candidate_is_kept_to_only_while_it_has_all_records() {
+fn a_pending_candidate_is_preferred_only_while_it_has_all_records() {
     let promote = |id: &str| verdict::Verdict::Promote(id.into());
     assert_eq!(judge_pair((420, 420), 420, Some("b")), promote("b"));
     // It may come to lead without its log, beside another that is ordered now.
@@ -177,9 +180,9 @@
         loss: None,
     };
     let olds = [
-        (verdict::Old::Gone, "c"),
-        (verdict::Old::Answers(held("a", 3, 12)), "a"),
-        (verdict::Old::Answers(held("a", 3, 4)), "c"),
+        (verdict::Predecessor::Gone, "c"),
+        (verdict::Predecessor::Answers(held("a", 3, 12)), "a"),
+        (verdict::Predecessor::Answers(held("a", 3, 4)), "c"),
     ];
     for (old, later) in olds {
         let resolve = |pending| view(pending).resolve(&old, stays);
@@ -190,7 +193,7 @@
 
 /// Guards against records that a replica confirmed unseen before it lost its log.
 #[test]
-fn a_lost_log_is_made_up_for_by_the_primarys_word_alone() {
+fn only_the_primarys_position_covers_a_lost_log() {
     let lead = lead();
     let looks = [held("b", 3, 410), held("c", 3, 0)];
     let view = |loss| verdict::View {
@@ -210,6 +213,9 @@
     assert_eq!(view(within(410)).judge(stays), promote);
     assert_eq!(view(None).judge(stays), promote);
     let resolve = |old| view(unknown).resolve(&old, stays);
-    assert_eq!(resolve(verdict::Old::Silent), verdict::Verdict::HeldBack);
-    assert_eq!(resolve(verdict::Old::Gone), promote);
+    assert_eq!(
+        resolve(verdict::Predecessor::Silent),
+        verdict::Verdict::HeldBack
+    );
+    assert_eq!(resolve(verdict::Predecessor::Gone), promote);
 }
