--- a/desk/src/audit.rs
+++ b/desk/src/audit.rs
@@ -1,8 +1,8 @@
-//! Whose logs a promotion rests on, and whose it leaves out.
+//! Records which instances' logs a promotion is based on, and detects records that it lost.
 //!
-//! The load that this answers: a promotion is right only if nobody who was left out has an
-//! acknowledged commit. Which instances those were, and why, has to be told at once: minutes later
-//! the list of instances has others, and replicas that were ahead have been rolled back.
+//! A promotion is correct only if no instance that was left out has an acknowledged commit. Which
+//! instances were left out, and why, has to be logged at the time: minutes later the list of
+//! instances has changed, and replicas that were ahead have been rolled back.
 
 use std::fmt;
 use std::time;
@@ -14,7 +14,7 @@
 use crate::sampler;
 use crate::upstream;
 
-/// Whose logs a promotion rests on, and whose it leaves out.
+/// The instances that were counted in a promotion, and those that were left out.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -36,26 +36,27 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Audit {
-    /// The instance that was chosen.
+    /// The instance chosen as the new primary.
     pub candidate: upstream::Id,
-    /// Its last record when it was chosen.
+    /// Last log position of the candidate when it was chosen.
     pub position: stamp::Stamp,
-    /// Term that it is to lead.
+    /// Term that the candidate is to lead.
     pub term: id::Term,
     /// The primary that is replaced.
     pub old: Option<upstream::Id>,
-    /// The answers that were counted.
+    /// The status reports that were counted.
     pub looks: Vec<sampler::Look>,
-    /// All instances that are asked.
+    /// All instances that are queried.
     pub asked: Vec<upstream::Id>,
-    /// Those of them that are listed no more.
+    /// Queried instances that are no longer listed.
     pub unlisted: Vec<upstream::Id>,
-    /// Those that are asked no more, and since when.
+    /// Instances that are no longer queried, with the time since they were dropped.
     pub forgotten: Vec<(upstream::Id, time::Duration)>,
 }
 
 impl Audit {
-    /// Every instance that was counted, with its last record, its term and its hold.
+    /// Lists each counted instance with its last log position, its term and the term that it is
+    /// held for.
     #[must_use]
     pub fn counted(&self) -> String {
         let tell = |look: &sampler::Look| {
@@ -71,7 +72,7 @@
         join(self.looks.iter().map(tell))
     }
 
-    /// Every instance that was not counted, and why.
+    /// Lists each instance that was not counted, with the reason.
     #[must_use]
     pub fn uncounted(&self) -> String {
         let counted = |id: &upstream::Id| self.looks.iter().any(|look| look.id == *id);
@@ -94,11 +95,11 @@
         }
     }
 
-    /// Those whose logs have records of the terms before the new one beyond what the candidate had
-    /// when it was chosen. Each of those records is lost, and may have been acknowledged.
+    /// Returns the instances that have records of earlier terms beyond the candidate's position at
+    /// the time of its choice. Each of these records is lost, and may have been acknowledged.
     ///
-    /// A replica that has gone over to the new primary's log was rolled back, or has records of the
-    /// new term: it tells nothing any more.
+    /// A replica that already follows the new primary was rolled back or has records of the new
+    /// term, so its log proves nothing any more.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
@@ -134,7 +135,7 @@
         looks.iter().filter(instances_ahead).collect()
     }
 
-    /// Those that were asked and have not answered.
+    /// Lists the queried instances that are missing from the answers.
     #[must_use]
     pub fn unanswered(&self, looks: &[sampler::Look]) -> String {
         let seen = |id: &upstream::Id| looks.iter().any(|look| look.id == *id);
--- a/desk/src/candidate.rs
+++ b/desk/src/candidate.rs
@@ -1,54 +1,57 @@
-//! How well an instance would serve a read now.
+//! Cost estimate by which the instances of a group are ranked for a read.
 
 use std::time;
 
-/// A read's work, in microseconds.
+/// Time to execute one read, in microseconds.
 const READ_COST: u64 = 20_000;
 
-/// Way there and back between failure domains, and the price of the bytes.
+/// Cost of a round trip to another failure domain and of the bytes sent, in microseconds.
 const CROSS_DOMAIN_COST: u64 = 8_000;
 
-/// Opening a connection, where an organisation's connections are at another instance: 12 ms of a
-/// slot, which are not always spent.
+/// Cost of opening a connection when the organisation's connections are at another instance, in
+/// microseconds. It is below the 12 ms that an opening occupies a slot, as not every read needs
+/// one.
 const CONNECT_COST: u64 = 10_000;
 
-/// The primary's slots are wanted by writes, which have nowhere else to go.
+/// Extra cost of a read at the primary, in microseconds. Its slots are needed for writes, which
+/// cannot go elsewhere.
 const PRIMARY_COST: u64 = 10_000;
 
-/// More than any queue: tried only when nothing else is left.
+/// Extra cost of an instance that is tried only if no other is left, in microseconds. It exceeds
+/// the cost of any queue.
 const LAST_RESORT_COST: u64 = 10_000_000;
 
-/// How likely an instance is to serve a read at all.
+/// Health of an instance with regard to reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// Nothing speaks against it.
+    /// No recent failure is known.
     #[default]
     Healthy,
-    /// It refused a read for being behind a moment ago, or is leaving.
+    /// It recently refused a read for being behind, or is leaving.
     Degraded,
-    /// It did not take a connection a moment ago.
+    /// It recently failed to accept a connection.
     Down,
 }
 
-/// What is known of an instance that may serve a read.
+/// An instance that may serve a read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Candidate {
-    /// This node's connections to it that are in use, and requests that wait for one.
+    /// Connections of this node to it that are in use, plus requests that wait for one.
     pub load: usize,
-    /// Smoothed time of an exchange with it.
+    /// Smoothed round-trip time of an exchange with it.
     pub delay: time::Duration,
     /// It is in another failure domain.
     pub cross_domain: bool,
     /// It is the primary.
     pub leads: bool,
-    /// The organisation's reads go to another instance as a rule.
+    /// The organisation's reads usually go to another instance.
     pub other_preferred: bool,
-    /// Whether it is likely to serve at all.
+    /// Whether it is likely to serve a read at all.
     pub health: Health,
 }
 
 impl Candidate {
-    /// Expected cost of a read there, in microseconds of waiting.
+    /// Expected cost of a read at this instance, in microseconds of waiting.
     ///
     /// ```
     /// use mangotray_desk::candidate;
--- a/desk/src/cleanup.rs
+++ b/desk/src/cleanup.rs
@@ -1,4 +1,4 @@
-//! The end of a promotion: the replaced primary is told, then the replicas are freed.
+//! Cleanup after a promotion: demotes the replaced primary, then releases the replicas.
 
 use std::cell;
 use std::rc;
@@ -18,39 +18,40 @@
 use crate::upstream;
 use crate::wait;
 
-/// Longest wait for the answer to one command or look.
+/// Timeout of one command or status query.
 const COMMAND_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// Pause between tries to tell the replaced primary.
+/// Pause between attempts to demote the replaced primary or to release the replicas.
 const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
-/// After this long replicas are freed although the replaced primary cannot be told, as long
-/// as its successor answers: they hear of the later term from it, and take no record of an
-/// earlier one from then on. A group whose successor does not answer waits.
+/// Time after which the replicas are released although the replaced primary could not be demoted.
+/// This requires that its successor answers: the replicas learn the later term from it and then
+/// reject records of earlier terms. If the successor does not answer, the replicas stay held.
 const DEMOTION_TIMEOUT: time::Duration = time::Duration::from_secs(15);
 
-/// The end of one promotion.
+/// Cleanup after one promotion.
 ///
-/// A replaced primary that was not told goes on believing that it leads. A replica that is freed
-/// before, or starts again without its hold, receives its records, and lets it acknowledge
-/// writes that the new primary never gets.
+/// A replaced primary that was not demoted still acts as the primary. A replica that is released
+/// before the demotion, or restarts without its hold, receives records from it, and so lets it
+/// acknowledge writes that the new primary never receives.
 ///
-/// Holds are ended only by a node that surely holds the seat, and while it promotes nobody: they may
-/// be those of a later promotion. One that has lost the seat goes on telling the replaced primary; whoever
-/// holds the seat next knows the promotion from its record, and frees the replicas.
+/// Holds are released only by the holder of the promoter lease, and only while it runs no promotion
+/// of the group, as they may belong to a later promotion. A node that has lost the lease still
+/// demotes the replaced primary. The next lease holder finds the promotion's record and releases
+/// the replicas.
 pub struct Cleanup {
     group: rc::Rc<group::Group>,
     old: Option<upstream::Id>,
     candidate: upstream::Id,
     term: id::Term,
-    /// Last term that replicas were held for.
+    /// Latest term that the replicas were held for.
     held_term: id::Term,
     seat: rc::Rc<seat::Seat>,
     resumes: rc::Rc<cell::RefCell<resumes::Resumes>>,
 }
 
 impl Cleanup {
-    /// The end of a recorded promotion whose candidate has come to lead.
+    /// Creates the cleanup of a recorded promotion whose candidate leads.
     #[must_use]
     pub fn new(
         group: rc::Rc<group::Group>,
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Works until the replicas may be free; `false` where a later promotion has taken over.
+    /// Demotes the replaced primary. Returns once the replicas may be released, or `false` if a
+    /// later promotion has superseded this one.
     pub async fn demote_predecessor(&self) -> bool {
         let began = boot::now();
         loop {
@@ -83,10 +85,11 @@
             let timed_out = boot::now() > began + DEMOTION_TIMEOUT;
             if timed_out && self.successor_answers().await {
                 tracing::warn!(group = %self.group.name, old = ?self.old, candidate = %self.candidate,
-                    "replicas are freed, the replaced primary could not be told");
+                    "releasing the replicas although the replaced primary could not be demoted");
                 return true;
             }
-            // While the store is away nobody else does; a hold can be ended later, a lost commit stays lost.
+            // During an outage of the store no other node holds the replicas. A superfluous hold
+            // can be released later, while a lost commit stays lost.
             if self.seat.had() {
                 self.hold_unheld().await;
             }
@@ -94,8 +97,8 @@
         }
     }
 
-    /// Frees the replicas, once this node may, until all follow the successor or no late hold can arrive any
-    /// more; `false` where a later promotion has taken over.
+    /// Releases the replicas while this node may, until all follow the successor or no late hold
+    /// can arrive any more. Returns `false` if a later promotion has superseded this one.
     pub async fn release(&self) -> bool {
         let mut since = None;
         loop {
@@ -120,7 +123,7 @@
         self.seat.held().is_some() && !promoting
     }
 
-    // Term in which the candidate leads; it may be later than the one its replicas were held for.
+    // Term in which the candidate leads. It may be later than the term of the promotion.
     fn leading_term(&self) -> id::Term {
         let lead = self.group.lead().filter(|lead| lead.id == self.candidate);
         lead.map_or(self.term, |lead| lead.term.max(self.term))
@@ -131,7 +134,7 @@
         lead.is_some_and(|lead| lead.term > self.term && lead.id != self.candidate)
     }
 
-    // Whether the replaced primary knows, or is gone for good.
+    // Sends one demote command. Returns whether the replaced primary is a replica now, or is gone.
     async fn try_demote_predecessor(&self) -> bool {
         let roster = self.group.roster();
         let Some(old) = self.old.as_ref().and_then(|old| roster.find(old)) else {
@@ -156,7 +159,7 @@
         pools
     }
 
-    // Holds replicas that have lost their hold with an earlier life, or were added since.
+    // Holds replicas that lost their hold in a restart, or were added later.
     async fn hold_unheld(&self) {
         let others = self.others();
         let looks = self.group.look_at(&others, COMMAND_TIMEOUT).await;
@@ -171,8 +174,10 @@
         }
     }
 
-    // Holds for a later term belong to a later promotion: ending them would let commits pass
-    // by its candidate. Whether all answer, are free, and know of the term: no hold for it stops them then.
+    // Releases the replicas held for this promotion. Holds for a later term belong to a later
+    // promotion, and without them commits could be acknowledged that its candidate lacks. Returns
+    // whether all replicas answer, are released and know the term, so that no late hold for it
+    // affects them.
     async fn release_held(&self) -> bool {
         let mut pools = self.group.roster().pools();
         pools.retain(|pool| pool.id() != self.candidate);
--- a/desk/src/detector.rs
+++ b/desk/src/detector.rs
@@ -1,53 +1,54 @@
-//! When a primary is to be replaced, and by whom.
+//! Decides when and why a primary has to be replaced.
 //!
-//! Plain functions of what was seen and when; the [`crate::promoter`] looks and acts.
+//! The decision depends only on the observations and their times. [`crate::monitor`] makes the
+//! observations and acts on the decision.
 
 use std::time;
 
 use mangotray::id;
 use mangotray::stamp;
 
-/// A primary that does not answer for this long is replaced, unless the replicas show that
-/// it goes on working for others. Twenty commits a second reach a group of today's
-/// smaller user: without any for this long, chance is one in a hundred thousand.
+/// A primary that does not answer for this long is replaced, unless the replicas still receive
+/// records from it. With 20 commits a second, as in the groups of the smaller user, a healthy
+/// primary commits nothing for this long with a probability of one in a hundred thousand.
 const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// The same for a primary whose address refuses connections: its process is gone.
+/// The same for a primary whose address refuses connections, so that its process is gone.
 const REFUSED_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
-/// A primary that holds records which no replica receives for this long has lost its
-/// replicas: it acknowledges nothing any more, and its callers wait in vain.
+/// A primary that has records which no replica receives for this long has lost its replicas. It
+/// cannot acknowledge any write, so its callers wait until they time out.
 const STALL_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
-/// Replicas that seem not to move for this long are looked at; those that are only slow
-/// to apply are seen to receive, well before [`STALL_TIMEOUT`].
+/// Replicas that seem to receive nothing for this long are queried. Those that are only slow to
+/// apply are then seen to receive well before [`STALL_TIMEOUT`].
 const STALL_SUSPICION_DELAY: time::Duration = time::Duration::from_millis(400);
 
-/// Replicas that a primary without any has to have, all of which answer: one takes over, another follows
-/// it. The old primary cannot be counted on, as the replicas do not reach it.
+/// Least number of replicas, all answering, for which a stalled primary is replaced: one takes over
+/// and another follows it. The old primary may not follow, as the replicas do not reach it.
 const MIN_REPLICAS_FOR_STALL: usize = 2;
 
-/// A promotion whose replicas cannot all be held in this time is given up for now.
+/// A promotion is given up if its replicas cannot all be held in this time.
 const HOLD_TIMEOUT: time::Duration = time::Duration::from_secs(4);
 
-/// The same where the primary lives: it has nothing confirmed while its replicas are held. One hold that
-/// is not answered takes as long.
+/// The same while the primary runs, as it gets no commit confirmed while its replicas are held. One
+/// unanswered hold takes this long.
 const LIVE_HOLD_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// A primary that announced its end is replaced once no instance was added to its group for
-/// this long. An instance receives records, and lets commits be acknowledged, up to 170 ms
-/// before the list shows it. Replicas that are held do not; if the newcomer alone has a
-/// commit and cannot be held, as nobody knows it, the commit is lost with the promotion.
+/// A primary that announced its shutdown is replaced once no instance was added to its group for
+/// this long. An instance receives records, and so lets commits be acknowledged, up to 170 ms
+/// before it is listed. An unlisted instance cannot be held, and a commit that only it has
+/// received besides the primary is lost with the promotion.
 const LISTING_QUIET_PERIOD: time::Duration = time::Duration::from_millis(800);
 
-/// It is replaced at the latest this long after its announcement, of the seven seconds that
-/// it goes on working.
+/// Longest delay between the announced shutdown and the replacement. The primary runs for seven
+/// seconds after its announcement.
 const MAX_PLANNED_DELAY: time::Duration = time::Duration::from_secs(3);
 
-/// How the primary answered a look.
+/// How the primary answered a status query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// It answered, with what it has received.
+    /// It answered, with its last log position.
     Answered(stamp::Stamp),
     /// It did not answer in time.
     Silent,
@@ -55,29 +56,29 @@
     Closed,
 }
 
-/// One round of looks at a group.
+/// The observations of one round of status queries to a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Round {
     /// When the round began.
     pub started: id::Time,
     /// The primary's answer.
     pub primary: Reach,
-    /// It has announced its end.
+    /// The primary has announced its shutdown.
     pub leaving: bool,
     /// When an instance was last added to the group.
     pub added: id::Time,
-    /// Furthest position that any replica has received; none if none answered.
+    /// Last log position that any replica has received, `None` if no replica answered.
     pub received: Option<stamp::Stamp>,
-    /// Some replica is held for a term above the primary's.
+    /// Some replica is held for a later term than that of the primary.
     pub held: bool,
-    /// Replicas that there are.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Replicas that answered a look in this round; none in a round without looks.
+    /// Number of replicas that answered a status query, 0 in a round without queries.
     pub answers: usize,
 }
 
 impl Round {
-    // Whether one replica could take over and be followed by another.
+    // Whether one replica can take over and another can follow it.
     const fn has_enough_replicas(&self) -> bool {
         self.answers >= MIN_REPLICAS_FOR_STALL && self.answers == self.replicas
     }
@@ -87,7 +88,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Cause {
-    /// It announced its end.
+    /// It announced its shutdown.
     Planned,
     /// It does not answer.
     Silent,
@@ -95,14 +96,14 @@
     Crashed,
     /// It has lost its replicas.
     Stalled,
-    /// An earlier promotion was left half done.
+    /// An earlier promotion is unfinished.
     Unfinished,
-    /// It does all the work of its group, as no replica is fresh enough.
+    /// It serves all reads of its group, as no replica is fresh enough.
     Relief,
 }
 
 impl Cause {
-    /// Its name in metrics.
+    /// Label of the cause in metrics.
     ///
     /// ```
     /// use mangotray_desk::detector;
@@ -120,11 +121,10 @@
         }
     }
 
-    /// Whether the old primary may still work and is to be told that it no longer leads.
+    /// Whether the old primary may still run and has to be demoted.
     ///
-    /// Its being well is no reason to give such a promotion up. One that was left half
-    /// done may have been ordered already: it is finished, as its order may take effect
-    /// at any moment.
+    /// Such a promotion is not given up because the primary is healthy. An unfinished one may have
+    /// been ordered already. It is completed, as its order may take effect at any moment.
     ///
     /// ```
     /// use mangotray_desk::detector;
@@ -138,7 +138,7 @@
         )
     }
 
-    /// Whether the promotion may as well wait, as nothing was ordered and the primary lives.
+    /// Whether the promotion can be postponed, as the primary runs and nothing was ordered.
     ///
     /// ```
     /// use mangotray_desk::detector;
@@ -150,7 +150,7 @@
         matches!(self, Self::Planned | Self::Stalled | Self::Relief)
     }
 
-    /// For how long a promotion tries to hold all replicas before it is given up.
+    /// How long a promotion tries to hold all replicas before it is given up.
     ///
     /// ```
     /// use mangotray_desk::detector::Cause;
@@ -166,20 +166,20 @@
     }
 }
 
-/// What a node that does not hold the seat has seen of a group without a primary.
+/// What a node without the promoter lease has observed of a group without a primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Vacancy {
-    /// Since when it knows no primary; none while it knows one.
+    /// When the node lost the primary, `None` while it knows one.
     pub since: Option<id::Time>,
-    /// Furthest position that a replica was seen to have received, and when it last moved.
+    /// Last log position that a replica is known to have received, and when it last advanced.
     pub received: Option<(stamp::Stamp, id::Time)>,
 }
 
-/// What is known of one primary over time.
+/// Failure detector of one primary.
 ///
 /// ```
 /// use mangotray::stamp::Stamp;
-/// use mangotray_desk::detector::{Cause, Reach, Round, Detector};
+/// use mangotray_desk::detector::{Cause, Detector, Reach, Round};
 /// use std::time::Duration;
 /// let round = |millis, primary| Round {
 ///     started: Duration::from_millis(millis),
@@ -203,21 +203,21 @@
     silent_since: Option<id::Time>,
     closed_since: Option<id::Time>,
     leaving_since: Option<id::Time>,
-    /// Since when a record of the primary is known that no replica was seen to have received since.
+    /// The oldest record of the primary that no replica is known to have received, and when it was
+    /// first seen.
     ahead: Option<(id::Time, stamp::Stamp)>,
 }
 
 impl Detector {
-    /// A watch that goes on from what this node saw before it held the seat.
+    /// Creates a detector from what this node observed before it held the promoter lease.
     ///
-    /// The load that this answers: the store is away, a primary is lost meanwhile, and so is
-    /// the holder of the seat. Its successor has sought the primary and looked at the replicas
-    /// for seconds already; were it to wonder anew, the group would go without a
-    /// primary for 600 ms longer.
+    /// A primary and the lease holder may fail together during an outage of the store. The next
+    /// holder has searched for the primary and queried the replicas for seconds by then. A new
+    /// detector would leave the group without a primary for 600 ms longer.
     ///
     /// ```
     /// use mangotray::stamp::Stamp;
-    /// use mangotray_desk::detector::{Cause, Reach, Round, Vacancy, Detector};
+    /// use mangotray_desk::detector::{Cause, Detector, Reach, Round, Vacancy};
     /// use std::time::Duration;
     /// let vacancy = Vacancy {
     ///     since: Some(Duration::from_secs(5)),
@@ -247,7 +247,8 @@
         }
     }
 
-    /// Takes one round in and says whether the primary is to be replaced.
+    /// Adds the observations of one round and returns why the primary has to be replaced, if it has
+    /// to.
     pub fn judge(&mut self, round: &Round) -> Option<Cause> {
         self.note(round);
         if round.held {
@@ -264,7 +265,7 @@
                 round.started >= since_last_change + limit
             })
         };
-        // Only with a word from the replicas: a node that reaches nobody knows nothing.
+        // A node that reaches no replica either may be cut off itself, and cannot judge.
         round.received?;
         if over(self.closed_since, REFUSED_TIMEOUT) {
             return Some(Cause::Crashed);
@@ -278,13 +279,13 @@
         stalled.then_some(Cause::Stalled)
     }
 
-    /// Furthest position that any replica was seen to have received.
+    /// Last log position that any replica is known to have received.
     #[must_use]
     pub const fn furthest(&self) -> Option<stamp::Stamp> {
         self.received
     }
 
-    /// Whether something is amiss, so that the next round should come soon.
+    /// Whether a failure is suspected, so that the next round should follow soon.
     #[must_use]
     pub fn is_suspect(&self, now: id::Time) -> bool {
         let ahead = self
@@ -306,7 +307,8 @@
         );
         self.closed_since = began(self.closed_since, round.primary == Reach::Closed);
         self.leaving_since = began(self.leaving_since, round.leaving);
-        // A primary whose connections are taken by writes that wait answers only now and then.
+        // A primary whose connections are occupied by waiting writes answers only some of the
+        // queries, so a missing answer does not reset this.
         self.ahead
             .take_if(|(_, record)| round.received >= Some(*record));
         if let (Reach::Answered(own), Some(theirs)) = (round.primary, round.received)
--- a/desk/src/monitor.rs
+++ b/desk/src/monitor.rs
@@ -1,4 +1,8 @@
-//! Watches over the primary of one group while this node holds the promoter's seat.
+//! Monitors the primary of one group while this node holds the promoter lease.
+//!
+//! Each round queries the group, lets the [`detector`] decide whether the primary has to be
+//! replaced, and runs the promotion if so. Promotions that an earlier lease holder has recorded
+//! are completed or withdrawn first.
 
 use std::rc;
 use std::time;
@@ -22,36 +26,37 @@
 use crate::upstream;
 use crate::wait;
 
-/// Pause between rounds of looks at a calm group. Three groups cost about ten looks a
-/// second, of which most are answered by traffic.
+/// Pause between rounds while the group is healthy. Three groups need about ten status queries a
+/// second, most of which are answered from traffic.
 const IDLE_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
-/// Pause between rounds while something is amiss.
+/// Pause between rounds while a failure is suspected.
 const SUSPECT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// An order that has not taken effect this long after this node first asked for its end never
-/// will: the call takes 0.8 s at most and a promotion 0.6 s; the rest is for a platform that
-/// carries out late what it did not answer. Until then nobody may take writes.
+/// Time after which a promotion order without a visible effect is considered dead, from when this
+/// node first checked for its outcome. The call takes 0.8 s at most and a promotion 0.6 s; the rest
+/// allows for a platform that carries out an unanswered call late. The group may take no writes
+/// until then.
 pub const ORDER_TIMEOUT: time::Duration = time::Duration::from_secs(8);
 
-/// The watch over one group.
+/// Monitor of one group.
 pub struct Monitor {
     promoter: rc::Rc<promoter::Promoter>,
     group: rc::Rc<group::Group>,
     detector: detector::Detector,
     watched: Option<sampler::Lead>,
-    /// One that is watched though nobody has seen it lead: an order may have made it the primary.
+    /// A watched instance that was never seen leading, but that an order may have promoted.
     assumed: Option<sampler::Lead>,
     relief: relief::Relief,
     backoff: backoff::Backoff,
-    /// Since when a promotion is held back.
+    /// When the current hold-back of a promotion began.
     held_back: Option<id::Time>,
-    /// The promotion that was resumed last, and since when this node knows of it.
+    /// The recorded promotion that was checked last, and when it was first checked.
     resumed_order: Option<(intent::Intent, id::Time)>,
 }
 
 impl Monitor {
-    /// A watch that has seen nothing yet.
+    /// Creates a monitor without any observations.
     #[must_use]
     pub fn new(promoter: rc::Rc<promoter::Promoter>, group: rc::Rc<group::Group>) -> Self {
         Self {
@@ -67,7 +72,7 @@
         }
     }
 
-    /// Watches for ever.
+    /// Runs rounds until the task is dropped.
     pub async fn run(mut self) {
         loop {
             let suspect = self.detector.is_suspect(boot::now()) || self.relief.is_near();
@@ -87,14 +92,15 @@
         }
     }
 
-    // Takes over what this node believes of who leads, or makes a guess.
+    // Updates the watched primary from this node's view of the group, or infers it from the
+    // instances if none is known.
     async fn update_watched(&mut self) {
-        // A belief older than the last promotion would have it taken for one left undone.
+        // A view older than the last promotion would make that promotion look unfinished.
         let term = self.watched.as_ref().map_or(0, |lead| lead.term);
         if let Some(lead) = self.group.lead().filter(|lead| lead.term >= term) {
             match self.watched.clone() {
-                // Somebody else's promotion has come to its end: whoever ordered it may be gone,
-                // with the replicas still held and the old primary not told.
+                // Another node's promotion has taken effect. That node may have stopped while the
+                // replicas were still held and the old primary was not demoted.
                 Some(old) if lead.term > old.term && lead.id != old.id => {
                     self.adopt(lead, &old).await;
                 }
@@ -120,13 +126,13 @@
         let Some(cause) = self.find_cause(&lead).await else {
             return;
         };
-        // A promotion holds all replicas that are listed: one that is missing may be the
-        // only one with an acknowledged commit.
+        // A promotion holds the listed replicas. One that is missing from the list may be the
+        // only one with an acknowledged commit, so the list has to be settled.
         let seat = self.promoter.seat();
         if seat.held().is_none() || !self.group.roster().is_settled() {
             return;
         }
-        // It may have come back under another id, or been replaced, while it was looked for.
+        // The primary may have come back under another id, or been replaced, during the queries.
         let found = self.group.lead();
         if found.is_some_and(|found| found != lead && found.term >= lead.term) {
             return;
@@ -168,9 +174,9 @@
         }
     }
 
-    // Whether a primary that lives may have its replicas held now: meanwhile it has nothing confirmed, so
-    // all of them have to answer, and a promotion that came to nothing lately is not repeated unless the
-    // primary has ended since.
+    // Whether the replicas of a running primary may be held now. The primary gets no commit
+    // confirmed meanwhile, so all replicas have to answer, and a promotion that failed recently is
+    // not repeated before its backoff ends, unless the primary no longer leads.
     async fn may_attempt(&self, lead: &sampler::Lead, cause: detector::Cause) -> bool {
         let survey = survey::Survey::new(&self.group, lead);
         let rested = self.backoff.permits(&lead.id, cause, boot::now());
@@ -178,13 +184,14 @@
         let whole = permitted && survey.is_whole().await;
         if !whole {
             tracing::info!(group = %self.group.name, primary = %lead.id, term = lead.term, ?cause,
-                permitted, whole, "promotion put off");
+                permitted, whole, "promotion postponed");
         }
         whole
     }
 
-    // Whether the store may have lost the record of an order, so that nobody is ordered in this round
-    // and no replica freed. Where its candidate leads by now, that one is taken over.
+    // Handles an order whose record the store may have lost. Returns whether this round ends
+    // without a promotion and without releasing replicas. If the candidate of the order leads by
+    // now, it becomes the watched primary.
     async fn handle_lost_order(&mut self, lead: &sampler::Lead) -> bool {
         if !self.promoter.may_have_lost_order(&self.group.name) {
             return false;
@@ -210,22 +217,22 @@
         }
     }
 
-    // Whether an instance that is not held was not held by an order in doubt either: one that has
-    // started again since has lost its hold, and its word says nothing.
+    // Whether the hold state of an instance proves that no lost order is in flight. An instance
+    // that restarted too recently has lost its hold, so its answer proves nothing.
     fn has_reliable_hold_state(&self, id: &upstream::Id, now: id::Time) -> bool {
         let pool = self.group.roster().find(id);
         let reborn = pool.and_then(|pool| pool.restarted_at());
         reborn.is_none_or(|reborn| now > reborn + doubt::ORDERS_OVER)
     }
 
-    // Why the primary is to be replaced, if it is.
+    // Returns why the primary has to be replaced, if it has to.
     async fn find_cause(&mut self, lead: &sampler::Lead) -> Option<detector::Cause> {
         if let Some(intent) = self.promoter.seat().intent(&self.group.name) {
             self.group.note_received(intent.received);
             if intent.term > lead.term {
                 return self.resume(&intent, lead).await;
             }
-            // One that may never have led is no reason to dismiss the primary before it.
+            // If the candidate may never have led, its predecessor must not be demoted.
             if intent.candidate == lead.id && self.was_seen_leading(lead) {
                 self.promoter.clean_up(&self.group, &intent, intent.term);
             }
@@ -242,7 +249,8 @@
         cause
     }
 
-    // What is left to do of a recorded promotion of which this node has not seen the end.
+    // Continues a recorded promotion whose outcome this node has not seen. Returns the cause of a
+    // new attempt if one is needed.
     async fn resume(
         &mut self,
         intent: &intent::Intent,
@@ -252,8 +260,8 @@
         let listed: Vec<_> = pools.iter().map(|pool| pool.id()).collect();
         let looks = self.group.look_at(&pools, survey::LOOK).await;
         let mut outcome = intent.outcome(&looks, &listed);
-        // Another process of the candidate has none of its records, and a primary that leads as
-        // before goes on.
+        // The order is void after its timeout if the candidate has restarted, as it has lost its
+        // log then, or if the old primary still leads and can continue.
         let processes: Vec<_> = pools.iter().map(|pool| (pool.id(), pool.born())).collect();
         let other = !processes.contains(&intent.life());
         let open = outcome == intent::Outcome::Open;
@@ -261,7 +269,7 @@
             outcome = intent::Outcome::Void;
         }
         tracing::info!(group = %self.group.name, candidate = %intent.candidate, term = intent.term,
-            primary = %lead.id, answers = looks.len(), ?outcome, "recorded promotion");
+            primary = %lead.id, answers = looks.len(), ?outcome, "checked recorded promotion");
         match outcome {
             intent::Outcome::Leads(found) => {
                 self.note_held_back(false);
@@ -292,7 +300,7 @@
         }
     }
 
-    // Whether the watched primary was seen to lead, be it lately.
+    // Whether the watched primary was ever seen leading.
     fn was_seen_leading(&mut self, lead: &sampler::Lead) -> bool {
         if self.group.lead().as_ref() == Some(lead) {
             self.assumed = None;
@@ -300,7 +308,7 @@
         self.assumed.as_ref() != Some(lead)
     }
 
-    // Whether a recorded promotion would have taken effect by now.
+    // Whether a recorded promotion is too old to still take effect.
     fn is_timed_out(&mut self, intent: &intent::Intent) -> bool {
         let now = boot::now();
         match &self.resumed_order {
@@ -312,8 +320,8 @@
         }
     }
 
-    // Another instance leads a later term: the one that was watched is told, then replicas
-    // that are still held are freed.
+    // Makes an instance that leads a later term the watched primary. The cleanup demotes the
+    // previous one and releases replicas that are still held.
     async fn adopt(&mut self, found: sampler::Lead, old: &sampler::Lead) {
         let recorded = self.promoter.seat().intent(&self.group.name);
         let recorded = recorded.filter(|intent| intent.candidate == found.id);
@@ -332,7 +340,8 @@
         self.set_watched(found);
     }
 
-    // Whether the primary should change places with a replica for relief.
+    // Whether the primary should swap roles with a replica, as no replica is fresh enough for
+    // reads.
     async fn needs_relief(&mut self, lead: &sampler::Lead) -> bool {
         let age = self.promoter.node().catalog().oldest(&self.group.name);
         let survey = survey::Survey::new(&self.group, lead);
@@ -345,15 +354,16 @@
         due
     }
 
-    // Furthest record that may have been acknowledged, by all that was seen and recorded. A
-    // watch forgets with each try; what replicas have received must not be forgotten with it.
+    // Last log position that may have been acknowledged, from this node's view of the group and
+    // from the detector. The group keeps it across attempts, while the detector is reset with each.
     fn furthest(&self, lead: &sampler::Lead) -> Option<stamp::Stamp> {
         let watched = self.detector.furthest();
         let watched = watched.filter(|stamp| stamp.term >= lead.term);
         self.group.furthest().max(watched)
     }
 
-    // One line and one gauge for as long as it lasts: callers are refused meanwhile.
+    // Logs the start and the end of a hold-back once each and sets the gauge, as callers are
+    // refused while it lasts.
     fn note_held_back(&mut self, held_back: bool) {
         if held_back == self.held_back.is_some() {
             return;
@@ -365,7 +375,7 @@
         } else {
             self.held_back = Some(now);
             tracing::warn!(group = %self.group.name, primary = ?self.watched,
-                "promotion held back: only an instance that does not answer may have all acknowledged commits");
+                "promotion held back: only an unreachable instance may have all acknowledged commits");
         }
         let gauge = metrics::gauge!(telemetry::HELD_BACK, "group" => self.group.name.to_string());
         gauge.set(if held_back { 1.0 } else { 0.0 });
@@ -376,7 +386,7 @@
     look.status.role == role::Role::Primary
 }
 
-// Whether the watched primary answers and leads.
+// Whether the watched primary is among the answers and leads.
 fn answers_as_primary(looks: &[sampler::Look], lead: &sampler::Lead) -> bool {
     let own = looks.iter().find(|look| look.id == lead.id);
     own.is_some_and(is_primary)
--- a/desk/src/promoter.rs
+++ b/desk/src/promoter.rs
@@ -1,4 +1,8 @@
-//! Replaces primaries, on the one node that holds the seat.
+//! Replaces primaries, on the one node that holds the promoter lease.
+//!
+//! A promotion holds all replicas for a new term, so that the old primary can acknowledge nothing
+//! more, chooses the replica with the longest log, records its intent in the store and orders the
+//! candidate to lead. A [`cleanup`] then demotes the old primary and releases the replicas.
 
 use std::cell;
 use std::collections;
@@ -31,59 +35,61 @@
 use crate::wait;
 use crate::witness;
 
-/// Pause between looks for groups that are new in the configuration.
+/// Interval at which the configuration is checked for new groups.
 const GROUP_SCAN_INTERVAL: time::Duration = time::Duration::from_millis(300);
 
-/// Time after which an instance that receives records is listed, and the list has come here.
+/// Time within which an instance that receives records is listed, and the list has reached this
+/// node.
 const LISTING_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// Pause between holds while an earlier end of a hold may yet arrive.
+/// Pause between holds while an earlier resume command may still arrive.
 const HOLD_RETRY_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// What came of one try to replace a primary.
+/// Result of one attempt to replace a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The candidate leads.
+    /// The candidate is the new primary.
     Promoted(sampler::Lead),
-    /// Another instance leads a later term already.
+    /// Another instance already leads a later term.
     Overtaken(sampler::Lead),
-    /// Only an instance that does not answer may have all commits.
+    /// Only an instance that does not answer may have all acknowledged commits.
     HeldBack,
-    /// Nothing for now.
+    /// The attempt was given up; a later one may succeed.
     GivenUp,
 }
 
-/// The replicas of a group, all held.
+/// The held replicas of a group and the candidate chosen among them.
 struct Selection {
     looks: Vec<sampler::Look>,
     processes: promotion::Processes,
     candidate: upstream::Id,
-    /// Last record of the candidate.
+    /// Last log position that the candidate received.
     position: stamp::Stamp,
 }
 
-/// How far the end of a promotion has come.
+/// State of the cleanup after a promotion.
 struct Progress {
     term: id::Term,
+    /// The demotion of the replaced primary has ended; only replicas may be left to release.
     done: bool,
 }
 
-/// Replaces primaries while the seat is held.
+/// Replaces primaries while this node holds the promoter lease.
 pub struct Promoter {
     node: rc::Rc<node::Node>,
     seat: rc::Rc<seat::Seat>,
     duty: rc::Rc<dyn duty::Duty>,
-    /// The ends of promotions, done or under way, that this node knows of.
+    /// The last cleanup of each group that this node knows of, finished or running.
     cleanups: cell::RefCell<collections::BTreeMap<id::Group, Progress>>,
-    /// The last orders, and when this node last knew them on their way.
+    /// The last order of each group, and the time from which its timeout counts on this node.
     ordered: cell::RefCell<collections::BTreeMap<id::Group, (intent::Intent, id::Time)>>,
-    /// Groups of which no order was under way when the store came back, and in which era.
+    /// Groups found to have no order in flight after the store came back, with the store's era.
     orderless: cell::RefCell<collections::BTreeMap<id::Group, store::Era>>,
     resumes: rc::Rc<cell::RefCell<resumes::Resumes>>,
 }
 
 impl Promoter {
-    /// A promoter that does nothing yet.
+    /// Creates a promoter; [`Promoter::run`] starts it.
     #[must_use]
     pub fn new(
         node: rc::Rc<node::Node>,
@@ -101,19 +107,19 @@
         })
     }
 
-    /// The seat.
+    /// The promoter lease.
     #[must_use]
     pub fn seat(&self) -> &seat::Seat {
         &self.seat
     }
 
-    /// This node.
+    /// The node that this promoter runs on.
     #[must_use]
     pub fn node(&self) -> &node::Node {
         &self.node
     }
 
-    /// Watches over all groups, for ever.
+    /// Starts a monitor for each group, also for groups configured later. Never returns.
     pub async fn run(self: rc::Rc<Self>) {
         let mut watched = collections::BTreeSet::new();
         loop {
@@ -127,7 +133,8 @@
         }
     }
 
-    /// Replaces the primary `lead`, of whose group some replica has received `furthest`.
+    /// Replaces the primary `lead`. `furthest` is the last log position that any replica of the
+    /// group is known to have received.
     pub async fn replace(
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
@@ -184,20 +191,21 @@
         let outcome = self.send_order(&promotion, lead, &selection).await;
         if let duty::Outcome::Refused(_) = outcome {
             if relief {
-                // Without a primary the replicas stay held, for a promotion that is finished
-                // next; nobody may go on believing in the one that has given up.
+                // The primary has stepped down. The replicas stay held for the next attempt, and
+                // requests must no longer be sent to it.
                 group.doubt(lead.term, "the primary has given up");
             } else if cause.primary_may_run()
                 && survey::Survey::new(&promotion.group, lead).leads().await
             {
-                // It surely was not carried out: a primary that lives goes on, in place of
-                // waiting for replicas that are held until promotions are possible again.
+                // The order was not carried out, so a running primary can continue. Otherwise
+                // its replicas would stay held until promotions are possible again.
                 self.release(group, lead).await;
             }
             return Outcome::GivenUp;
         }
-        // Where nobody knows whether the order arrived, the primary may be the only one for long:
-        // it is told once the candidate leads. Its replicas are held, so that it acknowledges nothing.
+        // If it is unknown whether the order arrived, the old primary may long remain the only
+        // one, so it is demoted only once the candidate leads. It acknowledges nothing meanwhile,
+        // as its replicas are held.
         if cause.primary_may_run() && outcome == duty::Outcome::Accepted {
             promotion
                 .while_holding(candidate, promotion.demote_predecessor())
@@ -211,13 +219,13 @@
         done
     }
 
-    // Tells the primary to give up before its successor is ordered; whether it has done so.
+    // Makes the primary step down before its successor is ordered. Returns whether it has done so.
     //
-    // A loaded primary takes new records all the time, and asking it where its log stands
-    // takes as long as its queue: most changes of places would find it ahead of the held
-    // replicas and be withdrawn. Once it has given up it acknowledges nothing more. If it is
-    // ahead then, only an instance that is not listed yet can have had part in an
-    // acknowledgement; it is waited for, and the promotion begins anew if one appears.
+    // A loaded primary appends records all the time, and a query for its log position takes as
+    // long as its queue, so most relief promotions would find it ahead of the held replicas and
+    // be withdrawn. After the step-down it acknowledges nothing more. If it is ahead then, only
+    // an instance that is not listed yet can have contributed to an acknowledgement. The listing
+    // delay is waited for, and the promotion starts over if such an instance appears.
     async fn step_down_first(
         &self,
         promotion: &promotion::Promotion,
@@ -235,39 +243,39 @@
             .find(|look| look.id == *candidate)
             .map(|look| look.status.received);
         let ahead = stands.is_none() || stands > received;
-        tracing::info!(group = %promotion.group.name, ?stands, ?received, ahead, "the primary has given up");
+        tracing::info!(group = %promotion.group.name, ?stands, ?received, ahead, "the primary has stepped down");
         if ahead {
             wait::sleep(LISTING_DELAY).await;
         }
         true
     }
 
-    // Whether an order may be in force, or take effect, that makes an instance the primary of a
-    // later term than `lead` has.
+    // Whether an order may have taken effect, or may still do so, that makes an instance the
+    // primary of a later term than that of `lead`.
     fn has_open_order(&self, group: &id::Group, lead: &sampler::Lead) -> bool {
         let intent = self.seat.intent(group);
         intent.is_some_and(|intent| intent.term > lead.term)
     }
 
-    /// Whether an order may be in force whose record the store has lost.
+    /// Whether an order may be in force whose record the store has lost in an outage.
     pub fn may_have_lost_order(&self, group: &id::Group) -> bool {
         let orderless = self.orderless.borrow().get(group).copied();
         self.seat.is_doubtful() && orderless != Some(self.seat.era())
     }
 
-    /// Notes that there is none.
+    /// Notes that in the store's present era the group has no order whose record was lost.
     pub fn note_no_lost_order(&self, group: &id::Group) {
         let era = self.seat.era();
         self.orderless.borrow_mut().insert(group.clone(), era);
     }
 
-    // Whether the one that was replaced last knows, or is gone.
+    // Whether the primary that was replaced last has been demoted, or is gone.
     fn is_predecessor_demoted(&self, group: &id::Group) -> bool {
         let cleanups = self.cleanups.borrow();
         cleanups.get(group).is_none_or(|progress| progress.done)
     }
 
-    // Holds all replicas, and again until no end of an earlier hold was on its way to them meanwhile.
+    // Holds all replicas, repeatedly until no earlier resume command can have arrived in between.
     async fn hold_after_resumes(
         &self,
         promotion: &promotion::Promotion,
@@ -279,7 +287,7 @@
             let resume_until = self.resumes.borrow_mut().until(&group.name, boot::now());
             if resume_until.is_some() && promotion.cause.can_wait() {
                 tracing::info!(group = %group.name, term = promotion.term,
-                    "no promotion yet: the end of an earlier hold may be on its way");
+                    "promotion postponed: an earlier resume command may still arrive");
                 return Err(Outcome::GivenUp);
             }
             let selection = self.hold(promotion, lead).await?;
@@ -287,24 +295,24 @@
                 return Ok(selection);
             };
             if self.has_returned(promotion, lead).await {
-                tracing::warn!(group = %group.name, term = promotion.term, "promotion given up: the primary has returned");
+                tracing::warn!(group = %group.name, term = promotion.term, "promotion given up: the old primary is leading again");
                 self.release(group, lead).await;
                 return Err(Outcome::GivenUp);
             }
             let left = until.saturating_sub(boot::now());
             if !logged {
                 tracing::info!(group = %group.name, term = promotion.term, left_ms = left.as_millis(),
-                    "no order yet: the end of an earlier hold may be on its way");
+                    "promotion order delayed: an earlier resume command may still arrive");
                 logged = true;
             }
             wait::sleep(left.min(HOLD_RETRY_INTERVAL)).await;
         }
     }
 
-    /// Holds all replicas for the new term and chooses among them.
+    /// Holds all replicas for the new term and chooses a candidate among them.
     ///
-    /// Any of them may be the only one besides the old primary that has an acknowledged
-    /// commit; promoting without it would lose a booking that somebody was promised.
+    /// Each of them may be the only instance besides the old primary that has an acknowledged
+    /// commit, so a promotion without its answer could lose that commit.
     async fn hold(
         &self,
         promotion: &promotion::Promotion,
@@ -343,7 +351,7 @@
                 verdict = view.resolve(&old, leaves);
                 stands = old.look().cloned();
                 tracing::info!(group = %group.name, furthest = ?promotion.furthest, loss = ?view.loss, ?old, ?verdict,
-                    "no replica has all that one had received");
+                    "no replica has all records that a replica had received");
             }
             if let verdict::Verdict::Promote(candidate) = &verdict
                 && view.is_empty(candidate)
@@ -351,12 +359,12 @@
             {
                 verdict = view.resolve(&old, leaves);
                 stands = old.look().cloned();
-                tracing::info!(group = %group.name, ?old, ?verdict, "no replica has any record");
+                tracing::info!(group = %group.name, ?old, ?verdict, "the logs of all replicas are empty");
             }
             match verdict {
                 verdict::Verdict::Promote(candidate) if promotion.has_unknown_id(&candidate) => {
                     tracing::info!(group = %group.name, %candidate,
-                        "an instance whose id is not known has the furthest log");
+                        "the instance with the longest log cannot be promoted: its id is unknown");
                 }
                 verdict::Verdict::Promote(candidate) => {
                     let mut answers = looks.iter().chain(&stands);
@@ -371,7 +379,7 @@
                 }
                 verdict::Verdict::Overtaken(found) => return Err(Outcome::Overtaken(found)),
                 verdict::Verdict::HeldBack => {
-                    // A primary that comes back has to find replicas that receive from it.
+                    // If the primary comes back, its replicas must be able to receive from it.
                     self.release(group, lead).await;
                     return Err(Outcome::HeldBack);
                 }
@@ -395,9 +403,10 @@
         }
     }
 
-    // What a replica may have confirmed before it lost its log, where one has lost it under this
-    // primary. With an open order all were held before, with what is recorded. A primary that
-    // lives and is cut off from its replicas would keep its place for as long as that lasts.
+    // If a replica has lost its log under this primary, the bound on the records that it may have
+    // confirmed before. While an order is open, all replicas were held before it, so the position
+    // in the order's record is that bound. A stalled primary is exempt: it is cut off from its
+    // replicas and could not be replaced for as long as that lasts.
     fn loss(
         &self,
         promotion: &promotion::Promotion,
@@ -414,8 +423,8 @@
         Some(within.map_or(verdict::Loss::Unknown, verdict::Loss::Within))
     }
 
-    // Whether a recorded order would have taken effect by now. Waiting for it has to end: its candidate
-    // may lack what another has, and nobody leads meanwhile.
+    // Whether a recorded order is too old to still take effect. The wait must end, because the
+    // candidate may lack records that another replica has, and the group has no primary meanwhile.
     fn is_timed_out(&self, intent: &intent::Intent) -> bool {
         let now = boot::now();
         let mut ordered = self.ordered.borrow_mut();
@@ -428,11 +437,11 @@
         }
     }
 
-    // Makes a replica of an instance that leads a term which is over, as nobody has told it.
+    // Demotes an instance that still leads a term that is over, as it was never notified.
     //
-    // Where none of the others has heard of the term that is replaced, its primary may never have
-    // led: the one that leads the term before is then the only one that does, and gives up
-    // only for a promotion that can be ordered now.
+    // If no other instance knows the term that is replaced, its primary may never have led. Then
+    // the primary of the earlier term is the only one, and is demoted only for a promotion that
+    // can be ordered now.
     async fn demote_stale(
         &self,
         promotion: &promotion::Promotion,
@@ -456,7 +465,7 @@
         }
     }
 
-    // Whether all but one of the instances are held, and the seat is confirmed.
+    // Whether all instances but one are held and the store confirms the promoter lease.
     async fn could_order(
         &self,
         promotion: &promotion::Promotion,
@@ -469,8 +478,8 @@
         held.count() + 1 == expected && self.seat.confirm().await.is_some()
     }
 
-    // Whether a primary that was given up, or that a promotion without an order has left
-    // without replicas, answers and leads.
+    // Whether the old primary answers and leads, although it was presumed lost or an unfinished
+    // promotion without an order has held its replicas.
     async fn has_returned(&self, promotion: &promotion::Promotion, lead: &sampler::Lead) -> bool {
         let unfinished = promotion.cause == detector::Cause::Unfinished;
         let given_up = !promotion.cause.primary_may_run();
@@ -478,32 +487,32 @@
         (given_up || unordered) && survey::Survey::new(&promotion.group, lead).leads().await
     }
 
-    /// Frees the replicas of a promotion that is given up, unless a primary that was replaced
-    /// may then acknowledge writes that its successor never gets.
+    /// Releases the replicas of a promotion that was given up, unless a replaced primary could then
+    /// acknowledge writes that its successor never receives.
     ///
-    /// That is so while an order may be in force whose end nobody has seen, and until the
-    /// primary before the present one knows that it leads no more, unless the present one
-    /// answers: replicas follow it then. What stays held is freed by the end of the promotion
-    /// that needs it.
+    /// That is possible while an order with an unknown outcome may be in force, and until the
+    /// previous primary has been demoted, unless the present primary answers: the replicas follow
+    /// it in that case. Replicas that stay held are released by the cleanup of the promotion that
+    /// needs the holds.
     ///
-    /// A node that does not surely hold the seat ends no hold: it may be that of its successor, who finds the
-    /// replicas held and knows why.
+    /// A node whose promoter lease may have ended releases nothing: the holds may be those of the
+    /// next lease holder.
     pub async fn release(&self, group: &rc::Rc<group::Group>, lead: &sampler::Lead) {
         if self.seat.held().is_none() {
-            tracing::info!(group = %group.name, "replicas stay held: the seat is not surely held");
+            tracing::info!(group = %group.name, "replicas stay held: the promoter lease may have ended");
             return;
         }
         if self.may_have_lost_order(&group.name) {
-            tracing::info!(group = %group.name, "replicas stay held: the store may have lost the record of an order");
+            tracing::info!(group = %group.name, "replicas stay held: the store may have lost the record of a promotion order");
             return;
         }
         if self.has_open_order(&group.name, lead) {
-            tracing::info!(group = %group.name, "replicas stay held: an order may be in force");
+            tracing::info!(group = %group.name, "replicas stay held: a promotion order may be in force");
             return;
         }
         let survey = survey::Survey::new(group, lead);
         if !self.is_predecessor_demoted(&group.name) && !survey.leads().await {
-            tracing::info!(group = %group.name, "replicas stay held: a replaced primary does not know yet");
+            tracing::info!(group = %group.name, "replicas stay held: a replaced primary is not demoted yet");
             return;
         }
         let may = || self.seat.held().is_some();
@@ -527,10 +536,10 @@
             .record(&promotion.intent(&selection.candidate, &selection.looks))
             .await
         else {
-            tracing::warn!(%group, "the seat is not confirmed, no order");
+            tracing::warn!(%group, "no promotion ordered: the store did not confirm the promoter lease");
             return duty::Outcome::Refused("the seat is not confirmed".into());
         };
-        // One that has started again since is not held, and one that was added never was.
+        // A replica that restarted has lost its hold, and one that was added never had one.
         let outcome = if promotion.are_held().await && promotion.processes() == selection.processes
         {
             let order = duty::Order {
@@ -583,11 +592,12 @@
         })
     }
 
-    /// Brings a promotion whose candidate leads `term` to its end.
+    /// Completes a promotion whose candidate leads in `term`: starts the cleanup and corrects the
+    /// term in the promotion's record.
     ///
-    /// Where an order before it never took effect, that may be an earlier term than the replicas were held for.
-    /// Were the record to keep the later one, replicas would be held for it again, and nobody would believe in a primary
-    /// that is seen to be replaced.
+    /// If an earlier order never took effect, the candidate may lead an earlier term than the
+    /// replicas were held for. With the later term in the record, replicas would be held for it
+    /// again, and nodes would reject the new primary as already replaced.
     pub async fn complete(
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
@@ -601,12 +611,12 @@
         self.clean_up(group, &led, intent.term);
         if term < intent.term && self.seat.record(&led).await.is_none() {
             tracing::warn!(group = %group.name, candidate = %intent.candidate, term,
-                "the term of a promotion is not corrected in its record");
+                "cannot correct the term in the record of a promotion");
         }
     }
 
-    /// Brings a promotion whose candidate leads to its end in the background, once: the replaced
-    /// primary is told, then the replicas are freed that were held for the term `held` or an earlier one.
+    /// Starts the cleanup after a promotion in the background, once per term: demotes the replaced
+    /// primary, then releases the replicas held for the term `held` or an earlier one.
     pub fn clean_up(
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
@@ -636,7 +646,7 @@
             let told = cleanup.demote_predecessor().await;
             promoter.note_predecessor_demoted(&name, term);
             let done = told && cleanup.release().await;
-            tracing::info!(group = %name, term, done, "promotion settled");
+            tracing::info!(group = %name, term, done, "promotion cleaned up");
         };
         self.node.executor().spawn(work).detach();
     }
@@ -650,7 +660,7 @@
     }
 }
 
-// Whose logs this choice rests on.
+// Records which logs the choice of the candidate is based on.
 fn audit(promotion: &promotion::Promotion, selection: &Selection) -> audit::Audit {
     let roster = promotion.group.roster();
     let now = boot::now();
@@ -670,8 +680,8 @@
     }
 }
 
-// Looks once at all instances after a promotion, and tells whose records the new primary lacks. What
-// is seen here is no part of what this node believes.
+// Queries all instances once after a promotion and reports records that the new primary lacks. The
+// answers do not change this node's view of the group.
 async fn check_losses(group: rc::Rc<group::Group>, audit: audit::Audit) {
     let pools = group.roster().pools();
     let looks = sampler::look_at_all(&pools, group.dialer(), survey::LOOK).await;
@@ -683,7 +693,7 @@
         let received = look.status.received;
         if audit.old.as_ref() == Some(&look.id) {
             tracing::warn!(group = %group.name, instance = %look.id, %received, %candidate, %position, term,
-                "the replaced primary has records that its successor lacks: nobody confirmed them, or they are lost");
+                "the replaced primary has records that the new primary lacks: they are lost if they were acknowledged");
         } else {
             metrics::counter!(telemetry::LOSSES, "group" => group.name.to_string()).increment(1);
             tracing::error!(group = %group.name, instance = %look.id, %received, %candidate, %position, term,
@@ -692,7 +702,7 @@
     }
 }
 
-// Holds these instances.
+// Sends a hold to each instance and records the answers.
 async fn hold_each(
     promotion: &promotion::Promotion,
     pools: &[rc::Rc<pool::Pool>],
--- a/desk/src/promotion.rs
+++ b/desk/src/promotion.rs
@@ -1,4 +1,4 @@
-//! One replacement of a primary.
+//! One promotion: the replacement of a group's primary by a replica.
 
 use std::cell;
 use std::rc;
@@ -21,49 +21,51 @@
 use crate::verdict;
 use crate::wait;
 
-/// Longest wait for the answer to one hold.
+/// Timeout of one command to an instance.
 const COMMAND_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// Longest wait for a loaded primary to take a command: its queue of 24 takes 160 ms.
+/// Timeout of the step-down of a loaded primary, whose queue of 24 commands takes 160 ms.
 const STEP_DOWN_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// Longest wait for an ordered candidate to lead; promotions take 300 to 600 ms.
+/// Longest wait until an ordered candidate leads. Promotions take 300 to 600 ms.
 pub const LEADERSHIP_TIMEOUT: time::Duration = time::Duration::from_millis(1800);
 
-/// Pause between looks at a candidate.
+/// Interval between status queries to a candidate.
 pub const POLL_INTERVAL: time::Duration = time::Duration::from_millis(40);
 
-/// Pause between looks at a held replica while an order takes effect.
+/// Interval at which held replicas are checked while an order takes effect.
 const HOLD_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(120);
 
-/// Longest wait for the last looks before an order. With [`seat::CONFIRMED`](crate::seat::CONFIRMED) before it, it
-/// stays below the time that the next holder of the seat waits.
+/// Timeout of the last status queries before an order. Together with
+/// [`seat::CONFIRMED`](crate::seat::CONFIRMED) it stays below the time that the next lease holder
+/// waits before its first order.
 const FINAL_CHECK_TIMEOUT: time::Duration = time::Duration::from_millis(100);
 
-/// One replacement under way.
+/// One promotion in progress.
 pub struct Promotion {
-    /// The group.
+    /// The group whose primary is replaced.
     pub group: rc::Rc<group::Group>,
-    /// The primary that is replaced, if it is still listed.
+    /// The primary that is replaced, if the roster still has it.
     pub old: Option<rc::Rc<pool::Pool>>,
-    /// Why.
+    /// Why the primary is replaced.
     pub cause: detector::Cause,
-    /// Term for which replicas are held.
+    /// Term that the replicas are held for.
     pub term: id::Term,
-    /// When it began.
+    /// When the promotion began.
     pub began: id::Time,
-    /// Furthest position that any replica was ever seen to have received.
+    /// Last log position that any replica is known to have received.
     pub furthest: Option<stamp::Stamp>,
 }
 
-/// One process of an instance.
+/// One process of an instance. A restarted instance has a new one.
 pub type Process = (upstream::Id, upstream::Birth);
 
-/// The lives of the replicas that were held.
+/// The processes of the replicas that were held.
 pub type Processes = Vec<Process>;
 
 impl Promotion {
-    /// The term in which the candidate comes to lead within `limit`, if it does. The other replicas are kept held meanwhile.
+    /// Waits up to `limit` until the candidate leads, and keeps the other replicas held meanwhile.
+    /// Returns the term in which it leads.
     pub async fn await_leadership(
         &self,
         candidate: &upstream::Id,
@@ -73,11 +75,11 @@
             .await
     }
 
-    /// Awaits `work`, and until it is done holds the other replicas again whose hold has ended.
+    /// Awaits `work`, and holds any other replica again that loses its hold meanwhile.
     ///
-    /// An order takes some hundred milliseconds. A replica that starts again in that time, or that a late command
-    /// frees, would let the old primary acknowledge what its successor never gets. A hold that arrives only
-    /// after the effect is ended with the promotion.
+    /// An order takes some hundred milliseconds. A replica that restarts in that time, or is
+    /// released by a late command, would let the old primary acknowledge writes that its successor
+    /// never receives. A hold that arrives after the candidate leads is released by the cleanup.
     pub async fn while_holding<T>(
         &self,
         candidate: &upstream::Id,
@@ -90,7 +92,7 @@
         work.or(keep).await
     }
 
-    // For ever; one that does not answer delays none of the others.
+    // Never returns. A replica that does not answer delays none of the others.
     async fn keep_held(&self, candidate: &upstream::Id) {
         loop {
             let pools = self.others(candidate);
@@ -99,7 +101,7 @@
                 futures_util::future::join_all(watches).await;
                 future::pending::<()>().await;
             };
-            // One that was added has to be held as well.
+            // A replica that is added has to be held as well.
             self.membership_changed(candidate, &pools).or(watches).await;
         }
     }
@@ -113,7 +115,7 @@
             };
             if is_not_held(&look, self.term) {
                 tracing::warn!(group = %self.group.name, instance = %look.id, term = self.term,
-                    received = %look.status.received, "a hold has ended before its promotion");
+                    received = %look.status.received, "replica lost its hold before the candidate led");
                 send(pool, &upstream::Command::Hold(self.term), dialer).await;
             }
         }
@@ -134,7 +136,7 @@
         pools
     }
 
-    /// All instances that there are but the one that is replaced.
+    /// All instances of the roster except the one that is replaced.
     #[must_use]
     pub fn replicas(&self) -> Vec<rc::Rc<pool::Pool>> {
         let old = self.old.as_ref().map(|pool| pool.id());
@@ -143,7 +145,8 @@
         pools
     }
 
-    /// Whether no replica tells right before the order that its hold has ended since; silence tells nothing.
+    /// Checks right before the order that no replica reports a lost hold. A replica that does not
+    /// answer counts as held.
     pub async fn are_held(&self) -> bool {
         let pools = self.replicas();
         let looks = self.group.look_at(&pools, FINAL_CHECK_TIMEOUT);
@@ -152,7 +155,7 @@
         let released = looks.iter().find(|look| is_not_held(look, self.term));
         if let Some(look) = released {
             tracing::warn!(group = %self.group.name, instance = %look.id, term = self.term,
-                received = %look.status.received, "a hold has ended before its order");
+                received = %look.status.received, "replica lost its hold before the order");
         }
         released.is_none()
     }
@@ -174,33 +177,33 @@
         None
     }
 
-    /// The replicas that there are, and which life of each.
+    /// The present process of each replica.
     #[must_use]
     pub fn processes(&self) -> Processes {
         let pools = self.replicas();
         pools.iter().map(|pool| (pool.id(), pool.born())).collect()
     }
 
-    /// Whether nobody knows the id of the instance, so that it cannot be ordered to lead.
+    /// Whether the real id of the instance is unknown, so that it cannot be ordered to lead.
     #[must_use]
     pub fn has_unknown_id(&self, id: &upstream::Id) -> bool {
         let pool = self.group.roster().find(id);
         pool.is_some_and(|pool| pool.instance.borrow().any)
     }
 
-    /// Whether these replicas may lack a commit that was acknowledged.
+    /// Whether these replicas may lack an acknowledged commit.
     ///
-    /// A replica that starts again has lost its log. If it was the only one besides the
-    /// primary with some commit, those that are left would lead without it; the primary may
-    /// come back with its log. Once it is no longer listed nobody has the commit, and
-    /// waiting would leave the group without a primary for nothing.
+    /// A replica that restarts loses its log. If it was the only one besides the primary with some
+    /// commit, none of the others may be promoted, as the primary may come back with its log. Once
+    /// the primary is no longer listed, no instance has the commit, and waiting would only leave
+    /// the group without a primary.
     #[must_use]
     pub fn lacks_records(&self, held: &[sampler::Look]) -> bool {
         let received = held.iter().map(|look| look.status.received).max();
         self.may_return() && received < self.furthest
     }
 
-    // Whether the old primary is listed, so that it may come back with its log.
+    // Whether the old primary is still listed, so that it may come back with its log.
     fn may_return(&self) -> bool {
         let roster = self.group.roster();
         self.old
@@ -208,7 +211,7 @@
             .is_some_and(|old| !roster.is_unlisted(old))
     }
 
-    /// What is recorded before the candidate is ordered.
+    /// The record that is stored before the candidate is ordered to lead.
     #[must_use]
     pub fn intent(&self, candidate: &upstream::Id, held: &[sampler::Look]) -> intent::Intent {
         let pool = self.group.roster().find(candidate);
@@ -225,8 +228,8 @@
         }
     }
 
-    /// Asks the old primary, where no replica has all that one had received. One that has become
-    /// a replica is held, as it may be the only one that has it.
+    /// Queries the old primary, for a group whose replicas lack records that one had received. If
+    /// it is a replica by now it is held, as it may be the only instance with these records.
     pub async fn query_predecessor(&self) -> verdict::Predecessor {
         let Some(old) = &self.old else {
             return verdict::Predecessor::Gone;
@@ -250,8 +253,8 @@
 
     /// Whether the old primary has records that the candidate lacks.
     ///
-    /// The replicas are held, so that it can have acknowledged them only if an instance that
-    /// is not listed yet has received them.
+    /// As the replicas are held, it can have acknowledged these records only if an instance that is
+    /// not listed yet has received them.
     pub async fn is_ahead_of(&self, candidate: &upstream::Id, held: &[sampler::Look]) -> bool {
         let Some(old) = &self.old else { return false };
         let look = sampler::look(old, self.group.dialer(), COMMAND_TIMEOUT).await;
@@ -262,7 +265,8 @@
         look.is_some_and(|look| Some(look.status.received) > received)
     }
 
-    /// Tells the old primary that it no longer leads; `true` once it knows.
+    /// Sends one demote command to the old primary. Returns whether it is a replica now, or is not
+    /// in the roster.
     pub async fn demote_predecessor(&self) -> bool {
         let Some(old) = &self.old else { return true };
         let command = upstream::Command::Demote(self.term);
@@ -270,8 +274,8 @@
         look.is_some_and(|look| look.status.role == role::Role::Replica)
     }
 
-    /// Tells the old primary to give up, before a successor is ordered. Nothing while it goes on
-    /// leading; else its last record, if it said so.
+    /// Makes the old primary step down before a successor is ordered. Returns `None` if it still
+    /// leads, and otherwise its last log position, if it reported one.
     pub async fn step_down(&self) -> Option<Option<stamp::Stamp>> {
         let old = self.old.as_ref()?;
         let command = upstream::Command::Demote(self.term);
@@ -279,7 +283,7 @@
         let told = send_within(old, &command, dialer, STEP_DOWN_TIMEOUT).await;
         let look = match told {
             Some(look) => Some(look),
-            // The answer may have been lost, or the command may still wait.
+            // The answer may be lost, or the command still queued.
             None => sampler::look(old, dialer, STEP_DOWN_TIMEOUT).await,
         };
         let leads = look
@@ -289,12 +293,12 @@
     }
 }
 
-// Whether an instance is neither held for this term nor knows of its primary.
+// Whether an instance is neither held for this term nor knows the term.
 const fn is_not_held(look: &sampler::Look, term: id::Term) -> bool {
     !sampler::knows(&look.status, term)
 }
 
-/// Sends one order to an instance and reads what it says of itself then.
+/// Sends one command to an instance and returns the status that it answers with.
 pub async fn send(
     pool: &rc::Rc<pool::Pool>,
     command: &upstream::Command,
@@ -303,7 +307,7 @@
     send_within(pool, command, dialer, COMMAND_TIMEOUT).await
 }
 
-/// Ends the hold of a replica, if `may` still says so when there is a connection for it.
+/// Releases a replica from its hold, if `may` still permits it once a connection is available.
 pub async fn resume(
     pool: &rc::Rc<pool::Pool>,
     group: &group::Group,
@@ -315,7 +319,7 @@
         return;
     };
     if !may() {
-        tracing::info!(instance = %pool.id(), "replica stays held: ending its hold is no longer this node's part");
+        tracing::info!(instance = %pool.id(), "replica stays held: this node may no longer release it");
         return;
     }
     let number = resumes.borrow_mut().sent(&group.name, boot::now());
@@ -325,7 +329,7 @@
         resumes.borrow_mut().answered(number);
     }
     tracing::info!(instance = %pool.id(), command = ?upstream::Command::Resume, answered = answer.is_ok(),
-        open, "instance told");
+        open, "command sent to instance");
 }
 
 async fn send_within(
@@ -342,6 +346,6 @@
         .ok()?;
     let look = sampler::Look::read(pool.id(), replies.first()?, dialer);
     let status = look.as_ref().map(|look| look.status);
-    tracing::info!(instance = %pool.id(), ?command, ?status, "instance told");
+    tracing::info!(instance = %pool.id(), ?command, ?status, "command sent to instance");
     look
 }
--- a/desk/src/verdict.rs
+++ b/desk/src/verdict.rs
@@ -1,9 +1,10 @@
-//! What the answers to one round of holds mean for a promotion.
+//! Decides from the answers to one round of holds whether a promotion can proceed, and with which
+//! candidate.
 //!
-//! The load that this answers: replicas that do not answer, that start again without their
-//! logs, or that lead already by the order of somebody who has ended since; and a primary that
-//! was given up and comes back, with its log or without. A promotion without a record that
-//! was acknowledged loses a booking; one that is held back for ever leaves a group dark.
+//! Replicas may not answer, may have restarted without their logs, or may already lead by the order
+//! of an earlier lease holder. The old primary may come back, with its log or without. A promotion
+//! without an acknowledged record loses data, and one that is held back indefinitely leaves the
+//! group without a primary.
 
 use mangotray::id;
 use mangotray::role;
@@ -17,42 +18,42 @@
 pub struct View<'a> {
     /// The primary that is replaced, and its term.
     pub lead: &'a sampler::Lead,
-    /// Term that the replicas are held for.
+    /// Term for which the replicas are held.
     pub term: id::Term,
-    /// Instances that have to be held: all but the one that is replaced.
+    /// Number of instances that have to be held: all except the one that is replaced.
     pub expected: usize,
-    /// Their answers.
+    /// The answers of these instances.
     pub looks: &'a [sampler::Look],
-    /// Furthest record that any replica was ever seen to have received.
+    /// Last log position that any replica is known to have received.
     pub furthest: Option<stamp::Stamp>,
-    /// An instance whose order may yet take effect.
+    /// An instance whose order may still take effect.
     pub pending: Option<&'a upstream::Id>,
-    /// Where a replica has lost its log: what is known of the records that it may have confirmed.
+    /// If a replica has lost its log, the bound on the records that it may have confirmed.
     pub loss: Option<Loss>,
 }
 
-/// What is known of the records that a replica may have confirmed before it lost its log.
+/// Bound on the records that a replica may have confirmed before it lost its log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// The primary has said nothing since: they may be any.
+    /// No bound is known, as the primary has not answered since.
     Unknown,
-    /// They are no further than this.
+    /// It confirmed no record beyond this position.
     Within(stamp::Stamp),
 }
 
-/// What is known of the instance that is replaced.
+/// What is known of the primary that is replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Predecessor {
-    /// It is listed no more: it cannot come back with its log.
+    /// It is no longer listed and cannot come back with its log.
     Gone,
     /// It does not answer, and may come back with its log.
     Silent,
-    /// It answers.
+    /// It answered with this status.
     Answers(sampler::Look),
 }
 
 impl Predecessor {
-    /// What it answered.
+    /// The status that it answered with.
     ///
     /// ```
     /// assert_eq!(mangotray_desk::verdict::Predecessor::Gone.look(), None);
@@ -66,28 +67,30 @@
     }
 }
 
-/// What is to be done.
+/// What a promotion has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Some replica does not answer or is not held: it may be the only one with some commit. Or an
-    /// instance may yet come to lead without records that another has.
+    /// Hold again. A replica does not answer or is not held, and may be the only one with some
+    /// commit; or an instance with a pending order may still lead without records that another has.
     Wait,
-    /// An instance leads a later term already.
+    /// An instance already leads a later term.
     Overtaken(sampler::Lead),
-    /// No replica has all that one had received; the replaced primary has to be asked.
+    /// Query the replaced primary, as no replica has all records that a replica had received.
     Lacking,
-    /// The replaced primary may come back with records that no replica has.
+    /// Give up for now: the replaced primary may come back with records that no replica has.
     HeldBack,
-    /// The replaced primary leads as before, with all records: it goes on.
+    /// Give up: the replaced primary still leads, with records that no replica has.
     Returned,
-    /// This instance has all records that there are.
+    /// Promote this instance, which has all records that exist.
     Promote(upstream::Id),
 }
 
 impl View<'_> {
-    /// What the replicas' answers mean. A candidate has to have what any of them has received, and
-    /// what any was seen to have before. Among equals one whose order may yet take effect goes first, then
-    /// one that stays before one that leaves.
+    /// Judges the answers of the replicas.
+    ///
+    /// A candidate needs all records that any replica has received, now or at an earlier time.
+    /// Among equal candidates, one whose order may still take effect comes first, and one that is
+    /// not leaving precedes one that is.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
@@ -117,8 +120,8 @@
         }
     }
 
-    /// What is to be done where no replica has all that one had received, by what is known of
-    /// the replaced primary. It ends: the primary answers, or is listed no more.
+    /// Resolves [`Verdict::Lacking`] by what is known of the replaced primary. The hold-back ends
+    /// once the primary answers or is no longer listed.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
@@ -138,7 +141,8 @@
         };
         let look = match old {
             Predecessor::Silent => return Verdict::HeldBack,
-            // Nobody has the records any more; waiting would leave the group dark for nothing.
+            // No instance has the records any more. Waiting would only leave the group without a
+            // primary.
             Predecessor::Gone => return self.promote(best),
             Predecessor::Answers(look) => look,
         };
@@ -149,18 +153,18 @@
         let further = look.status.received > best.status.received;
         match (leads, further) {
             (true, true) => Verdict::Returned,
-            // It is a replica now, and none but it has the records.
+            // The old primary is a replica now, and the only instance with the records.
             (false, true) if self.is_held(look) => self.promote(look),
             (false, true) => Verdict::Wait,
             (_, false) => self.promote(best),
         }
     }
 
-    /// Whether this instance has received nothing at all.
+    /// Whether the log of this instance is empty.
     ///
-    /// A promoter that has just started does not know what replicas had before they lost their logs:
-    /// the furthest record that it was told of may be none. While the primary is cut off from its
-    /// replicas and both have started again, the whole log would be lost with a promotion.
+    /// A promoter that has just started does not know what the replicas had received before they
+    /// lost their logs, so [`View::furthest`] may be empty. If the primary is cut off from two
+    /// replicas that have both restarted, a promotion would lose the whole log.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
@@ -178,9 +182,9 @@
         look.is_some_and(|look| look.status.received.position == 0)
     }
 
-    // This instance has all that there is. One whose order may yet take effect goes before it if it has as
-    // much; if it has less, it may come to lead without the rest, and another that is promoted
-    // meanwhile would lead in turns with it.
+    // Promotes the instance with the longest log. An instance whose order may still take effect is
+    // preferred if its log is as long. If it is shorter, that instance may still lead later, and
+    // two instances would lead in turns if another were promoted meanwhile.
     fn promote(&self, furthest: &sampler::Look) -> Verdict {
         let pending = self
             .looks
@@ -193,7 +197,8 @@
         }
     }
 
-    // What a replica confirmed shortly before it lost its log nobody may have seen.
+    // Records that a replica confirmed shortly before it lost its log may never have been observed,
+    // so `furthest` alone does not cover them.
     fn has_all(&self, look: &sampler::Look) -> bool {
         let received = look.status.received;
         let covers = self.loss.is_none_or(|loss| match loss {
--- a/desk/tests/audit.rs
+++ b/desk/tests/audit.rs
@@ -1,4 +1,4 @@
-//! What a promotion tells of those that it counted, and of what it lost.
+//! Tests of the audit of a promotion: the instances it counted, and the records it lost.
 
 mod play;
 mod stage;
@@ -27,7 +27,7 @@
     }
 }
 
-// `b` is chosen at 3/420 to follow `a`.
+// `b` is chosen at position 3/420 to replace `a`.
 fn audit() -> audit::Audit {
     audit::Audit {
         candidate: "b".into(),
@@ -46,7 +46,7 @@
     found.iter().map(|found| found.id.as_str()).collect()
 }
 
-/// Guards against a promotion whose log lines do not tell who was passed over.
+/// Guards against a promotion whose log lines do not show which instances were left out.
 #[test]
 fn every_instance_is_reported_with_its_position_or_why_it_was_not_counted() {
     let mut audit = audit();
@@ -68,7 +68,7 @@
     assert_eq!(audit.unanswered(&audit.looks), "a, e");
 }
 
-/// Guards against a loss that nobody sees, as the replica that shows it was not counted.
+/// Guards against an undetected loss when the replica with the lost records was not counted.
 #[test]
 fn records_that_the_new_primary_lacks_are_a_loss() {
     let leads = look("b", role::Role::Primary, 4, 440);
@@ -79,10 +79,11 @@
     assert_eq!(instances_ahead(&[replica]), ["c"]);
 }
 
-/// Guards against an alarm after a promotion that has lost nothing.
+/// Guards against a false alarm after a promotion that has lost nothing.
 #[test]
 fn records_of_the_new_primary_are_no_loss() {
-    // It leads a later term than its replicas were held for, and one has records of the term between.
+    // The new primary leads a later term than its replicas were held for, and one of them already
+    // has records of that term.
     let leads = look("b", role::Role::Primary, 6, 440);
     let followers = [
         look("a", role::Role::Replica, 3, 420),
@@ -94,7 +95,7 @@
     assert!(instances_ahead(&[behind]).is_empty());
 }
 
-// Loses the primary; the other replica has `more` records than the candidate when that leads.
+// Replaces a lost primary while the other replica has `more` records than the candidate.
 fn promote_past(more: u64) {
     let play = play::play();
     play.stage.run(async {
@@ -112,7 +113,7 @@
     });
 }
 
-/// Guards against lost commits that only callers find.
+/// Guards against lost commits that are missing from the metrics.
 #[test]
 fn a_replica_ahead_of_the_new_primary_is_counted_as_a_loss() {
     let metrics = telemetry::Handle::install();
--- a/desk/tests/detector.rs
+++ b/desk/tests/detector.rs
@@ -1,4 +1,4 @@
-//! When a primary is replaced.
+//! Tests of the failure detector and of the backoff between promotions.
 
 use std::time;
 
@@ -10,7 +10,7 @@
     time::Duration::from_millis(millis)
 }
 
-/// A look at a leaving primary.
+/// A round with a leaving primary.
 fn round(millis: u64, added: u64) -> detector::Round {
     let stamp = stamp::Stamp::new(1, 5);
     detector::Round {
@@ -25,7 +25,7 @@
     }
 }
 
-/// A look at a primary that holds records which no replica receives.
+/// A round with a primary that has records which no replica receives.
 fn stalled(millis: u64, replicas: usize, answers: usize) -> detector::Round {
     detector::Round {
         primary: detector::Reach::Answered(stamp::Stamp::new(1, 9)),
@@ -44,10 +44,9 @@
     })
 }
 
-/// Symptom: an acknowledged booking is gone after a planned change of primary.
-/// Events: a primary announces its end; its successor has started but is listed 170 ms
-/// later; the promotion begins before.
-/// Cause: nothing waited for the successor, which may be the only one with a commit.
+/// Guards against a lost commit after a planned promotion. A new instance has started when the
+/// primary announces its shutdown, but is listed 170 ms later. It may be the only replica with some
+/// commit, and the promotion began without it.
 #[test]
 fn a_planned_promotion_waits_for_the_list_to_be_stable() {
     let mut detector = detector::Detector::default();
@@ -68,7 +67,7 @@
     assert_eq!(detector.judge(&round(13_000, 13_000)), planned);
 }
 
-/// Guards against a change of places that leaves the new primary without a replica as well.
+/// Guards against a promotion that leaves the new primary without a replica as well.
 #[test]
 fn a_primary_without_replicas_is_replaced_only_where_two_answer() {
     assert_eq!(judge_for_seconds(2, 2), Some(detector::Cause::Stalled));
@@ -76,7 +75,7 @@
     assert_eq!(judge_for_seconds(2, 1), None);
 }
 
-/// Guards against a stall with two healthy replicas that takes longer to mend than it has to.
+/// Guards against a late promotion for a stall with two healthy replicas.
 #[test]
 fn a_stall_with_two_replicas_triggers_a_promotion_after_700_ms() {
     let mut detector = detector::Detector::default();
@@ -86,7 +85,8 @@
     assert_eq!(detector.judge(&stalled(10_700, 2, 2)), cause);
 }
 
-/// Guards against a stalled primary that is kept for seconds, as it answers only every other look while its callers' writes wait.
+/// Guards against a stalled primary that is kept for seconds because it answers only every other
+/// status query while its callers' writes wait.
 #[test]
 fn a_stalled_primary_that_answers_now_and_then_is_replaced() {
     let mut detector = detector::Detector::default();
@@ -102,7 +102,8 @@
     assert_eq!(detector.judge(&stalled(11_100, 2, 2)), cause);
 }
 
-/// Guards against a primary that is taken for stalled for a record that is only on its way, after a moment of silence.
+/// Guards against a primary that is taken for stalled because of a record in flight after a short
+/// silence.
 #[test]
 fn a_record_in_flight_after_a_silence_is_no_stall() {
     let mut detector = detector::Detector::default();
@@ -121,7 +122,7 @@
     assert_eq!(detector.judge(&at_work(11_100, 9, 8)), None);
 }
 
-/// Guards against instances that cannot reach each other and change places again and again.
+/// Guards against repeated promotions between instances that cannot reach each other.
 #[test]
 fn stall_promotions_between_the_same_instances_back_off() {
     let mut backoff = backoff::Backoff::default();
@@ -133,11 +134,12 @@
     backoff.changed(&b, &a, cause, at(14_000));
     assert!(!backoff.permits(&a, cause, at(21_900)));
     assert!(backoff.permits(&a, cause, at(22_000)));
-    // Another primary that has lost its replicas is replaced at once.
+    // A different primary that has lost its replicas is replaced at once.
     assert!(backoff.permits(&"c".into(), cause, at(14_000)));
 }
 
-/// Guards against replicas that are held again and again in vain, with a primary that can have nothing confirmed meanwhile.
+/// Guards against replicas that are held again and again by failed promotions, while the primary
+/// gets no commit confirmed.
 #[test]
 fn given_up_promotions_back_off_and_repeat_before_a_leaving_primary_ends() {
     let mut backoff = backoff::Backoff::default();
--- a/desk/tests/handover.rs
+++ b/desk/tests/handover.rs
@@ -1,4 +1,5 @@
-//! A promoter's successor finds what its predecessor left behind.
+//! Tests of promotions that an earlier promoter left unfinished, and of promotions whose order is
+//! lost.
 
 mod play;
 mod stage;
@@ -9,28 +10,27 @@
 use mangotray::role;
 use mangotray_desk::wait;
 
-/// A world in which `a` was replaced by `b`, in term 2, while it could not be told, and
-/// whose promoter ended right after. Replica `c` is still held, and `a` takes itself for
-/// the primary of term 1.
+/// Returns a world in which `b` has replaced `a` in term 2 while `a` was unreachable, and whose
+/// promoter stopped right after. Replica `c` is still held, and `a` still leads term 1.
 fn unfinished_promotion() -> (stage::Shared, play::Store) {
     let first = play::play();
     first.stage.run(async {
         first.led(1).await;
         first.stage.world.borrow_mut().at("b").position = 12;
         first.stage.world.borrow_mut().at("a").up = false;
-        stage::until("the successor leads", || {
+        stage::until("the new primary leads", || {
             first.stage.world.borrow_mut().at("b").role == role::Role::Primary
         })
         .await;
     });
-    // Nothing of this node runs any more. Its lease ends.
+    // The node has stopped and its lease ends.
     first.store.at().entry = None;
     let world = rc::Rc::clone(&first.stage.world);
     world.borrow_mut().at("a").position = 12;
     (world, first.store.clone())
 }
 
-// Both replicas start again without their logs, and the list tells so.
+// Restarts both replicas without their logs.
 fn lose_logs(world: &mut stage::World) {
     for id in ["b", "c"] {
         world.at(id).born = 2;
@@ -38,7 +38,7 @@
     }
 }
 
-// The primary announces its end, and so many orders for its successor are lost on their way.
+// Makes the primary announce its shutdown and loses the first `count` orders for its successor.
 async fn lose_orders(play: &play::Play, count: usize) {
     play.duty.vanish.set(count);
     play.stage.world.borrow_mut().at("a").draining = true;
@@ -49,7 +49,7 @@
     .await;
 }
 
-// Whether `a` could acknowledge a write that nobody who leads later would have.
+// Whether `a` could acknowledge a write that no later primary would have.
 fn could_acknowledge(world: &cell::RefCell<stage::World>) -> bool {
     let mut world = world.borrow_mut();
     let leads_old_term = world.at("a").role == role::Role::Primary && world.at("a").term == 1;
@@ -58,15 +58,11 @@
     leads_old_term && is_up && has_free_replica
 }
 
-/// Symptom: forty acknowledged writes are gone, and reads miss them.
-/// Events: primary `a` is cut off and replaced by `b`; the promoter is killed before `a` is
-/// told; `b` crashes, and `a` can be reached again. The next promoter finds `c` held and
-/// goes on with the promotion, but `b` does not answer. It gives up and frees `c`; `a`
-/// acknowledges writes with the receipt of `c`. `b` comes back, leads its later term, and
-/// those writes are gone.
-/// Cause: a promoter that gave up freed replicas whoever had held them. Its log said so:
-/// `promotion given up` with `answers 1` of `expected 2`, and `instance told c Resume` right
-/// after, while another promoter's `promotion over b leads true` stood before both.
+/// Guards against a loss of acknowledged writes (forty were seen) when a promoter that gives up
+/// releases replicas held by an earlier promoter. `b` replaces the unreachable `a`, the promoter
+/// is killed before it demotes `a`, and `b` crashes. The next promoter finds `c` held, gives up as
+/// `b` does not answer, and releases `c`. `a` acknowledges writes with `c`, and `b` comes back and
+/// leads its later term without them.
 #[test]
 fn a_promoter_that_gives_up_keeps_the_holds_of_its_predecessor() {
     let (world, store) = unfinished_promotion();
@@ -75,37 +71,38 @@
     let second = play::play_with(stage::Stage::of(rc::Rc::clone(&world)), store);
     second.stage.run(async {
         let told = || {
-            assert!(!could_acknowledge(&world), "a hold was ended too early");
+            assert!(
+                !could_acknowledge(&world),
+                "a replica was released too early"
+            );
             world.borrow_mut().at("a").term > 1
                 || world.borrow_mut().at("a").role == role::Role::Replica
         };
-        stage::until("the replaced primary is told", told).await;
-        // One of those that answer takes over from the one that crashed.
+        stage::until("the replaced primary is demoted", told).await;
+        // An instance that answers takes over from the crashed `b`.
         second.led(3).await;
     });
     assert_ne!(second.leader(), ["b"]);
 }
 
-/// Symptom: no write is served any more, though a primary leads.
-/// Events: as above, but `b` goes on leading; `c` is held for a term above that of `b`, by a
-/// promoter that ended before it ordered anything, and `a` does not answer.
-/// Cause: the next promoter wanted to finish that promotion, which needs an answer of all, and
-/// began anew every four seconds: `replacing the primary ... Unfinished`, `promotion given up`.
-/// Nobody told the first primary that it leads no more, as whoever had replaced it was gone.
+/// Guards against a group that serves no writes although its primary `b` leads. A promoter stops
+/// after holding `c` for a later term, without an order, and `a` does not answer. The next
+/// promoter tried to finish that promotion, which needs all answers, and started over every four
+/// seconds. It never demoted `a`, as the promoter that had replaced `a` was gone.
 #[test]
 fn a_leading_primary_is_kept_and_its_predecessor_is_demoted() {
     let (world, store) = unfinished_promotion();
     world.borrow_mut().at("c").held = 3;
     let second = play::play_with(stage::Stage::of(rc::Rc::clone(&world)), store);
     second.stage.run(async {
-        stage::until("its replica receives again", || {
+        stage::until("its replica is released", || {
             world.borrow_mut().at("c").held == 0
         })
         .await;
         second.led(2).await;
         world.borrow_mut().at("c").term = 2;
         world.borrow_mut().at("a").up = true;
-        stage::until("the replaced primary is told", || {
+        stage::until("the replaced primary is demoted", || {
             world.borrow_mut().at("a").role == role::Role::Replica
         })
         .await;
@@ -114,11 +111,10 @@
     assert!(second.duty.orders.borrow().is_empty());
 }
 
-/// Symptom: a group has no primary for ever, and its callers wait each time until they are refused.
-/// Events: one replica alone receives some records and starts again without them; the primary
-/// starts again too, empty and as a replica, as all nodes know.
-/// Cause: a primary that may come back with its log was waited for. It had come back, without it:
-/// `no replica has all that one had received before it started again` every second.
+/// Guards against a group that never gets a primary after records were lost. One replica alone
+/// receives some records and restarts without them; the primary restarts as an empty replica. The
+/// promoter kept waiting for the primary to come back with its log, although it was back without
+/// it.
 #[test]
 fn a_promotion_is_held_back_only_while_an_instance_may_have_the_records() {
     let play = play::play();
@@ -147,10 +143,9 @@
     assert_eq!(play.leader().len(), 1);
 }
 
-/// Symptom: hundreds of acknowledged writes are gone, though an instance had them all the time.
-/// Events: both replicas start again without their logs; the primary, which has gone over to
-/// being a replica, still has its own.
-/// Cause: the one that is replaced was never a candidate.
+/// Guards against a loss of hundreds of acknowledged writes that one instance still had. Both
+/// replicas restart without their logs, while the primary has become a replica and keeps its own.
+/// The replaced primary was never considered as a candidate.
 #[test]
 fn a_replaced_primary_that_alone_has_the_records_leads_again() {
     let play = play::play();
@@ -169,12 +164,10 @@
     assert_eq!(play.leader(), ["a"]);
 }
 
-/// Symptom: four hundred acknowledged writes are lost: all of the group's log.
-/// Events: a primary announces its end; the order for its successor is lost on the way, and
-/// then the store is away for ten seconds. Meanwhile all three instances start again empty, one
-/// after the other, and none receives anything from another.
-/// Cause: the primary was told that it leads no more although nobody knew of a successor:
-/// `promotion ordered ... Unknown`, `instance told i-a Demote`, `promotion over ... leads false`.
+/// Guards against a loss of the whole log (four hundred acknowledged writes were seen). A primary
+/// announces its shutdown, the order for its successor is lost, and the store is unavailable for
+/// ten seconds. All three instances then restart empty in turn, and none can copy the log from
+/// another, as the primary was demoted although no successor was known to lead.
 #[test]
 fn a_running_primary_is_demoted_only_once_its_successor_may_lead() {
     let play = play::play();
@@ -190,18 +183,16 @@
         play.store.at().down = false;
         play.seat.store_is_back();
         play.led(2).await;
-        stage::until("the replaced primary is told", || {
+        stage::until("the replaced primary is demoted", || {
             play.stage.world.borrow_mut().at("a").role == role::Role::Replica
         })
         .await;
     });
 }
 
-/// Symptom: a group has no primary for ever, though one leads with all records.
-/// Events: as above; the candidate of the lost order starts again without its log, and so does
-/// the other replica; the holder ends.
-/// Cause: an order that might take effect late was waited for, for ever, though the process that
-/// it named is gone.
+/// Guards against a group that never gets a usable primary although one leads with all records.
+/// The order for a successor is lost, both replicas restart without their logs, and the lease
+/// holder stops. The next holder waited without limit for an order whose candidate process is gone.
 #[test]
 fn an_order_for_a_process_that_is_gone_is_dropped() {
     let first = play::play();
@@ -218,7 +209,7 @@
     }
     let second = play::play_with(stage::Stage::of(rc::Rc::clone(&world)), first.store.clone());
     second.stage.run(async {
-        stage::until("the replicas receive again", || {
+        stage::until("the replicas are released", || {
             let mut world = world.borrow_mut();
             world.at("b").held == 0 && world.at("c").held == 0
         })
@@ -228,10 +219,9 @@
     assert_eq!(second.leader(), ["a"]);
 }
 
-/// Symptom: a group takes no writes for as long as nobody can be promoted, though its primary lives.
-/// Events: a primary announces its end; the order for its successor is lost, and so are all that
-/// follow.
-/// Cause: an order that might take effect late kept the replicas held, however late it was.
+/// Guards against a group that takes no writes while promotions fail, although its primary runs. A
+/// primary announces its shutdown, the order for its successor is lost, and all later orders fail.
+/// The lost order kept the replicas held without a time limit.
 #[test]
 fn a_running_primary_continues_once_a_lost_order_has_timed_out() {
     let play = play::play();
@@ -241,7 +231,7 @@
         play.duty.refuse.set(true);
         play.stage.world.borrow_mut().at("a").draining = false;
         play.stage.relist();
-        stage::until("the replicas receive again", || {
+        stage::until("the replicas are released", || {
             let mut world = play.stage.world.borrow_mut();
             world.at("b").held == 0 && world.at("c").held == 0
         })
@@ -251,8 +241,8 @@
     assert_eq!(play.leader(), ["a"]);
 }
 
-/// Guards against a primary that is dismissed for a candidate that has never led, by a holder that cannot order
-/// anybody.
+/// Guards against a lease holder that demotes the primary in favour of a candidate that never led,
+/// while it cannot order a promotion.
 #[test]
 fn a_primary_is_dismissed_only_by_a_holder_that_can_order() {
     let play = play::play();
@@ -277,7 +267,8 @@
     });
 }
 
-/// Guards against a group without a primary for as long as replicas are held for a term that nobody leads.
+/// Guards against a group without a primary because its replicas are held for a term that no
+/// instance leads.
 #[test]
 fn a_promotion_that_takes_effect_in_an_earlier_term_than_replicas_were_held_for_comes_to_its_end() {
     let play = play::play();
@@ -285,7 +276,7 @@
         play.led(1).await;
         play.duty.ignore.set(1);
         play.stage.world.borrow_mut().at("a").up = false;
-        // The candidate ends before it leads, and the replaced primary has given up.
+        // The candidate stops before it leads, and the replaced primary has stepped down.
         let play::Ordered { candidate, other } = play.ordered().await;
         {
             let mut world = play.stage.world.borrow_mut();
@@ -294,7 +285,7 @@
             world.at("a").role = role::Role::Replica;
         }
         stage::until("another is promoted", || play.leader().len() == 1).await;
-        // The promotion ends all holds as it takes effect.
+        // The promotion releases all holds when it takes effect.
         let leader = play.leader().remove(0);
         let follower = if leader == "a" { other } else { "a" };
         {
--- a/desk/tests/holds.rs
+++ b/desk/tests/holds.rs
@@ -1,4 +1,5 @@
-//! A replica that was held stays held until the promotion has taken effect and is settled.
+//! Tests that a held replica stays held until the promotion has taken effect and its cleanup
+//! releases it.
 
 mod play;
 mod stage;
@@ -18,35 +19,35 @@
 use mangotray_desk::upstream;
 use mangotray_desk::wait;
 
-/// Shorter than the time after which a command that got no answer cannot arrive any more.
+/// Shorter than the time in which an unanswered command can still arrive.
 const IN_FLIGHT: time::Duration = time::Duration::from_secs(2);
 
-/// Time in which a promotion takes effect, longer than instances need.
+/// Time in which a promotion takes effect; longer than real instances need.
 const PROMOTION_TIME: time::Duration = time::Duration::from_secs(1);
 
-/// Time in which the store records a promotion, short enough for the order to leave.
+/// Time in which the store records a promotion; short enough for the order to be sent.
 const STORE_DELAY: time::Duration = time::Duration::from_millis(120);
 
-/// Pause between looks of a test at the stage.
+/// Interval at which a test checks the simulated instances.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 fn held(play: &play::Play, id: &str) -> u64 {
     play.stage.world.borrow_mut().at(id).held
 }
 
-// Somebody else takes the seat from this node, whose lease ends.
+// Gives the promoter lease to another holder.
 async fn lose_seat(play: &play::Play) {
     {
         let mut entries = play.store.at();
-        let entry = entries.entry.as_mut().expect("the seat is held");
+        let entry = entries.entry.as_mut().expect("the promoter lease is held");
         entry.value = Bytes::from_static(b"another");
         entry.lease = None;
     }
-    stage::until("the seat is lost", || play.seat.held().is_none()).await;
+    stage::until("the promoter lease is lost", || play.seat.held().is_none()).await;
 }
 
-// `a` is replaced while it cannot be told, and this node loses the seat before it can. Returns the replica
-// that is held.
+// Replaces the unreachable `a`, and makes this node lose the promoter lease before `a` can be
+// demoted. Returns the replica that is held.
 async fn lose_seat_before_cleanup(play: &play::Play) -> &'static str {
     play.led(1).await;
     play.stage.world.borrow_mut().at("a").up = false;
@@ -55,15 +56,15 @@
     let other = if play.leader() == ["b"] { "c" } else { "b" };
     assert_eq!(held(play, other), 2);
     play.stage.world.borrow_mut().at("a").up = true;
-    stage::until("the replaced primary is told", || {
+    stage::until("the replaced primary is demoted", || {
         play.stage.world.borrow_mut().at("a").role == role::Role::Replica
     })
     .await;
     other
 }
 
-/// Guards against an old primary that goes on through a promotion, as the late end of an earlier hold reaches a
-/// replica after the order.
+/// Guards against an old primary that keeps acknowledging writes during a promotion because a late
+/// resume command of an earlier attempt releases a replica after the order.
 #[test]
 fn no_order_is_sent_while_an_earlier_resume_may_arrive() {
     let play = play::play();
@@ -76,7 +77,7 @@
             world.at("a").draining = true;
         }
         play.stage.relist();
-        stage::until("the end of a hold is late", || {
+        stage::until("a resume command is delayed", || {
             !play.stage.world.borrow().late.is_empty()
         })
         .await;
@@ -94,7 +95,7 @@
     assert!(play.duty.loose.borrow().is_empty());
 }
 
-/// Guards against a holder that has lost the seat and ends the holds of its successor.
+/// Guards against a node that has lost the promoter lease and releases the holds of its successor.
 #[test]
 fn a_promotion_given_up_without_the_seat_releases_no_hold() {
     let play = play::play();
@@ -110,7 +111,8 @@
     });
 }
 
-/// Guards against a holder that has lost the seat and ends the holds of a promotion that is no longer its own.
+/// Guards against a node that has lost the promoter lease and still releases replicas in the
+/// cleanup of its promotion.
 #[test]
 fn cleanup_without_the_seat_releases_no_hold() {
     let play = play::play();
@@ -121,7 +123,8 @@
     });
 }
 
-/// Guards against replicas that stay held as nobody but a holder that lost the seat would have freed them.
+/// Guards against replicas that stay held indefinitely because only the node that lost the promoter
+/// lease would have released them.
 #[test]
 fn replicas_left_held_are_released_by_the_next_holder_of_the_seat() {
     for same in [true, false] {
@@ -138,14 +141,15 @@
             if next.is_none() {
                 play.seat.vacated();
             }
-            stage::until("its replica is freed", || held(&play, other) == 0).await;
+            stage::until("its replica is released", || held(&play, other) == 0).await;
             let holder = next.as_ref().unwrap_or(&play);
             assert!(holder.seat.held().is_some());
         });
     }
 }
 
-/// Guards against a settled promotion whose late end of a hold undoes a hold of the next one.
+/// Guards against a late resume command from the cleanup of one promotion that releases a hold of
+/// the next one.
 #[test]
 fn no_order_is_sent_while_a_resume_of_a_cleanup_may_arrive() {
     let play = play::play();
@@ -160,7 +164,7 @@
             world.delay = Some((other.into(), upstream::Command::Resume));
             world.at("a").up = true;
         }
-        stage::until("the end of a hold is late", || {
+        stage::until("a resume command is delayed", || {
             !play.stage.world.borrow().late.is_empty()
         })
         .await;
@@ -177,7 +181,8 @@
     assert!(play.duty.loose.borrow().is_empty());
 }
 
-// The end of a promotion to term 1, by a node that holds the seat and promotes nobody else.
+// The cleanup of a promotion to term 1, by a node that holds the promoter lease and runs no other
+// promotion.
 async fn cleanup_of_term_one(
     stage: &stage::Stage,
     resumes: &rc::Rc<cell::RefCell<resumes::Resumes>>,
@@ -186,7 +191,7 @@
     let seat = seat::Seat::new(store, &"vm".into(), play::SHORTEST);
     stage.executor.spawn(rc::Rc::clone(&seat).keep()).detach();
     seat.vacated();
-    stage::until("the seat is taken", || seat.held().is_some()).await;
+    stage::until("the promoter lease is taken", || seat.held().is_some()).await;
     let group = stage.node.group(&stage::GROUP.into());
     let intent = intent::Intent {
         group: group.name.clone(),
@@ -200,7 +205,8 @@
     cleanup::Cleanup::new(group, &intent, intent.term, seat, rc::Rc::clone(resumes))
 }
 
-/// Guards against a settled promotion that ends the holds of the next one, between its look and its command.
+/// Guards against a cleanup that releases a hold of the next promotion because that promotion
+/// begins between the cleanup's status query and its resume command.
 #[test]
 fn cleanup_releases_no_hold_while_the_next_promotion_runs() {
     let stage = stage::Stage::new();
@@ -214,14 +220,14 @@
         wait::sleep(play::LONG).await;
         assert_eq!(stage.world.borrow_mut().at("c").held, 1);
         resumes.borrow_mut().promotes(&stage::GROUP.into(), false);
-        stage::until("the replica is freed", || {
+        stage::until("the replica is released", || {
             stage.world.borrow_mut().at("c").held == 0
         })
         .await;
     });
 }
 
-/// Guards against a settled promotion that ends holds for a later term.
+/// Guards against a cleanup that releases holds for a later term.
 #[test]
 fn cleanup_releases_only_its_own_holds() {
     let stage = stage::Stage::new();
@@ -235,7 +241,8 @@
     });
 }
 
-/// Guards against an old primary that goes on through a promotion, as a replica has started again since the order.
+/// Guards against an old primary that keeps acknowledging writes during a promotion because a
+/// replica restarted after the order and lost its hold.
 #[test]
 fn a_replica_that_restarts_after_the_order_is_held_before_the_promotion() {
     let play = play::play();
@@ -252,8 +259,8 @@
     assert!(play.duty.loose.borrow().is_empty());
 }
 
-/// Guards against an old primary that goes on through a promotion, as the call for it is answered late and a
-/// replica is freed meanwhile.
+/// Guards against an old primary that keeps acknowledging writes during a promotion because a
+/// replica is released while the call for the order is still unanswered.
 #[test]
 fn a_replica_released_while_the_order_is_unanswered_is_held_again() {
     let play = play::play();
@@ -269,13 +276,14 @@
     assert!(play.duty.loose.borrow().is_empty());
 }
 
-/// Guards against a silent replica for which those that answer are left without a hold.
+/// Guards against a replica that loses its hold and is not held again because another replica does
+/// not answer.
 #[test]
 fn a_silent_replica_delays_no_hold_of_another() {
     let world = stage::world();
     let fourth = world.borrow_mut().at("c").clone();
     world.borrow_mut().instances.insert("d".into(), fourth);
-    // It is known to have all records, so that it is the candidate.
+    // `b` is known to have all records, so it is the candidate.
     world.borrow_mut().at("b").position = 12;
     let play = play::play_on(stage::Stage::of(world));
     play.stage.run(async {
@@ -293,7 +301,8 @@
     assert!(play.duty.loose.borrow().is_empty());
 }
 
-/// Guards against a replica that nobody frees, as its hold arrives only after the effect and the end of the promotion.
+/// Guards against a replica that stays held because a hold arrives only after the promotion has
+/// taken effect and its cleanup has released the replicas.
 #[test]
 fn a_hold_that_arrives_after_the_promotion_is_released() {
     let play = play::play();
@@ -307,27 +316,28 @@
             world.delay = Some((other.into(), upstream::Command::Hold(2)));
             world.at(other).held = 0;
         }
-        stage::until("a hold is late", || {
+        stage::until("a hold is delayed", || {
             !play.stage.world.borrow().late.is_empty()
         })
         .await;
         play.led(2).await;
         play.stage.world.borrow_mut().at("a").up = true;
-        stage::until("the replicas are free", || {
+        stage::until("the replicas are released", || {
             let told = play.stage.world.borrow_mut().at("a").role == role::Role::Replica;
             told && held(&play, other) == 0
         })
         .await;
-        // One of them follows the new primary, the other has not heard of it yet.
+        // `a` follows the new primary, the other replica does not know its term yet.
         play.stage.world.borrow_mut().at("a").term = 2;
         wait::sleep(play::SHORT).await;
         play.stage.world.borrow_mut().deliver();
         assert_eq!(held(&play, other), 2);
-        stage::until("the replica is freed", || held(&play, other) == 0).await;
+        stage::until("the replica is released", || held(&play, other) == 0).await;
     });
 }
 
-/// Guards against an order that leaves although a replica was freed while the store recorded the promotion.
+/// Guards against an order that is sent although a replica was released while the store recorded
+/// the promotion.
 #[test]
 fn no_order_is_sent_once_a_replica_reports_a_lost_hold() {
     let play = play::play();
--- a/desk/tests/promoter.rs
+++ b/desk/tests/promoter.rs
@@ -1,4 +1,4 @@
-//! One holder replaces primaries, and loses nothing on the way.
+//! Tests that the promoter replaces primaries without losing acknowledged commits.
 
 mod play;
 mod stage;
@@ -37,10 +37,9 @@
     assert_eq!(play.duty.orders.borrow().len(), 1);
 }
 
-/// Symptom: an acknowledged booking is gone after a change of primary.
-/// Events: a commit is acknowledged with one replica's receipt; that replica stops
-/// answering; the primary crashes; the other replica is promoted.
-/// Cause: the promotion did not wait for every replica that could hold the commit.
+/// Guards against a lost commit when a promotion does not wait for all replicas. A commit is
+/// acknowledged with the receipt of one replica, which then stops answering; the primary crashes,
+/// and the other replica is promoted.
 #[test]
 fn no_promotion_while_a_replica_is_missing() {
     let play = play();
@@ -71,11 +70,9 @@
     assert_ne!(play.leader(), ["a"]);
 }
 
-/// Symptom: an acknowledged booking is gone after a planned change of primary.
-/// Events: the holder orders the leaving primary itself, to see whether promotions are
-/// possible; then it holds the replicas, demotes the primary and orders a replica; the
-/// first order takes effect late, and the old primary leads once more.
-/// Cause: an order that names the present primary is no question without consequence.
+/// Guards against a lost commit after a planned promotion whose feasibility was tested by ordering
+/// the leaving primary itself. That order took effect late, after a replica was ordered, and the
+/// old primary led once more.
 #[test]
 fn a_leaving_primary_is_never_ordered_to_lead() {
     let play = play();
@@ -92,9 +89,9 @@
     );
 }
 
-/// Symptom: writes wait for many seconds although the primary is well.
-/// Events: a primary announces its end; the replicas are held; promotions are refused.
-/// Cause: the replicas stayed held until promotions were possible again.
+/// Guards against writes that wait for many seconds although the primary is healthy. It announces
+/// its shutdown, promotions are refused, and its replicas stayed held until promotions were
+/// possible again.
 #[test]
 fn a_refused_order_releases_the_replicas_of_a_running_primary() {
     let play = play();
@@ -103,8 +100,8 @@
         play.duty.refuse.set(true);
         play.stage.world.borrow_mut().at("a").draining = true;
         play.stage.relist();
-        stage::until("orders are tried", || play.duty.orders.borrow().len() >= 2).await;
-        stage::until("the replicas are freed", || {
+        stage::until("orders are sent", || play.duty.orders.borrow().len() >= 2).await;
+        stage::until("the replicas are released", || {
             play.stage.world.borrow_mut().at("b").held == 0
         })
         .await;
@@ -113,9 +110,8 @@
     });
 }
 
-/// Symptom: two instances are promoted one after the other for one crash.
-/// Events: the order to promote is carried out, its answer is lost.
-/// Cause: the order was repeated for another candidate without asking the first.
+/// Guards against two successive promotions for one crash. The first order is carried out but its
+/// answer is lost, and another candidate was ordered without querying the first.
 #[test]
 fn a_lost_answer_to_an_order_is_resolved_by_asking_the_candidate() {
     let play = play();
@@ -134,10 +130,9 @@
     assert_eq!(play.leader().len(), 1);
 }
 
-/// Symptom: two nodes order promotions in turns.
-/// Events: the holder's lease is ended from outside and somebody else takes the seat; the
-/// old holder has not noticed; a primary crashes.
-/// Cause: the old holder acted on its lease without asking the store.
+/// Guards against two nodes that order promotions in turns. The promoter lease is ended from
+/// outside and taken by another node, and the old holder orders a promotion without confirming its
+/// lease with the store.
 #[test]
 fn a_holder_unaware_that_it_lost_its_seat_orders_nothing() {
     let play = play();
@@ -145,7 +140,7 @@
         play.led(1).await;
         {
             let mut entries = play.store.at();
-            let entry = entries.entry.as_mut().expect("the seat is held");
+            let entry = entries.entry.as_mut().expect("the promoter lease is held");
             entry.value = Bytes::from_static(b"another");
             entry.version += 1;
         }
@@ -155,9 +150,8 @@
     assert!(play.duty.orders.borrow().is_empty());
 }
 
-/// Symptom: nobody ever promotes.
-/// Events: the claim of the seat takes effect, its answer is lost.
-/// Cause: the claimant did not look whose entry it is.
+/// Guards against a fleet without a promoter. A claim of the promoter lease takes effect but its
+/// answer is lost, and the claimant did not check whether the entry is its own.
 #[test]
 fn a_claim_whose_answer_is_lost_is_resolved_by_reading() {
     let play = play();
@@ -180,14 +174,14 @@
             .spawn(rc::Rc::clone(&other).keep())
             .detach();
         other.vacated();
-        stage::until("the seat is taken", || other.held().is_some()).await;
+        stage::until("the promoter lease is taken", || other.held().is_some()).await;
         assert!(other.held().expect("held").fence > first);
     });
 }
 
-/// Symptom: a group has no primary for ever.
-/// Events: a holder holds all replicas and dies before it orders; the primary lives.
-/// Cause: its successor waited for a primary that nobody can prove while replicas are held.
+/// Guards against a group that never gets a primary. A promoter holds all replicas and stops before
+/// its order, while the primary runs. The next one waited for a primary, but none can be confirmed
+/// while the replicas are held.
 #[test]
 fn an_unfinished_promotion_is_finished_by_the_next_holder() {
     let play = play();
@@ -202,10 +196,9 @@
     assert_eq!(play.duty.orders.borrow().len(), 1);
 }
 
-/// Symptom: after a loss of all nodes a group has no primary for ever.
-/// Events: all nodes are lost in the middle of a promotion; they come back and find the
-/// replicas held and the primary gone.
-/// Cause: a holder watched only over primaries that it had seen to lead.
+/// Guards against a group that never gets a primary after a failure of all nodes. They fail during
+/// a promotion and restart while the replicas are held and the primary is gone. A promoter
+/// monitored only primaries that it had seen leading.
 #[test]
 fn a_holder_that_never_saw_a_primary_finds_one() {
     let stage = stage::Stage::new();
@@ -220,18 +213,16 @@
     assert_eq!(play.leader().len(), 1);
 }
 
-/// Symptom: after an outage of the store a primary lost during it is replaced later than
-/// one lost on a calm day.
-/// Events: the store goes away until the holder's lease is no longer sure; the primary
-/// crashes; the store comes back and the lease still stands.
-/// Cause: the holder forgot what it had seen when it could not act.
+/// Guards against a late replacement of a primary that crashes during an outage of the store. The
+/// outage lasts until the promoter lease may have ended, but the lease still exists when the store
+/// returns. The lease holder had discarded its observations when it could not act.
 #[test]
 fn a_primary_lost_in_an_outage_is_replaced_when_the_store_is_back() {
     let play = play();
     play.stage.run(async {
         play.led(1).await;
         play.store.at().down = true;
-        stage::until("the lease is unsure", || play.seat.held().is_none()).await;
+        stage::until("the lease may have ended", || play.seat.held().is_none()).await;
         assert!(play.seat.had());
         play.stage.world.borrow_mut().at("a").up = false;
         wait::sleep(LONG).await;
@@ -243,10 +234,9 @@
     assert_eq!(play.duty.orders.borrow().len(), 1);
 }
 
-/// Symptom: a group has no primary for ever though all its instances are well.
-/// Events: the old primary is demoted; the order for its successor is lost.
-/// Cause: a holder took an answer of a demoted primary for a sign that it leads, and its
-/// successor found nobody that was silent.
+/// Guards against a group that never gets a primary although all its instances are healthy. The old
+/// primary is demoted and the order for its successor is lost. The lease holder took the answer of
+/// the demoted primary as proof that it leads, and the next holder looked for a silent instance.
 #[test]
 fn a_group_without_a_leader_gets_a_primary() {
     for seen in [true, false] {
@@ -267,11 +257,10 @@
     }
 }
 
-/// Symptom: an acknowledged booking is gone after a change of primary.
-/// Events: after a promotion the old primary cannot be told for a while; a second
-/// promotion holds the replicas for a later term; the old primary is told, and the first
-/// promotion's end frees the replicas; they take commits that the candidate lacks.
-/// Cause: the end of a promotion freed holds that were not its own.
+/// Guards against a lost commit when a cleanup releases holds of a later promotion. The old primary
+/// is unreachable for a while after a promotion, and a second promotion holds the replicas for a
+/// later term. Once the old primary is demoted, the first cleanup released the replicas, which then
+/// received commits that the second candidate lacks.
 #[test]
 fn cleanup_without_the_seat_keeps_the_holds_of_a_later_term() {
     let play = play();
@@ -279,19 +268,19 @@
         play.led(1).await;
         play.stage.world.borrow_mut().at("a").up = false;
         play.led(2).await;
-        // From here on this holder acts no more, but for the end of its promotion.
+        // From here on this node only runs the cleanup of its promotion.
         {
             let mut entries = play.store.at();
-            let entry = entries.entry.as_mut().expect("the seat is held");
+            let entry = entries.entry.as_mut().expect("the promoter lease is held");
             entry.value = Bytes::from_static(b"another");
             entry.lease = None;
         }
-        stage::until("the seat is lost", || play.seat.held().is_none()).await;
+        stage::until("the promoter lease is lost", || play.seat.held().is_none()).await;
         for id in ["b", "c"] {
             play.stage.world.borrow_mut().at(id).held = 7;
         }
         play.stage.world.borrow_mut().at("a").up = true;
-        stage::until("the old primary is told", || {
+        stage::until("the old primary is demoted", || {
             play.stage.world.borrow_mut().at("a").role != role::Role::Primary
         })
         .await;
@@ -301,11 +290,9 @@
     assert_eq!((world.at("b").held, world.at("c").held), (7, 7));
 }
 
-/// Symptom: an acknowledged booking is gone after a planned change of primary.
-/// Events: the successor of a leaving primary has started, but is not listed yet; the listed
-/// replicas are held; a commit is acknowledged with the successor's receipt; a held replica
-/// is promoted.
-/// Cause: the promoter took the listed replicas for all that can have a commit.
+/// Guards against a lost commit after a planned promotion. The instance that takes the place of a
+/// leaving primary has started but is not listed yet, and a commit is acknowledged with its
+/// receipt while only the listed replicas are held. One of those was promoted.
 #[test]
 fn no_replica_takes_over_from_a_primary_that_has_more() {
     let play = play();
@@ -349,10 +336,9 @@
     }
 }
 
-/// Symptom: an acknowledged booking is gone after a crash.
-/// Events: one replica alone receives a commit; it starts again, with an empty log; the
-/// primary crashes, and would come back with its log.
-/// Cause: "all listed replicas are held" was taken for "all commits are among them".
+/// Guards against a lost commit after a crash. One replica alone receives a commit and restarts
+/// with an empty log; then the primary crashes, and would come back with its log. Holding all
+/// listed replicas does not prove that they have all commits.
 #[test]
 fn a_group_whose_records_were_lost_with_a_replica_waits_for_its_primary() {
     let play = play();
@@ -360,17 +346,16 @@
         let promotion = crash_promotion(&play);
         assert!(promotion.lacks_records(&[held("b", 0), held("c", 10)]));
         assert!(!promotion.lacks_records(&[held("b", 11), held("c", 10)]));
-        // Nobody has the commit any more; without a primary the group would stay dark.
+        // No instance has the commit any more, so the group need not wait for its primary.
         play.stage.world.borrow_mut().instances.remove("a");
         play.stage.relist();
         assert!(!promotion.lacks_records(&[held("b", 0), held("c", 10)]));
     });
 }
 
-/// Symptom: the old primary goes on acknowledging commits that its successor never gets.
-/// Events: both replicas are held; one of them starts again, and is held no more, before the
-/// order leaves; or one that nobody has held is added to the list.
-/// Cause: a hold was believed of an instance, not of its process.
+/// Guards against an old primary that acknowledges commits which its successor never receives. A
+/// held replica restarts without its hold before the order, or a replica that was never held is
+/// added to the list. A hold applies to one process, not to the instance.
 #[test]
 fn a_hold_ends_when_its_replica_restarts() {
     let play = play();
@@ -385,9 +370,8 @@
     });
 }
 
-/// Symptom: as above, after the order.
-/// Events: a primary is replaced while it cannot be told; the other replica starts again.
-/// Cause: replicas were held once.
+/// Guards against the same fault after the order: a primary is replaced while it is unreachable,
+/// and the other replica restarts without its hold. Replicas were held only once.
 #[test]
 fn a_restarted_replica_is_held_again_until_the_old_primary_is_demoted() {
     let play = play();
@@ -402,17 +386,15 @@
             world.at(other).held = 0;
         }
         play.stage.relist();
-        stage::until("it is held again", || {
+        stage::until("the restarted replica is held again", || {
             play.stage.world.borrow_mut().at(other).held == 2
         })
         .await;
     });
 }
 
-/// Symptom: for as long as both replicas need for one slow record, the primary serves all
-/// reads alone.
-/// Events: both replicas receive a record that takes them nine seconds.
-/// Cause: a primary was replaced only for reasons of its own.
+/// Guards against a primary that serves all reads alone while both replicas apply one slow record,
+/// which takes them nine seconds. A primary was replaced only for its own failures.
 #[test]
 fn a_group_whose_replicas_are_stuck_changes_its_primary_once() {
     let play = play();
@@ -420,7 +402,7 @@
         play.led(1).await;
         play.stick().await;
         play.led(2).await;
-        // All follow the new primary from here on.
+        // All instances follow the new primary from here on.
         for id in ["a", "b", "c"] {
             play.stage.world.borrow_mut().at(id).term = 2;
         }
@@ -430,11 +412,9 @@
     });
 }
 
-/// Symptom: a loaded primary is asked a dozen times where its log stands, and its writes wait
-/// each time; it never changes places.
-/// Events: the replicas are held; the primary takes one more record, which it cannot
-/// acknowledge.
-/// Cause: a primary that was ahead of the held replicas kept its place.
+/// Guards against a loaded primary that is never relieved and whose writes wait for each of a dozen
+/// attempts. The replicas are held and the primary appends one more record, which it cannot
+/// acknowledge. A primary ahead of the held replicas was not replaced.
 #[test]
 fn a_primary_that_is_ahead_steps_down_before_its_successor_is_ordered() {
     let play = play();
@@ -447,10 +427,9 @@
     });
 }
 
-/// Symptom: an acknowledged booking is gone after a change of places.
-/// Events: as above, but an instance that is not listed yet has received the record, so that
-/// it was acknowledged; it is listed while the primary gives up.
-/// Cause: the listed replicas were taken for all that can have a commit.
+/// Guards against a lost commit after a relief promotion. As above, but an instance that is not
+/// listed yet has received the record, so that it was acknowledged. The instance is listed while
+/// the primary steps down.
 #[test]
 fn an_instance_that_is_listed_late_is_not_passed_over() {
     let play = play();
@@ -458,7 +437,7 @@
         play.led(1).await;
         play.stage.world.borrow_mut().at("a").ahead = 1;
         play.stick().await;
-        stage::until("the primary gives up", || {
+        stage::until("the primary steps down", || {
             play.stage.world.borrow_mut().at("a").role == role::Role::Replica
         })
         .await;
@@ -478,11 +457,9 @@
     assert_eq!(play.leader(), ["d"]);
 }
 
-/// Symptom: an acknowledged booking is gone after a crash.
-/// Events: the store comes back from an outage in which all entries ended; a node starts, takes
-/// the seat and lists the instances while one of two replicas is not listed again; the primary is
-/// gone; the listed replica has received less.
-/// Cause: the listed replicas were taken for all.
+/// Guards against a lost commit after a crash. The store returns from an outage in which all
+/// entries expired. A node starts, takes the promoter lease and lists the instances before one of
+/// two replicas is listed again. The primary is gone, and the listed replica has received less.
 #[test]
 fn a_holder_that_has_just_started_waits_for_a_complete_list() {
     let world = stage::world();
@@ -494,7 +471,7 @@
         play.stage.world.borrow_mut().at("a").up = false;
         let group = play.stage.node.group(&stage::GROUP.into());
         let settles = group.roster().settles().expect("a list");
-        // The replica is listed again well before the list counts as whole.
+        // The replica is listed again well before the list counts as complete.
         stage::until("the list is nearly old enough", || {
             assert!(play.duty.orders.borrow().is_empty());
             boot::now() + SHORT >= settles
@@ -512,10 +489,9 @@
     assert_eq!(play.leader(), ["c"]);
 }
 
-/// Symptom: after an outage of the store two groups go without a primary for 2.4 s longer than
-/// the others need to see that.
-/// Events: two nodes find the seat empty; one of them has just started.
-/// Cause: it took the seat, and then waited for its list to be whole.
+/// Guards against groups that have no primary for 2.4 s longer than necessary after an outage of
+/// the store. Of two nodes that find the promoter lease free, the one that had just started took
+/// it, and then waited for its list of instances to be complete.
 #[test]
 fn a_node_that_has_just_started_leaves_the_seat_to_others() {
     let play = play();
@@ -528,12 +504,12 @@
             .executor
             .spawn(rc::Rc::clone(&newcomer).keep())
             .detach();
-        // The holder loses its lease; both hear that the seat is empty.
+        // The holder loses its lease, and both nodes learn that it is free.
         play.store.at().entry = None;
-        stage::until("the seat is lost", || !play.seat.had()).await;
+        stage::until("the promoter lease is lost", || !play.seat.had()).await;
         newcomer.vacated();
         play.seat.vacated();
-        stage::until("the seat is taken", || {
+        stage::until("the promoter lease is taken", || {
             play.seat.held().is_some() || newcomer.held().is_some()
         })
         .await;
@@ -541,10 +517,10 @@
     });
 }
 
-/// Symptom: hundreds of acknowledged bookings are gone after a change of primary.
-/// Events: both replicas start again with empty logs; the primary is silent for a while. The
-/// promoter finds that no replica has what one had, and gives up; it tries again.
-/// Cause: what replicas had received was forgotten with the first try, and they stayed held.
+/// Guards against a loss of hundreds of acknowledged commits in a second attempt. Both replicas
+/// restart with empty logs while the primary is silent for a while. The first attempt is given up,
+/// as no replica has the records that one had received. The replicas stayed held, and their earlier
+/// log positions were discarded with that attempt.
 #[test]
 fn empty_replicas_are_not_promoted_at_the_second_try_either() {
     let play = play();
@@ -563,7 +539,7 @@
         wait::sleep(2 * LONG).await;
         assert!(play.duty.orders.borrow().is_empty());
         play.stage.world.borrow_mut().at("a").up = true;
-        stage::until("the primary finds free replicas", || {
+        stage::until("the replicas of the primary are released", || {
             let mut world = play.stage.world.borrow_mut();
             world.at("b").held == 0 && world.at("c").held == 0
         })
@@ -573,11 +549,9 @@
     assert_eq!(play.leader(), ["a"]);
 }
 
-/// Symptom: a group has no primary for ever.
-/// Events: a primary that is ahead of its replicas gives up for relief; the order for its
-/// successor is refused; the promotion is to be finished.
-/// Cause: the records of the one that gave up counted as received by a replica, so that no
-/// replica seemed to have all.
+/// Guards against a group that never gets a primary after a refused relief promotion. A primary
+/// ahead of its replicas steps down, and the order for its successor is refused. The records of the
+/// former primary then counted as received by a replica, so that no replica seemed to have all.
 #[test]
 fn a_relief_whose_order_is_refused_is_finished() {
     let play = play();
@@ -590,7 +564,7 @@
             !play.duty.orders.borrow().is_empty()
         })
         .await;
-        // Long enough for the node to look at the primary that gave up.
+        // Long enough for the node to query the primary that stepped down.
         wait::sleep(SHORT).await;
         play.duty.refuse.set(false);
         play.led(2).await;
@@ -598,10 +572,10 @@
     assert_eq!(play.leader().len(), 1);
 }
 
-/// Symptom: three hundred acknowledged bookings are gone after a change of primary.
-/// Events: a replica is ordered to lead, and the order is not seen to take effect; the replica
-/// starts again, with an empty log; the promotion is finished.
-/// Cause: a candidate whose order might yet take effect was kept to by its id.
+/// Guards against a loss of acknowledged commits (three hundred were seen) through a restarted
+/// candidate. A replica is ordered to lead, the order has no visible effect, and the replica
+/// restarts with an empty log. The promoter still preferred it by its id, as its order might take
+/// effect.
 #[test]
 fn a_restarted_candidate_is_not_promoted() {
     let play = play();
--- a/desk/tests/stalled.rs
+++ b/desk/tests/stalled.rs
@@ -1,5 +1,5 @@
-//! A primary without replicas changes places only where that can help, and a primary that lives keeps its
-//! replicas while it does not.
+//! Tests that a stalled primary is replaced only if that can help, and that the replicas of a
+//! running primary are not held otherwise.
 
 mod play;
 mod stage;
@@ -13,15 +13,15 @@
 use play::play;
 use play::play_on;
 
-/// Pause between looks at the instances on stage.
+/// Interval at which a test checks the simulated instances.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Records that the primary takes and no replica receives.
+/// Adds records to the primary that no replica receives.
 fn stall(play: &Play) {
     play.stage.world.borrow_mut().at("a").position = 20;
 }
 
-/// Whether a replica is held at any moment of this time.
+/// Whether a replica is held at any time within `limit`.
 async fn is_held_within(play: &Play, id: &str, limit: time::Duration) -> bool {
     let held = async {
         while play.stage.world.borrow_mut().at(id).held == 0 {
@@ -42,7 +42,7 @@
     assert_ne!(play.leader(), ["a"]);
 }
 
-/// Guards against primaries that change places every second, as whoever takes over has no replica either.
+/// Guards against a promotion every second because each new primary has no replica either.
 #[test]
 fn a_stall_that_outlasts_a_promotion_triggers_no_second_one_at_once() {
     let play = play();
@@ -55,7 +55,8 @@
     assert_eq!(play.duty.orders.borrow().len(), 1);
 }
 
-/// Guards against a promotion of the only replica, which has none itself while the old primary is out of reach.
+/// Guards against a promotion of the only replica, which itself has no replica while it cannot
+/// reach the old primary.
 #[test]
 fn a_stalled_primary_with_one_replica_is_kept() {
     let world = stage::world();
@@ -70,7 +71,8 @@
     assert!(play.duty.orders.borrow().is_empty());
 }
 
-/// Guards against seconds without writes, in which the replicas of a leaving primary are held and one of them does not answer.
+/// Guards against seconds without writes in which the replicas of a leaving primary are held
+/// although one of them does not answer.
 #[test]
 fn replicas_of_a_leaving_primary_are_not_held_while_one_does_not_answer() {
     let play = play();
--- a/desk/tests/verdict.rs
+++ b/desk/tests/verdict.rs
@@ -1,4 +1,4 @@
-//! What the answers to holds mean for a promotion.
+//! Tests of the decision that a promotion derives from the answers to its holds.
 
 use std::time;
 
@@ -38,11 +38,10 @@
     false
 }
 
-/// Symptom: forty acknowledged writes are lost.
-/// Events: `c` receives nothing; writes are acknowledged with the receipt of `b`, which starts again
-/// without its log before the list of instances tells so; the primary does not answer.
-/// Cause: `b` answers a hold, and `c` has the furthest log of those that answer. Neither has
-/// what `b` was seen to have; only the primary may have it.
+/// Guards against a loss of acknowledged writes (forty were seen) when a replica restarts without
+/// its log before the list of instances shows it. The writes were acknowledged with the receipt of
+/// `b`, while `c` received nothing. `b` and `c` answer their holds, but neither has what `b` was
+/// known to have. Only the silent primary may have it.
 #[test]
 fn receipts_that_were_lost_hold_a_promotion_back_until_the_primary_is_known() {
     let mut receipts = receipts::Receipts::default();
@@ -70,7 +69,7 @@
         resolve(verdict::Predecessor::Silent),
         verdict::Verdict::HeldBack
     );
-    // It ends: the primary leads on, or hands over what it has, or has nothing any more.
+    // The hold-back ends when the primary still leads, is a replica with its log, or has lost it.
     let primary = look("a", role::Role::Primary, 3, 470, 0);
     assert_eq!(answers(primary), verdict::Verdict::Returned);
     assert_eq!(answers(held("a", 3, 470)), promote("a"));
@@ -78,8 +77,8 @@
     assert_eq!(resolve(verdict::Predecessor::Gone), promote("c"));
 }
 
-/// Symptom: a replica that could be held later is passed over.
-/// Events: one does not answer, is not held, or leads a term that is over, as nobody told it.
+/// Guards against a promotion that leaves out a replica which could be held later: one that does
+/// not answer, is not held, or still leads a term that is over.
 #[test]
 fn all_others_have_to_be_held() {
     let lead = lead();
@@ -103,8 +102,8 @@
     }
 }
 
-/// Symptom: a group whose primary leads is held up every four seconds.
-/// Events: another holder's order has taken effect; this one still believes in the primary before.
+/// Guards against a group with a primary whose replicas are held every four seconds. The order of
+/// another lease holder has taken effect, and this one still monitors the previous primary.
 #[test]
 fn a_primary_of_a_later_term_is_taken_over() {
     let lead = lead();
@@ -125,7 +124,7 @@
     assert_eq!(view.judge(stays), verdict::Verdict::Overtaken(found));
 }
 
-// What is to be done where `b` stands at one position and `c` at another, and `b` may have been ordered.
+// Verdict for `b` and `c` at these log positions. `pending` may have been ordered to lead.
 fn judge_pair(positions: (u64, u64), furthest: u64, pending: Option<&str>) -> verdict::Verdict {
     let lead = lead();
     let pending = pending.map(upstream::Id::from);
@@ -142,29 +141,31 @@
     view.judge(stays)
 }
 
-/// Symptom: hundreds of acknowledged writes are lost.
-/// Events: a candidate whose order may yet take effect loses its log.
+/// Guards against a loss of hundreds of acknowledged writes when a candidate whose order may still
+/// take effect loses its log.
 #[test]
 fn a_pending_candidate_is_preferred_only_while_it_has_all_records() {
     let promote = |id: &str| verdict::Verdict::Promote(id.into());
     assert_eq!(judge_pair((420, 420), 420, Some("b")), promote("b"));
-    // It may come to lead without its log, beside another that is ordered now.
+    // `b` may still lead without its log, beside another instance that is ordered now.
     assert_eq!(judge_pair((0, 420), 420, Some("b")), verdict::Verdict::Wait);
     assert_eq!(judge_pair((0, 420), 420, None), promote("c"));
 }
 
-/// Guards against a candidate that is kept to although a replica answers its hold with more.
+/// Guards against a pending candidate that is preferred although another replica answers its hold
+/// with more records.
 #[test]
 fn what_the_held_replicas_have_is_part_of_what_a_candidate_must_have() {
     let promote = |id: &str| verdict::Verdict::Promote(id.into());
     assert_eq!(judge_pair((5, 9), 5, Some("b")), verdict::Verdict::Wait);
-    // The order is too late to take effect.
+    // The order has timed out.
     assert_eq!(judge_pair((5, 9), 5, None), promote("c"));
     assert_eq!(judge_pair((9, 9), 5, Some("b")), promote("b"));
     assert_eq!(judge_pair((9, 5), 5, Some("b")), promote("b"));
 }
 
-/// Guards against two that lead in turns once the replaced primary is gone or has handed over.
+/// Guards against two instances that lead in turns once the replaced primary is gone or has become
+/// a replica.
 #[test]
 fn a_primary_that_is_gone_does_not_end_the_wait_for_an_order() {
     let lead = lead();
@@ -191,7 +192,8 @@
     }
 }
 
-/// Guards against records that a replica confirmed unseen before it lost its log.
+/// Guards against a loss of records that a replica confirmed, without being queried in between,
+/// before it lost its log.
 #[test]
 fn only_the_primarys_position_covers_a_lost_log() {
     let lead = lead();
