--- a/desk/src/attempt.rs
+++ b/desk/src/attempt.rs
@@ -14,11 +14,12 @@
 use crate::boot;
 use crate::catalog;
 use crate::connection;
+use crate::deadline;
 use crate::group;
-use crate::limit;
 use crate::organisation;
 use crate::pinned;
 use crate::pool;
+use crate::query;
 use crate::reply;
 use crate::retry;
 use crate::source;
@@ -26,7 +27,6 @@
 use crate::upstream;
 use crate::urgency;
 use crate::wait;
-use crate::work;
 
 /// Delay before the retry of a statement that did not run.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(15);
@@ -84,9 +84,9 @@
 
 impl Attempt<'_> {
     /// Runs a read on an instance that is proven fresh enough, and tries others if it fails.
-    pub async fn read(&self, work: &work::Work) -> Outcome {
-        let need = self.need(work.arrived, work.arrived);
-        let urgency = limit::urgency(self.route, work.arrived);
+    pub async fn read(&self, query: &query::Query) -> Outcome {
+        let need = self.need(query.arrived, query.arrived);
+        let urgency = deadline::urgency(self.route, query.arrived);
         let mut tried = Vec::new();
         let mut reason = retry::Reason::Unreachable;
         loop {
@@ -102,7 +102,7 @@
                 break;
             };
             tried.push(source.pool.id());
-            match self.read_at(work, &source, urgency).await {
+            match self.read_at(query, &source, urgency).await {
                 Ok(reply) => return Outcome::Answered(reply),
                 Err(retry::Reason::Unsuitable) => {}
                 Err(found) => reason = found,
@@ -118,7 +118,7 @@
     /// Runs a read on one instance; the error is the reason for trying another one.
     async fn read_at(
         &self,
-        work: &work::Work,
+        query: &query::Query,
         source: &source::Source,
         urgency: urgency::Urgency,
     ) -> Result<reply::Reply, retry::Reason> {
@@ -129,14 +129,14 @@
             .lend(urgency, self.organisation, self.values, wait)
             .await;
         let mut lent = lent.map_err(retry::Reason::from_shortage)?;
-        let commands = work.commands(&mut lent, self.values, source.after, false);
+        let commands = query.commands(&mut lent, self.values, source.after, false);
         let sent = boot::now();
         let limit = urgency
             .awaited
             .min(sent + route.timeout * INSTANCE_TIMEOUT_PERCENT / 100);
         let replies = lent.run_unless_silent(&commands, limit).await;
         let mut replies = replies.map_err(|failure| {
-            tracing::info!(request = %work.id, version = route.version, group = %group.name, instance = %source.pool.id(),
+            tracing::info!(request = %query.id, version = route.version, group = %group.name, instance = %source.pool.id(),
                 sent = failure.sent, detail = %failure.detail, "read not answered");
             if !failure.sent {
                 return retry::Reason::from_unsent(&failure);
@@ -150,14 +150,14 @@
         }
         let Some(code) = reply.code() else {
             count_read(source.leads.is_some());
-            tracing::info!(request = %work.id, version = route.version, group = %group.name, instance = %source.pool.id(),
+            tracing::info!(request = %query.id, version = route.version, group = %group.name, instance = %source.pool.id(),
                 term = source.leads, after = source.after.map(tracing::field::display),
-                waited_ms = sent.saturating_sub(work.arrived).as_millis(),
+                waited_ms = sent.saturating_sub(query.arrived).as_millis(),
                 took_ms = boot::now().saturating_sub(sent).as_millis(), "read served");
             return Ok(reply);
         };
         metrics::counter!("mangotray_read_retries_total").increment(1);
-        tracing::info!(request = %work.id, version = route.version, group = %group.name, instance = %source.pool.id(),
+        tracing::info!(request = %query.id, version = route.version, group = %group.name, instance = %source.pool.id(),
             ?code, applied = %source.pool.applied(),
             after = source.after.map(tracing::field::display), "read not served here");
         match code {
@@ -170,10 +170,10 @@
 
     /// Runs a write on the primary. Retries only if nothing was sent, or if the instance answered
     /// that the write did not run.
-    pub async fn write(&self, work: &work::Work) -> Outcome {
+    pub async fn write(&self, query: &query::Query) -> Outcome {
         let (group, route) = (&self.group, self.route);
-        let wait = self.primary_wait_deadline(work.arrived);
-        let urgency = limit::urgency(self.route, work.arrived);
+        let wait = self.primary_wait_deadline(query.arrived);
+        let urgency = deadline::urgency(self.route, query.arrived);
         loop {
             let Some((pool, term)) = group.primary(wait).await else {
                 return Outcome::Refused(reply::Code::Busy, self.no_primary_text());
@@ -197,7 +197,7 @@
                     continue;
                 }
             };
-            let commands = work.commands(&mut lent, self.values, None, false);
+            let commands = query.commands(&mut lent, self.values, None, false);
             let sent = boot::now();
             let reply = match lent
                 .run(&commands, urgency.awaited)
@@ -222,8 +222,8 @@
             group.saw_position(term, sent, reply.position);
             match reply.code() {
                 None => {
-                    tracing::info!(request = %work.id, version = route.version, group = %group.name, instance = %pool.id(),
-                        term, waited_ms = sent.saturating_sub(work.arrived).as_millis(),
+                    tracing::info!(request = %query.id, version = route.version, group = %group.name, instance = %pool.id(),
+                        term, waited_ms = sent.saturating_sub(query.arrived).as_millis(),
                         took_ms = boot::now().saturating_sub(sent).as_millis(), "write done");
                     return Outcome::Answered(reply);
                 }
@@ -236,7 +236,7 @@
                 .code()
                 .map_or(retry::Reason::Unsuitable, retry::Reason::from_code);
             metrics::counter!("mangotray_write_retries_total").increment(1);
-            tracing::info!(request = %work.id, version = route.version, group = %group.name, instance = %pool.id(), term,
+            tracing::info!(request = %query.id, version = route.version, group = %group.name, instance = %pool.id(), term,
                 code = ?reply.code(), "write not run");
             drop(lent);
             if !delay_retry(retry_deadline(&reason, &urgency, wait)).await {
@@ -290,7 +290,7 @@
             need.writes = true;
             need.deadline = self.primary_wait_deadline(arrived);
         }
-        let urgency = limit::urgency(self.route, arrived);
+        let urgency = deadline::urgency(self.route, arrived);
         let mut tried = Vec::new();
         loop {
             let Some(source) = self.group.source(&need, &tried).await else {
@@ -332,7 +332,7 @@
             }
             retry::Reason::from_shortage(shortage)
         })?;
-        let mut commands = lent.prelude(self.values, None, false);
+        let mut commands = lent.setup_commands(self.values, None, false);
         commands.push(upstream::Command::Begin {
             id: begin.id.clone(),
             read_only: begin.read_only,
@@ -375,25 +375,25 @@
 
     // Until when a statement may wait for an instance.
     fn wait_deadline(&self, arrived: id::Time) -> id::Time {
-        limit::wait(self.route, arrived, self.group.roster().is_lost())
+        deadline::for_instance(self.route, arrived, self.group.roster().is_lost())
     }
 
     // Until when a statement that needs the primary may wait. If the group has had no primary for
     // long, as while a promotion is held back or the store is down, the statement is refused early:
     // waiting would only delay the caller's retry on another node.
     fn primary_wait_deadline(&self, arrived: id::Time) -> id::Time {
-        let vacant = limit::is_vacant(self.group.vacancy().since, boot::now());
-        limit::wait(self.route, arrived, vacant || self.group.roster().is_lost())
+        let vacant = deadline::is_vacant(self.group.vacancy().since, boot::now());
+        deadline::for_instance(self.route, arrived, vacant || self.group.roster().is_lost())
     }
 
     // Error text for a caller that needs a primary.
     fn no_primary_text(&self) -> CompactString {
         let now = boot::now();
         match self.group.vacancy().since {
-            Some(since) if limit::is_vacant(Some(since), now) => format_compact!(
+            Some(since) if deadline::is_vacant(Some(since), now) => format_compact!(
                 "no primary for {} s, come back in {} ms",
                 now.saturating_sub(since).as_secs(),
-                limit::COME_BACK.as_millis()
+                deadline::RETRY_AFTER.as_millis()
             ),
             _ => "no primary for now".into(),
         }
--- a/desk/src/limit.rs
+++ b/desk/src/deadline.rs
@@ -15,32 +15,32 @@
 /// Part of a route's objective for which a statement waits where this node has reached no
 /// instance of the group for a second. Its caller's next try goes to another node, which may
 /// stand on the other side of the cut; the sooner, the better.
-const LOST_PERCENT: u32 = 20;
+const UNREACHABLE_PERCENT: u32 = 20;
 
 /// A group without a primary for this long goes without one for longer: the lease of a promoter
 /// that is lost ends within two seconds, its successor acts 0.7 s later, sees within 0.6 s
 /// that the primary is silent, and a promotion takes 0.6 s. What lasts beyond, as a promotion
 /// that is held back or a store that is away, a caller does better to sit out elsewhere.
-const VACANT: time::Duration = time::Duration::from_secs(6);
+const LONG_VACANCY: time::Duration = time::Duration::from_secs(6);
 
 /// When a caller that was refused for want of a primary should come back: promoters try again
 /// about once a second, and callers have two or three tries in all.
-pub const COME_BACK: time::Duration = time::Duration::from_secs(1);
+pub const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
 /// Whether a group that has had no primary since `since` will have none for a while, so that
 /// what needs one is refused at once.
 ///
 /// ```
-/// use mangotray_desk::limit;
+/// use mangotray_desk::deadline;
 /// use std::time::Duration;
 /// let second = Duration::from_secs(1);
-/// assert!(!limit::is_vacant(Some(second), 3 * second));
-/// assert!(limit::is_vacant(Some(second), 8 * second));
-/// assert!(!limit::is_vacant(None, 8 * second));
+/// assert!(!deadline::is_vacant(Some(second), 3 * second));
+/// assert!(deadline::is_vacant(Some(second), 8 * second));
+/// assert!(!deadline::is_vacant(None, 8 * second));
 /// ```
 #[must_use]
 pub fn is_vacant(since: Option<id::Time>, now: id::Time) -> bool {
-    since.is_some_and(|since| now > since + VACANT)
+    since.is_some_and(|since| now > since + LONG_VACANCY)
 }
 
 /// Part of a statement's timeout for which it may wait behind others. Where more is asked
@@ -52,7 +52,7 @@
 /// has lost its whole group or not.
 ///
 /// ```
-/// use mangotray_desk::{catalog, limit};
+/// use mangotray_desk::{catalog, deadline};
 /// use std::time::Duration;
 /// let route = catalog::Route {
 ///     version: 1,
@@ -64,15 +64,15 @@
 ///     priority: 1,
 ///     public: false,
 /// };
-/// assert_eq!(limit::wait(&route, Duration::ZERO, false), Duration::from_millis(320));
-/// assert_eq!(limit::wait(&route, Duration::ZERO, true), Duration::from_millis(40));
-/// assert_eq!(limit::urgency(&route, Duration::ZERO).until, Duration::from_millis(176));
-/// assert_eq!(limit::inside(&route, Duration::ZERO).until, Duration::from_millis(800));
+/// assert_eq!(deadline::for_instance(&route, Duration::ZERO, false), Duration::from_millis(320));
+/// assert_eq!(deadline::for_instance(&route, Duration::ZERO, true), Duration::from_millis(40));
+/// assert_eq!(deadline::urgency(&route, Duration::ZERO).until, Duration::from_millis(176));
+/// assert_eq!(deadline::urgency_in_transaction(&route, Duration::ZERO).until, Duration::from_millis(800));
 /// ```
 #[must_use]
-pub fn wait(route: &catalog::Route, arrived: id::Time, lost: bool) -> id::Time {
-    if lost {
-        arrived + route.objective * LOST_PERCENT / 100
+pub fn for_instance(route: &catalog::Route, arrived: id::Time, unreachable: bool) -> id::Time {
+    if unreachable {
+        arrived + route.objective * UNREACHABLE_PERCENT / 100
     } else {
         arrived + route.timeout * WAIT_PERCENT / 100
     }
@@ -93,7 +93,7 @@
 /// The urgency of a statement inside a transaction. It has had its place: were it refused,
 /// all the work that the transaction has done would be lost.
 #[must_use]
-pub fn inside(route: &catalog::Route, arrived: id::Time) -> urgency::Urgency {
+pub fn urgency_in_transaction(route: &catalog::Route, arrived: id::Time) -> urgency::Urgency {
     urgency::Urgency {
         until: arrived + route.timeout,
         ..urgency(route, arrived)
--- a/desk/src/lib.rs
+++ b/desk/src/lib.rs
@@ -2,7 +2,7 @@
 //! commits themselves.
 //!
 //! Sessions belong to callers, connections to everybody: a [`session::Session`] keeps what
-//! its caller set and prepared, and a [`lent::Lent`] connection is brought to that state
+//! its caller set and prepared, and a [`checkout::Checkout`] connection is brought to that state
 //! before a statement runs on it. A [`group::Group`] knows which instance leads, how fresh
 //! the others are, and proves both before a read depends on it. One node of the fleet, the
 //! [`promoter`], replaces primaries.
@@ -16,10 +16,12 @@
 pub mod bucket;
 pub mod candidate;
 pub mod catalog;
+pub mod checkout;
 pub mod cleanup;
 pub mod confirmer;
 pub mod connection;
 pub mod currency;
+pub mod deadline;
 pub mod detector;
 pub mod doubt;
 pub mod duty;
@@ -33,14 +35,12 @@
 pub mod key;
 pub mod lane;
 pub mod ledger;
-pub mod lent;
-pub mod limit;
+mod limiter;
 pub mod log;
 pub mod member;
 pub mod message;
 pub mod monitor;
 pub mod node;
-pub mod order;
 pub mod organisation;
 pub mod organisations;
 pub mod peers;
@@ -50,6 +50,7 @@
 pub mod promoter;
 pub mod promotion;
 pub mod proof;
+pub mod query;
 pub mod question;
 pub mod queue;
 pub mod quota;
@@ -65,6 +66,7 @@
 pub mod roster;
 pub mod router;
 pub mod sampler;
+pub mod schedule;
 pub mod seat;
 pub mod serving;
 pub mod session;
@@ -74,11 +76,9 @@
 pub mod statement;
 pub mod survey;
 pub mod tolerance;
-mod turns;
 pub mod upstream;
 pub mod urgency;
 pub mod verdict;
 pub mod wait;
 pub mod window;
 pub mod witness;
-pub mod work;
--- a/desk/src/turns.rs
+++ b/desk/src/limiter.rs
@@ -17,19 +17,19 @@
 use crate::window;
 
 /// The turns at one instance.
-pub(crate) struct Turns {
+pub(crate) struct Limiter {
     window: cell::Cell<window::Window>,
     waiting: queue::Queue,
-    working: cell::Cell<usize>,
+    running: cell::Cell<usize>,
 }
 
-impl Turns {
+impl Limiter {
     /// Turns for at most so many statements at once.
-    pub(crate) fn new(most: usize) -> rc::Rc<Self> {
+    pub(crate) fn new(max_statements: usize) -> rc::Rc<Self> {
         rc::Rc::new(Self {
-            window: cell::Cell::new(window::Window::new(most)),
+            window: cell::Cell::new(window::Window::new(max_statements)),
             waiting: queue::Queue::default(),
-            working: cell::Cell::default(),
+            running: cell::Cell::default(),
         })
     }
 
@@ -39,17 +39,17 @@
     }
 
     /// A turn, awaited for as long as the statement is of use.
-    pub(crate) async fn take(self: &rc::Rc<Self>, urgency: urgency::Urgency) -> Option<Turn> {
+    pub(crate) async fn acquire(self: &rc::Rc<Self>, urgency: urgency::Urgency) -> Option<Permit> {
         let deadline = urgency.until.min(urgency.awaited);
         let (anybody, since) = (organisation::OWN, boot::now());
-        while self.working.get() >= self.window() {
+        while self.running.get() >= self.window() {
             let waited = self.waiting.wait(&anybody, urgency, since, deadline);
             if !waited.await {
                 return None;
             }
         }
-        self.working.set(self.working.get() + 1);
-        Some(Turn(rc::Rc::clone(self)))
+        self.running.set(self.running.get() + 1);
+        Some(Permit(rc::Rc::clone(self)))
     }
 
     /// Fits the window to an answer; whether it has grown, so that there is room for one more.
@@ -57,8 +57,8 @@
         let mut window = self.window.get();
         let before = window.size();
         match reply.code() {
-            None => window.answered(now, took, self.working.get() >= before),
-            Some(reply::Code::Busy) => window.refused(now),
+            None => window.record_success(now, took, self.running.get() >= before),
+            Some(reply::Code::Busy) => window.record_refusal(now),
             // Refused for another reason, which tells nothing about the instance's load.
             Some(_) => return false,
         }
@@ -72,11 +72,11 @@
 }
 
 /// A statement at work, or about to be.
-pub(crate) struct Turn(rc::Rc<Turns>);
+pub(crate) struct Permit(rc::Rc<Limiter>);
 
-impl Drop for Turn {
+impl Drop for Permit {
     fn drop(&mut self) {
-        self.0.working.set(self.0.working.get() - 1);
+        self.0.running.set(self.0.running.get() - 1);
         self.0.waiting.wake();
     }
 }
--- a/desk/src/message.rs
+++ b/desk/src/message.rs
@@ -7,14 +7,14 @@
 use futures_lite::AsyncWriteExt;
 
 /// Longest message between nodes; a caller's statement has one MiB at most.
-const LONGEST: u32 = 4 << 20;
+const MAX_LENGTH: u32 = 4 << 20;
 
 /// Sent in place of a first message's length by a node that asks questions. A node that does not
 /// know it takes it for a message that is too long, and closes the connection.
-const QUESTIONS: u32 = u32::MAX - 1;
+const QUESTIONS_MARKER: u32 = u32::MAX - 1;
 
 /// Sent in place of a length by a node that is still at work on what it was sent.
-const AT_WORK: u32 = u32::MAX - 2;
+const HEARTBEAT_MARKER: u32 = u32::MAX - 2;
 
 /// What a connection between two nodes is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,16 +30,16 @@
 /// # Errors
 /// When the other node is not there.
 pub async fn open_questions(stream: &mut TcpStream) -> io::Result<()> {
-    stream.write_all(&QUESTIONS.to_le_bytes()).await
+    stream.write_all(&QUESTIONS_MARKER.to_le_bytes()).await
 }
 
 /// Reads what a new connection is for.
 ///
 /// # Errors
 /// When the other node is not there.
-pub async fn opening(stream: &mut TcpStream) -> io::Result<Opening> {
-    match length(stream).await? {
-        QUESTIONS => Ok(Opening::Questions),
+pub async fn receive_opening(stream: &mut TcpStream) -> io::Result<Opening> {
+    match receive_length(stream).await? {
+        QUESTIONS_MARKER => Ok(Opening::Questions),
         length => Ok(Opening::Relay(length)),
     }
 }
@@ -62,8 +62,8 @@
 /// # Errors
 /// When the other node is not there, or the message makes no sense.
 pub async fn receive<T: serde::de::DeserializeOwned>(stream: &mut TcpStream) -> io::Result<T> {
-    let length = length(stream).await?;
-    body(stream, length).await
+    let length = receive_length(stream).await?;
+    receive_body(stream, length).await
 }
 
 /// Tells the other node that its message is still worked on.
@@ -71,21 +71,21 @@
 /// # Errors
 /// When the other node is not there.
 pub async fn send_heartbeat(stream: &mut TcpStream) -> io::Result<()> {
-    stream.write_all(&AT_WORK.to_le_bytes()).await
+    stream.write_all(&HEARTBEAT_MARKER.to_le_bytes()).await
 }
 
-/// Receives a message; calls `beat` for each heartbeat before it.
+/// Receives a message; calls `on_heartbeat` for each heartbeat before it.
 ///
 /// # Errors
 /// As [`receive`].
 pub async fn receive_after_heartbeats<T: serde::de::DeserializeOwned>(
     stream: &mut TcpStream,
-    beat: impl Fn(),
+    on_heartbeat: impl Fn(),
 ) -> io::Result<T> {
     loop {
-        match length(stream).await? {
-            AT_WORK => beat(),
-            length => return body(stream, length).await,
+        match receive_length(stream).await? {
+            HEARTBEAT_MARKER => on_heartbeat(),
+            length => return receive_body(stream, length).await,
         }
     }
 }
@@ -94,11 +94,11 @@
 ///
 /// # Errors
 /// As [`receive`].
-pub async fn receive_with_mark<T: serde::de::DeserializeOwned>(
+pub async fn receive_with_trailer<T: serde::de::DeserializeOwned>(
     stream: &mut TcpStream,
 ) -> io::Result<(T, Option<u8>)> {
-    let length = length(stream).await?;
-    let bytes = bytes(stream, length).await?;
+    let length = receive_length(stream).await?;
+    let bytes = receive_bytes(stream, length).await?;
     let (value, rest) = postcard::take_from_bytes(&bytes).map_err(io::Error::other)?;
     Ok((value, rest.first().copied()))
 }
@@ -107,16 +107,16 @@
 ///
 /// # Errors
 /// As [`receive`].
-pub async fn body<T: serde::de::DeserializeOwned>(
+pub async fn receive_body<T: serde::de::DeserializeOwned>(
     stream: &mut TcpStream,
     length: u32,
 ) -> io::Result<T> {
-    let bytes = bytes(stream, length).await?;
+    let bytes = receive_bytes(stream, length).await?;
     postcard::from_bytes(&bytes).map_err(io::Error::other)
 }
 
-async fn bytes(stream: &mut TcpStream, length: u32) -> io::Result<Vec<u8>> {
-    if length > LONGEST {
+async fn receive_bytes(stream: &mut TcpStream, length: u32) -> io::Result<Vec<u8>> {
+    if length > MAX_LENGTH {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut bytes = vec![0; length as usize];
@@ -124,7 +124,7 @@
     Ok(bytes)
 }
 
-async fn length(stream: &mut TcpStream) -> io::Result<u32> {
+async fn receive_length(stream: &mut TcpStream) -> io::Result<u32> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).await?;
     Ok(u32::from_le_bytes(length))
--- a/desk/src/pinned.rs
+++ b/desk/src/pinned.rs
@@ -4,13 +4,13 @@
 
 use mangotray::id;
 
+use crate::checkout;
 use crate::group;
-use crate::lent;
 
 /// The connection of an open transaction, with the group and role of its instance.
 pub struct Pinned {
     /// The pinned connection.
-    pub lent: lent::Lent,
+    pub lent: checkout::Checkout,
     /// The instance's group.
     pub group: rc::Rc<group::Group>,
     /// Term of the primary, if the transaction runs on the primary; `None` on a replica.
--- a/desk/src/pool.rs
+++ b/desk/src/pool.rs
@@ -15,13 +15,13 @@
 use crate::absence;
 use crate::boot;
 use crate::catalog;
+use crate::checkout;
 use crate::connection;
-use crate::lent;
+use crate::limiter;
 use crate::organisation;
 use crate::queue;
 use crate::reply;
 use crate::size;
-use crate::turns;
 use crate::upstream;
 use crate::urgency;
 use crate::wait;
@@ -77,7 +77,7 @@
     idle: cell::RefCell<Vec<connection::Connection>>,
     open: cell::Cell<usize>,
     waiting: queue::Queue,
-    turns: rc::Rc<turns::Turns>,
+    limiter: rc::Rc<limiter::Limiter>,
     pinned: cell::Cell<usize>,
     full_until: cell::Cell<id::Time>,
     /// Connections that this node had when the instance last reported that it was full, and until
@@ -118,7 +118,7 @@
             idle: cell::RefCell::default(),
             open: cell::Cell::default(),
             waiting: queue::Queue::default(),
-            turns: turns::Turns::new(size.abreast),
+            limiter: limiter::Limiter::new(size.max_statements),
             pinned: cell::Cell::default(),
             full_until: cell::Cell::default(),
             ceiling: cell::Cell::default(),
@@ -215,7 +215,7 @@
     /// Current concurrency limit: statements that this node runs on the instance at once.
     #[must_use]
     pub fn window(&self) -> usize {
-        self.turns.window()
+        self.limiter.window()
     }
 
     /// Whether the instance accepted no connection, or left a request unanswered, a short time ago.
@@ -276,7 +276,7 @@
         organisation: &organisation::Name,
         values: &connection::Values,
         deadline: id::Time,
-    ) -> Result<lent::Lent, Shortage> {
+    ) -> Result<checkout::Checkout, Shortage> {
         let since = boot::now();
         loop {
             if let Some(connection) = self.take_idle(organisation, values) {
@@ -307,7 +307,7 @@
 
     /// Closes connections beyond the minimum that have been idle for longer than the timeout.
     pub fn trim(&self) {
-        let oldest = boot::now().saturating_sub(self.size.get().spare_idle);
+        let oldest = boot::now().saturating_sub(self.size.get().idle_timeout);
         let mut idle = self.idle.borrow_mut();
         while self.open.get() > MIN_CONNECTIONS
             && idle
@@ -382,8 +382,8 @@
         self: &rc::Rc<Self>,
         connection: connection::Connection,
         urgency: urgency::Urgency,
-    ) -> lent::Lent {
-        lent::Lent::new(rc::Rc::clone(self), connection, urgency)
+    ) -> checkout::Checkout {
+        checkout::Checkout::new(rc::Rc::clone(self), connection, urgency)
     }
 
     /// Takes a lent connection back into the pool; `None` if it was closed.
@@ -398,7 +398,7 @@
         };
         let organisation = connection.organisation.clone();
         self.idle.borrow_mut().push(connection);
-        self.waiting.wake_first(&organisation);
+        self.waiting.wake_for(&organisation);
     }
 
     // Opens one more connection for an organisation in the background, if there are too few.
@@ -408,7 +408,7 @@
     // after a restart of many nodes, an overloaded instance would spend most of its time on
     // handshakes that nobody waits for.
     fn grow(self: &rc::Rc<Self>, organisation: &organisation::Name) {
-        let wanted = self.waiting.waiting(organisation) + 1;
+        let wanted = self.waiting.count_waiting(organisation) + 1;
         let (all, own) = {
             let dialling = self.dialling.borrow();
             let own = dialling.iter().filter(|name| *name == organisation);
@@ -440,12 +440,12 @@
     // statements that wait.
     fn useful_connections(&self) -> usize {
         let useful = self.pinned.get() + self.window() + 1;
-        useful.min(self.size.get().most)
+        useful.min(self.size.get().max_connections)
     }
 
     // Number of connections that this node may have now.
     fn connection_limit(&self, now: id::Time) -> usize {
-        let most = self.size.get().most;
+        let most = self.size.get().max_connections;
         match self.ceiling.get() {
             (ceiling, until) if now < until => most.min(ceiling),
             _ => most,
@@ -491,7 +491,7 @@
                 let organisation = reservation.organisation().clone();
                 self.add_opened(link, stamp, organisation.clone());
                 reservation.keep();
-                self.waiting.wake_first(&organisation);
+                self.waiting.wake_for(&organisation);
                 // Another waiting request may now start to open a connection.
                 self.waiting.wake();
                 return;
@@ -549,8 +549,8 @@
     }
 
     /// Waits for a place within the instance's concurrency limit; `None` when the time is over.
-    pub(crate) async fn turn(&self, urgency: urgency::Urgency) -> Option<turns::Turn> {
-        self.turns.take(urgency).await
+    pub(crate) async fn turn(&self, urgency: urgency::Urgency) -> Option<limiter::Permit> {
+        self.limiter.acquire(urgency).await
     }
 
     fn target(&self, organisation: &organisation::Name) -> upstream::Target {
@@ -572,7 +572,7 @@
         self.last_answer.set(now);
         let took = now.saturating_sub(sent);
         if let Some(last) = replies.last()
-            && self.turns.adapt(now, last, took)
+            && self.limiter.adapt(now, last, took)
         {
             // The concurrency limit was raised: one more statement may run.
             self.waiting.wake();
--- a/desk/src/work.rs
+++ b/desk/src/query.rs
@@ -5,16 +5,16 @@
 use mangotray::id;
 use mangotray::stamp;
 
+use crate::checkout;
 use crate::connection;
-use crate::lent;
 use crate::statement;
 use crate::upstream;
 
 /// Longest name of a prepared statement that is made of its text.
-const HANDLE_TEXT: usize = 48;
+const MAX_PLAIN_NAME: usize = 48;
 
 /// A statement that needs an instance.
-pub struct Work {
+pub struct Query {
     /// The caller's id.
     pub id: statement::Id,
     /// When it arrived.
@@ -27,20 +27,20 @@
     pub prepared: Option<(CompactString, statement::Shape, CompactString)>,
 }
 
-impl Work {
+impl Query {
     /// What is sent for it on a connection, values and preparing included.
     pub fn commands(
         &self,
-        lent: &mut lent::Lent,
+        checkout: &mut checkout::Checkout,
         values: &connection::Values,
         after: Option<stamp::Stamp>,
-        inside: bool,
+        in_transaction: bool,
     ) -> Vec<upstream::Command> {
         let shape = self
             .prepared
             .as_ref()
             .map(|(handle, shape, _)| (handle, shape));
-        let mut commands = lent.prelude(values, shape, inside);
+        let mut commands = checkout.setup_commands(values, shape, in_transaction);
         commands.push(match &self.prepared {
             Some((handle, _, arguments)) => upstream::Command::Execute {
                 id: self.id.clone(),
@@ -60,19 +60,19 @@
 
 /// One name for a shape on all connections, so that sessions share what is prepared.
 #[must_use]
-pub fn handle(shape: &statement::Shape) -> CompactString {
+pub fn prepared_name(shape: &statement::Shape) -> CompactString {
     let access = match shape.access {
         statement::Access::Read => 'r',
         statement::Access::Write => 'w',
     };
-    let plain = shape.text.len() <= HANDLE_TEXT && !shape.text.contains(char::is_whitespace);
+    let plain = shape.text.len() <= MAX_PLAIN_NAME && !shape.text.contains(char::is_whitespace);
     if plain {
         return format_compact!("{access}_{}", shape.text);
     }
-    let words: Vec<_> = shape
+    let hex: Vec<_> = shape
         .text
         .bytes()
         .map(|byte| format!("{byte:02x}"))
         .collect();
-    format_compact!("{access}x{}", words.concat())
+    format_compact!("{access}x{}", hex.concat())
 }
--- a/desk/src/queue.rs
+++ b/desk/src/queue.rs
@@ -5,8 +5,8 @@
 use mangotray::id;
 
 use crate::boot;
-use crate::order;
 use crate::organisation;
+use crate::schedule;
 use crate::urgency;
 use crate::wait;
 
@@ -19,19 +19,19 @@
 /// A queue.
 #[derive(Default)]
 pub struct Queue {
-    places: cell::RefCell<Vec<order::Place>>,
+    entries: cell::RefCell<Vec<schedule::Entry>>,
     /// Wakes those who wait at the same index.
     wakers: cell::RefCell<Vec<Waker>>,
     number: cell::Cell<u64>,
     /// Requests woken so far.
-    turn: cell::Cell<u64>,
+    served: cell::Cell<u64>,
 }
 
 impl Queue {
     /// Requests that wait.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.places.borrow().len()
+        self.entries.borrow().len()
     }
 
     /// Whether nobody waits.
@@ -51,7 +51,7 @@
         let (wake, woken) = async_channel::bounded(1);
         let number = self.number.get();
         self.number.set(number + 1);
-        self.places.borrow_mut().push(order::Place {
+        self.entries.borrow_mut().push(schedule::Entry {
             urgency,
             number,
             since,
@@ -72,16 +72,16 @@
 
     /// Wakes the most urgent.
     pub fn wake(&self) {
-        let turn = self.turn.get() + 1;
-        let next = order::next(&self.places.borrow(), boot::now(), turn);
+        let served = self.served.get() + 1;
+        let next = schedule::next(&self.entries.borrow(), boot::now(), served);
         if let Some(index) = next {
-            self.turn.set(turn);
+            self.served.set(served);
             self.wake_at(index);
         }
     }
 
     /// Wakes the most urgent of an organisation; the most urgent of all where none of it waits.
-    pub fn wake_first(&self, organisation: &organisation::Name) {
+    pub fn wake_for(&self, organisation: &organisation::Name) {
         let indices: Vec<_> = {
             let wakers = self.wakers.borrow();
             let of = |index: &usize| wakers[*index].organisation == *organisation;
@@ -90,20 +90,20 @@
         if indices.is_empty() {
             return self.wake();
         }
-        let turn = self.turn.get() + 1;
-        let places: Vec<_> = {
-            let places = self.places.borrow();
-            indices.iter().map(|index| places[*index]).collect()
+        let served = self.served.get() + 1;
+        let entries: Vec<_> = {
+            let entries = self.entries.borrow();
+            indices.iter().map(|index| entries[*index]).collect()
         };
-        if let Some(index) = order::next(&places, boot::now(), turn) {
-            self.turn.set(turn);
+        if let Some(index) = schedule::next(&entries, boot::now(), served) {
+            self.served.set(served);
             self.wake_at(indices[index]);
         }
     }
 
     /// How many of an organisation wait.
     #[must_use]
-    pub fn waiting(&self, organisation: &organisation::Name) -> usize {
+    pub fn count_waiting(&self, organisation: &organisation::Name) -> usize {
         let wakers = self.wakers.borrow();
         let of = wakers
             .iter()
@@ -118,7 +118,7 @@
 
     /// Wakes all.
     pub fn wake_all(&self) {
-        self.places.take();
+        self.entries.take();
         for waker in self.wakers.take() {
             // The receiver is gone only when its request was dropped; nobody is owed then.
             let _ = waker.wake.try_send(());
@@ -126,7 +126,7 @@
     }
 
     fn remove(&self, index: usize) -> Waker {
-        self.places.borrow_mut().swap_remove(index);
+        self.entries.borrow_mut().swap_remove(index);
         self.wakers.borrow_mut().swap_remove(index)
     }
 }
@@ -139,10 +139,10 @@
         let number = self.1;
         let found = self
             .0
-            .places
+            .entries
             .borrow()
             .iter()
-            .position(|place| place.number == number);
+            .position(|entry| entry.number == number);
         if let Some(index) = found {
             self.0.remove(index);
         }
--- a/desk/src/relay.rs
+++ b/desk/src/relay.rs
@@ -18,7 +18,7 @@
 use mangotray::stamp;
 
 use crate::boot;
-use crate::lent;
+use crate::checkout;
 use crate::message;
 use crate::organisation;
 use crate::pool;
@@ -30,29 +30,29 @@
 use crate::wait;
 
 /// Longest wait for a connection that shows that the instance can be reached.
-const OPEN_LIMIT: time::Duration = time::Duration::from_millis(250);
+const OPEN_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
 /// An instance that answered this lately can be reached, be there a connection for the organisation
 /// that asks or not: were crowding taken for a lost link, all nodes would look for other ways.
-const OPEN_FRESH: time::Duration = time::Duration::from_millis(500);
+const RECENT_ANSWER: time::Duration = time::Duration::from_millis(500);
 
 /// A connection within this process is suspected after this long without an answer: the wait for a
 /// connection comes on top of what an instance itself may take.
-const SILENCE: time::Duration = time::Duration::from_millis(650);
+const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(650);
 
 /// A lending node tells each so often that it is at work: rarely enough that most statements are done
 /// before.
-const HEARTBEAT: time::Duration = time::Duration::from_millis(60);
+const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(60);
 
 /// It does so for this long: what takes longer waits for an instance that may be silent, of which whoever
 /// asked should think so too.
-const HEARTBEATS_FOR: time::Duration = time::Duration::from_millis(400);
+const HEARTBEAT_PERIOD: time::Duration = time::Duration::from_millis(400);
 
 /// A lending node's answer to the opening of a relayed connection.
 pub type Opened = Result<Option<stamp::Stamp>, upstream::Refusal>;
 
 /// Follows the work of a node that wants to be told while it goes on.
-pub const TELL: u8 = 1;
+pub const WANT_HEARTBEATS: u8 = 1;
 
 /// What a lending node is asked to run.
 #[derive(serde::Deserialize)]
@@ -66,16 +66,16 @@
 pub type Answer = Result<Vec<reply::Reply>, upstream::Failure>;
 
 /// What one relayed connection has set, and the connection that it is on, if any.
-pub struct Lender {
+pub struct Session {
     pool: rc::Rc<pool::Pool>,
     /// For whom it was last used.
     organisation: organisation::Name,
     values: collections::BTreeMap<statement::Name, CompactString>,
     prepared: collections::BTreeMap<CompactString, statement::Shape>,
-    pinned: Option<lent::Lent>,
+    pinned: Option<checkout::Checkout>,
 }
 
-impl Lender {
+impl Session {
     /// A relayed connection on which nothing is set.
     #[must_use]
     pub const fn new(pool: rc::Rc<pool::Pool>, organisation: organisation::Name) -> Self {
@@ -94,14 +94,14 @@
     /// When this node cannot reach the instance either.
     pub async fn open(&self) -> Opened {
         let now = boot::now();
-        if self.pool.last_answer() + OPEN_FRESH > now {
+        if self.pool.last_answer() + RECENT_ANSWER > now {
             return Ok(Some(self.pool.applied()));
         }
-        let deadline = now + OPEN_LIMIT;
+        let deadline = now + OPEN_TIMEOUT;
         match self
             .pool
             .lend(
-                urgency::Urgency::now(deadline),
+                urgency::Urgency::immediate(deadline),
                 &self.organisation,
                 &self.values,
                 deadline,
@@ -110,7 +110,7 @@
         {
             Ok(_) => Ok(Some(self.pool.applied())),
             // All connections are busy; the instance is well if it answers on them.
-            Err(pool::Shortage::Late) if self.pool.last_answer() + OPEN_LIMIT > boot::now() => {
+            Err(pool::Shortage::Late) if self.pool.last_answer() + OPEN_TIMEOUT > boot::now() => {
                 Ok(Some(self.pool.applied()))
             }
             Err(pool::Shortage::Full) => Err(upstream::Refusal::Full),
@@ -133,20 +133,20 @@
         urgency: urgency::Urgency,
         organisation: &organisation::Name,
     ) -> Answer {
-        self.turn_to(organisation)?;
+        self.switch_organisation(organisation)?;
         let mut replies = Vec::with_capacity(commands.len());
-        let mut begun = false;
+        let mut started = false;
         for command in commands {
-            if let Some(reply) = self.note(command) {
+            if let Some(reply) = self.apply_locally(command) {
                 replies.push(reply);
                 continue;
             }
-            let passed = self.pass(command, urgency).await;
-            let reply = passed.map_err(|failure| upstream::Failure {
-                sent: failure.sent || begun,
+            let forwarded = self.forward(command, urgency).await;
+            let reply = forwarded.map_err(|failure| upstream::Failure {
+                sent: failure.sent || started,
                 ..failure
             })?;
-            begun = true;
+            started = true;
             replies.push(reply);
         }
         Ok(replies)
@@ -154,7 +154,10 @@
 
     // What was set for one organisation is nothing to another, and an open transaction is nobody
     // else's.
-    fn turn_to(&mut self, organisation: &organisation::Name) -> Result<(), upstream::Failure> {
+    fn switch_organisation(
+        &mut self,
+        organisation: &organisation::Name,
+    ) -> Result<(), upstream::Failure> {
         if self.organisation == *organisation {
             return Ok(());
         }
@@ -172,7 +175,7 @@
     }
 
     // Answers a command that sets something, which is done when a statement needs it.
-    fn note(&mut self, command: &upstream::Command) -> Option<reply::Reply> {
+    fn apply_locally(&mut self, command: &upstream::Command) -> Option<reply::Reply> {
         match command {
             upstream::Command::Set { name, value } => {
                 self.values.insert(name.clone(), value.clone());
@@ -186,8 +189,8 @@
             }
             _ => return None,
         }
-        let inside = self.pinned.is_some();
-        let state = if inside {
+        let in_transaction = self.pinned.is_some();
+        let state = if in_transaction {
             reply::State::Open
         } else {
             reply::State::Idle
@@ -195,15 +198,15 @@
         Some(reply::Reply::done(state))
     }
 
-    async fn pass(
+    async fn forward(
         &mut self,
         command: &upstream::Command,
         urgency: urgency::Urgency,
     ) -> Result<reply::Reply, upstream::Failure> {
-        let inside = self.pinned.is_some();
-        let mut lent = match self.pinned.take() {
-            Some(lent) => lent,
-            None => self.lend(urgency).await?,
+        let in_transaction = self.pinned.is_some();
+        let mut checkout = match self.pinned.take() {
+            Some(checkout) => checkout,
+            None => self.check_out(urgency).await?,
         };
         let shape = match command {
             upstream::Command::Execute { handle, .. } => {
@@ -211,30 +214,33 @@
             }
             _ => None,
         };
-        lent.urge(urgency);
-        let mut commands = lent.prelude(&self.values, shape, inside);
+        checkout.set_urgency(urgency);
+        let mut commands = checkout.setup_commands(&self.values, shape, in_transaction);
         commands.push(command.clone());
-        let mut replies = lent.run(&commands, urgency.awaited).await?;
+        let mut replies = checkout.run(&commands, urgency.awaited).await?;
         let reply = replies.pop().ok_or_else(|| upstream::Failure {
             sent: true,
             crowded: false,
             detail: "no answer".into(),
         })?;
         if reply.code() == Some(&reply::Code::NoStatement) {
-            lent.forget();
+            checkout.forget();
         }
         if reply.state != reply::State::Idle {
-            self.pinned = Some(lent);
+            self.pinned = Some(checkout);
         }
         Ok(reply)
     }
 
-    async fn lend(&self, urgency: urgency::Urgency) -> Result<lent::Lent, upstream::Failure> {
-        let lent = self
+    async fn check_out(
+        &self,
+        urgency: urgency::Urgency,
+    ) -> Result<checkout::Checkout, upstream::Failure> {
+        let checkout = self
             .pool
             .lend(urgency, &self.organisation, &self.values, urgency.until)
             .await;
-        lent.map_err(|shortage| upstream::Failure {
+        checkout.map_err(|shortage| upstream::Failure {
             sent: false,
             crowded: shortage == pool::Shortage::Late,
             detail: compact_str::format_compact!(
@@ -244,17 +250,17 @@
     }
 }
 
-impl Drop for Lender {
+impl Drop for Session {
     // The far end is gone in the middle of a transaction: closing the connection rolls back.
     fn drop(&mut self) {
-        if let Some(lent) = &mut self.pinned {
-            lent.discard();
+        if let Some(checkout) = &mut self.pinned {
+            checkout.discard();
         }
     }
 }
 
 /// A relayed connection within this process.
-pub struct Local(pub Lender);
+pub struct Local(pub Session);
 
 impl upstream::Connection for Local {
     fn run<'a>(
@@ -280,45 +286,46 @@
     }
 
     fn silence(&self) -> time::Duration {
-        SILENCE
+        SILENCE_TIMEOUT
     }
 }
 
 /// Finds the pool of an instance.
-type Find = dyn Fn(&upstream::Target) -> rc::Rc<pool::Pool>;
+type FindPool = dyn Fn(&upstream::Target) -> rc::Rc<pool::Pool>;
 
 /// Answers a question of another node.
-type Tell = dyn Fn(question::Question) -> future::LocalBoxFuture<'static, question::Answer>;
+type Handler = dyn Fn(question::Question) -> future::LocalBoxFuture<'static, question::Answer>;
 
 /// Lends connections to other nodes, and answers their questions.
 pub struct Server {
-    find: Box<Find>,
-    tell: cell::RefCell<Option<rc::Rc<Tell>>>,
+    find_pool: Box<FindPool>,
+    handler: cell::RefCell<Option<rc::Rc<Handler>>>,
     executor: rc::Rc<async_executor::LocalExecutor<'static>>,
     busy: cell::Cell<usize>,
 }
 
 impl Server {
-    /// A server that lends from the pools that `find` gives.
+    /// A server that lends from the pools that `find_pool` gives.
     #[must_use]
     pub fn new(
-        find: impl Fn(&upstream::Target) -> rc::Rc<pool::Pool> + 'static,
+        find_pool: impl Fn(&upstream::Target) -> rc::Rc<pool::Pool> + 'static,
         executor: rc::Rc<async_executor::LocalExecutor<'static>>,
     ) -> rc::Rc<Self> {
         rc::Rc::new(Self {
-            find: Box::new(find),
-            tell: cell::RefCell::default(),
+            find_pool: Box::new(find_pool),
+            handler: cell::RefCell::default(),
             executor,
             busy: cell::Cell::default(),
         })
     }
 
-    /// Answers questions from now on, as `tell` does.
-    pub fn answer_by(
+    /// Answers questions from now on, as `handler` does.
+    pub fn set_question_handler(
         &self,
-        tell: impl Fn(question::Question) -> future::LocalBoxFuture<'static, question::Answer> + 'static,
+        handler: impl Fn(question::Question) -> future::LocalBoxFuture<'static, question::Answer>
+        + 'static,
     ) {
-        self.tell.replace(Some(rc::Rc::new(tell)));
+        self.handler.replace(Some(rc::Rc::new(handler)));
     }
 
     /// Relayed connections on which a statement runs now.
@@ -333,68 +340,70 @@
     /// When the address cannot be bound.
     pub async fn serve(self: rc::Rc<Self>, address: std::net::SocketAddr) -> io::Result<()> {
         /// Pause after a failed accept, which mostly means that descriptors ran out.
-        const PAUSE: time::Duration = time::Duration::from_millis(50);
+        const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
         let listener = async_net::TcpListener::bind(address).await?;
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let server = rc::Rc::clone(&self);
-                    self.executor.spawn(server.talk(stream)).detach();
+                    self.executor
+                        .spawn(server.handle_connection(stream))
+                        .detach();
                 }
                 Err(error) => {
                     tracing::warn!(%error, "node not accepted");
-                    wait::sleep(PAUSE).await;
+                    wait::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn talk(self: rc::Rc<Self>, mut stream: TcpStream) {
-        if let Err(error) = self.serve_one(&mut stream).await
+    async fn handle_connection(self: rc::Rc<Self>, mut stream: TcpStream) {
+        if let Err(error) = self.serve_connection(&mut stream).await
             && error.kind() != io::ErrorKind::UnexpectedEof
         {
             tracing::debug!(%error, "relayed connection ended");
         }
     }
 
-    async fn serve_one(&self, stream: &mut TcpStream) -> io::Result<()> {
+    async fn serve_connection(&self, stream: &mut TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        match message::opening(stream).await? {
-            message::Opening::Relay(length) => self.lend(stream, length).await,
-            message::Opening::Questions => self.tell(stream).await,
+        match message::receive_opening(stream).await? {
+            message::Opening::Relay(length) => self.relay(stream, length).await,
+            message::Opening::Questions => self.answer_questions(stream).await,
         }
     }
 
-    async fn tell(&self, stream: &mut TcpStream) -> io::Result<()> {
+    async fn answer_questions(&self, stream: &mut TcpStream) -> io::Result<()> {
         loop {
             let question: question::Question = message::receive(stream).await?;
-            let tell = self.tell.borrow().clone();
-            let answer = match tell {
-                Some(tell) => tell(question).await,
+            let handler = self.handler.borrow().clone();
+            let answer = match handler {
+                Some(handler) => handler(question).await,
                 None => question::Answer::Nothing,
             };
             message::send(stream, &answer).await?;
         }
     }
 
-    async fn lend(&self, stream: &mut TcpStream, length: u32) -> io::Result<()> {
-        let target: upstream::Target = message::body(stream, length).await?;
-        let mut lender = Lender::new((self.find)(&target), target.organisation.clone());
-        let opened = lender.open().await;
+    async fn relay(&self, stream: &mut TcpStream, length: u32) -> io::Result<()> {
+        let target: upstream::Target = message::receive_body(stream, length).await?;
+        let mut session = Session::new((self.find_pool)(&target), target.organisation.clone());
+        let opened = session.open().await;
         message::send(stream, &opened).await?;
         if opened.is_err() {
             return Ok(());
         }
         loop {
-            let (work, mark) = message::receive_with_mark::<Work>(stream).await?;
+            let (work, trailer) = message::receive_with_trailer::<Work>(stream).await?;
             self.busy.set(self.busy.get() + 1);
-            let urgency = work.urgency.arrive();
+            let urgency = work.urgency.to_absolute();
             let answer = {
                 // Pinned here: handed on by value, its state would be kept several times.
-                let run = lender.run(&work.commands, urgency, &work.organisation);
+                let run = session.run(&work.commands, urgency, &work.organisation);
                 let run = pin::pin!(run);
-                match mark {
-                    Some(TELL) => tell_while(run, stream).await,
+                match trailer {
+                    Some(WANT_HEARTBEATS) => run_with_heartbeats(run, stream).await,
                     _ => run.await,
                 }
             };
@@ -406,13 +415,13 @@
 
 // Tells whoever asked that the work goes on: its silence then means that the connection, or this node,
 // is dead.
-async fn tell_while(
+async fn run_with_heartbeats(
     mut run: pin::Pin<&mut impl Future<Output = Answer>>,
     stream: &mut TcpStream,
 ) -> Answer {
-    let until = boot::now() + HEARTBEATS_FOR;
+    let until = boot::now() + HEARTBEAT_PERIOD;
     while boot::now() < until {
-        if let Some(answer) = wait::within(HEARTBEAT, run.as_mut()).await {
+        if let Some(answer) = wait::within(HEARTBEAT_INTERVAL, run.as_mut()).await {
             return answer;
         }
         if let Err(error) = message::send_heartbeat(stream).await {
--- a/desk/src/remote.rs
+++ b/desk/src/remote.rs
@@ -21,11 +21,11 @@
 /// Longest wait for another node to accept a connection, which its system does even while the
 /// node is busy: a few ways there and back. A node that is gone for good stays listed, and is asked
 /// first for some instance by each node that starts.
-const CONNECT: time::Duration = time::Duration::from_millis(80);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
 /// A connection is suspected after this long without an answer or a heartbeat. The lending node sends one each
 /// 60 ms; its machine may not let it run for the rest of a tenth of a second.
-const SILENCE: time::Duration = time::Duration::from_millis(250);
+const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
 /// What a lending node is asked to run.
 #[derive(serde::Serialize)]
@@ -40,7 +40,7 @@
 /// A relayed connection through another node, of use until a time if one is set.
 struct Remote {
     stream: TcpStream,
-    until: Option<id::Time>,
+    expires_at: Option<id::Time>,
     pulse: upstream::Pulse,
 }
 
@@ -53,15 +53,15 @@
     ) -> future::LocalBoxFuture<'a, relay::Answer> {
         async move {
             let work = WorkRef {
-                urgency: urgency.leave(),
+                urgency: urgency.to_remaining(),
                 organisation,
                 commands,
-                tell: relay::TELL,
+                tell: relay::WANT_HEARTBEATS,
             };
             let exchange = async {
                 message::send(&mut self.stream, &work).await?;
-                let beat = || self.pulse.set(boot::now());
-                message::receive_after_heartbeats(&mut self.stream, beat).await
+                let record_heartbeat = || self.pulse.set(boot::now());
+                message::receive_after_heartbeats(&mut self.stream, record_heartbeat).await
             };
             exchange.await.unwrap_or_else(|error| {
                 Err(upstream::Failure {
@@ -76,7 +76,9 @@
 
     fn alive(&mut self) -> bool {
         let mut byte = [0];
-        let fresh = self.until.is_none_or(|until| boot::now() < until);
+        let fresh = self
+            .expires_at
+            .is_none_or(|expires_at| boot::now() < expires_at);
         // Nothing may come unasked: bytes or an end of stream both make it useless.
         fresh && poll::block_on(poll::poll_once(self.stream.peek(&mut byte))).is_none()
     }
@@ -91,7 +93,7 @@
     }
 
     fn silence(&self) -> time::Duration {
-        SILENCE
+        SILENCE_TIMEOUT
     }
 
     fn pulse(&self) -> Option<upstream::Pulse> {
@@ -110,16 +112,16 @@
     target: &upstream::Target,
     lifetime: Option<time::Duration>,
 ) -> io::Result<Result<upstream::Dialled, upstream::Refusal>> {
-    let connected = wait::within(CONNECT, TcpStream::connect(address)).await;
+    let connected = wait::within(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let mut stream = connected.ok_or(io::ErrorKind::TimedOut)??;
     stream.set_nodelay(true)?;
     message::send(&mut stream, target).await?;
     let opened = message::receive::<relay::Opened>(&mut stream).await?;
-    let until = lifetime.map(|lifetime| boot::now() + lifetime);
+    let expires_at = lifetime.map(|lifetime| boot::now() + lifetime);
     Ok(opened.map(|stamp| {
         let remote: Box<dyn upstream::Connection> = Box::new(Remote {
             stream,
-            until,
+            expires_at,
             pulse: upstream::Pulse::default(),
         });
         (remote, stamp)
--- a/desk/src/router.rs
+++ b/desk/src/router.rs
@@ -182,22 +182,22 @@
             serving::Way::Direct => return size::Size::shared(),
             serving::Way::Through { nodes, each } => (nodes, each),
         };
-        let abreast = serving::abreast(target.slots, each);
+        let max_statements = serving::abreast(target.slots, each);
         let members = self.members.borrow();
         let order = serving::order(&members, &target.id, &target.domain);
         let serves = order
             .iter()
             .take(nodes)
             .any(|member| member.name == self.name);
-        let (most, spare_idle) = match (self.partitions_connections(), serves) {
-            (false, _) => (each, size::SPARE_IDLE),
+        let (max_connections, idle_timeout) = match (self.partitions_connections(), serves) {
+            (false, _) => (each, size::IDLE_TIMEOUT),
             (true, true) => (each, LENT_IDLE_TIMEOUT),
-            (true, false) => (abreast + 1, size::SPARE_IDLE),
+            (true, false) => (max_statements + 1, size::IDLE_TIMEOUT),
         };
         size::Size {
-            most,
-            abreast,
-            spare_idle,
+            max_connections,
+            max_statements,
+            idle_timeout,
         }
     }
 
@@ -302,7 +302,7 @@
         if lender.name != self.name {
             return self.borrow_from(lender, target, None).await;
         }
-        let local = relay::Lender::new(self.pool(target), target.organisation.clone());
+        let local = relay::Session::new(self.pool(target), target.organisation.clone());
         let opened = local.open().await;
         if let Err(refusal) = &opened {
             self.note_refusal(&self.name, target, refusal);
--- a/desk/src/sampler.rs
+++ b/desk/src/sampler.rs
@@ -9,8 +9,8 @@
 use mangotray::stamp;
 
 use crate::boot;
+use crate::checkout;
 use crate::connection;
-use crate::lent;
 use crate::organisation;
 use crate::pool;
 use crate::reply;
@@ -91,8 +91,11 @@
 }
 
 /// A connection for a command of this node's own, before all statements of callers.
-pub async fn connection(pool: &rc::Rc<pool::Pool>, deadline: id::Time) -> Option<lent::Lent> {
-    let urgency = urgency::Urgency::now(deadline);
+pub async fn connection(
+    pool: &rc::Rc<pool::Pool>,
+    deadline: id::Time,
+) -> Option<checkout::Checkout> {
+    let urgency = urgency::Urgency::immediate(deadline);
     let own = organisation::OWN;
     let lent = pool
         .lend(urgency, &own, &connection::Values::new(), deadline)
--- a/desk/src/session.rs
+++ b/desk/src/session.rs
@@ -16,17 +16,17 @@
 use crate::boot;
 use crate::catalog;
 use crate::connection;
+use crate::deadline;
 use crate::gate;
 use crate::key;
-use crate::limit;
 use crate::node;
 use crate::organisation;
 use crate::pinned;
+use crate::query;
 use crate::reply;
 use crate::statement;
 use crate::upstream;
 use crate::urgency;
-use crate::work;
 
 /// Timeout of a rollback that runs in the background.
 const ROLLBACK_TIMEOUT: time::Duration = time::Duration::from_millis(500);
@@ -277,7 +277,9 @@
         };
         let rollback = async move {
             let deadline = boot::now() + ROLLBACK_TIMEOUT;
-            pinned.lent.urge(urgency::Urgency::now(deadline));
+            pinned
+                .lent
+                .set_urgency(urgency::Urgency::immediate(deadline));
             let result = pinned
                 .lent
                 .run(&[upstream::Command::Rollback { id }], deadline)
@@ -291,25 +293,25 @@
     }
 
     async fn run(&mut self, request: &statement::Request, arrived: id::Time) -> reply::Reply {
-        let work = match self.work(request, arrived) {
-            Ok(work) => work,
+        let query = match self.query(request, arrived) {
+            Ok(query) => query,
             Err(reply) => return reply,
         };
         if matches!(self.phase, Phase::Open(_)) {
-            return self.run_inside(&work).await;
+            return self.run_inside(&query).await;
         }
         let (route, organisation) = match self.admit().await {
             Ok(admitted) => admitted,
             Err(reply) => return reply,
         };
         let attempt = self.attempt(&route, &organisation);
-        let outcome = match work.access {
-            statement::Access::Read => attempt.read(&work).await,
-            statement::Access::Write => attempt.write(&work).await,
+        let outcome = match query.access {
+            statement::Access::Read => attempt.read(&query).await,
+            statement::Access::Write => attempt.write(&query).await,
         };
         match outcome {
             attempt::Outcome::Answered(reply) => {
-                if work.access == statement::Access::Write && reply.is_done() {
+                if query.access == statement::Access::Write && reply.is_done() {
                     self.last_commit = self.last_commit.max(reply.position);
                 }
                 reply
@@ -318,11 +320,11 @@
         }
     }
 
-    fn work(
+    fn query(
         &self,
         request: &statement::Request,
         arrived: id::Time,
-    ) -> Result<work::Work, reply::Reply> {
+    ) -> Result<query::Query, reply::Reply> {
         let (access, prepared) = match &request.statement {
             statement::Statement::Read => (statement::Access::Read, None),
             statement::Statement::Execute { name, arguments } => {
@@ -330,7 +332,7 @@
                     let text = "no prepared statement of that name";
                     return Err(self.error(reply::Code::NoStatement, text));
                 };
-                let handle = work::handle(shape);
+                let handle = query::prepared_name(shape);
                 (
                     shape.access,
                     Some((handle, shape.clone(), arguments.clone())),
@@ -338,7 +340,7 @@
             }
             _ => (statement::Access::Write, None),
         };
-        Ok(work::Work {
+        Ok(query::Query {
             id: request.id.clone(),
             arrived,
             text: request.text.clone(),
@@ -347,11 +349,11 @@
         })
     }
 
-    async fn run_inside(&mut self, work: &work::Work) -> reply::Reply {
+    async fn run_inside(&mut self, query: &query::Query) -> reply::Reply {
         let Phase::Open(mut transaction) = std::mem::replace(&mut self.phase, Phase::Failed) else {
             return self.error(reply::Code::Bad, "no transaction");
         };
-        if transaction.begin.read_only && work.access == statement::Access::Write {
+        if transaction.begin.read_only && query.access == statement::Access::Write {
             self.abandon(*transaction);
             return self.error(reply::Code::ReadOnly, "the transaction only reads");
         }
@@ -359,17 +361,18 @@
             self.abandon(*transaction);
             return self.error(code, text);
         }
-        if let Err((code, text)) = self.pin(&mut transaction, work.arrived).await {
+        if let Err((code, text)) = self.pin(&mut transaction, query.arrived).await {
             return self.error(code, text);
         }
-        let deadline = work.arrived + transaction.route.timeout;
+        let deadline = query.arrived + transaction.route.timeout;
         let Some(pinned) = &mut transaction.pinned else {
             return self.error(reply::Code::Aborted, "the transaction has no connection");
         };
-        pinned
-            .lent
-            .urge(limit::inside(&transaction.route, work.arrived));
-        let commands = work.commands(&mut pinned.lent, &self.values, None, true);
+        pinned.lent.set_urgency(deadline::urgency_in_transaction(
+            &transaction.route,
+            query.arrived,
+        ));
+        let commands = query.commands(&mut pinned.lent, &self.values, None, true);
         let sent = boot::now();
         let result = pinned.lent.run(&commands, deadline).await;
         let Some(reply) = result.ok().and_then(|mut replies| replies.pop()) else {
@@ -443,7 +446,10 @@
         };
         let sent = boot::now();
         let deadline = arrived + transaction.route.timeout;
-        pinned.lent.urge(limit::inside(&transaction.route, arrived));
+        pinned.lent.set_urgency(deadline::urgency_in_transaction(
+            &transaction.route,
+            arrived,
+        ));
         let reply = match pinned.lent.run(&[command], deadline).await {
             Ok(mut replies) => replies.pop(),
             // The COMMIT was not sent. Closing the connection rolls the transaction back.
--- a/desk/src/size.rs
+++ b/desk/src/size.rs
@@ -5,20 +5,20 @@
 /// Connections to one instance that a node holds at most. Eight nodes share the 23
 /// connections of today's smaller instances; who needs more than an equal part borrows
 /// what others leave free, and the instance refuses what is too much.
-const MOST: usize = 5;
+const MAX_CONNECTIONS: usize = 5;
 
 /// A borrowed connection that nobody used for this long is given back.
-pub const SPARE_IDLE: time::Duration = time::Duration::from_millis(700);
+pub const IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
 /// How many connections a pool has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     /// Connections at most.
-    pub most: usize,
+    pub max_connections: usize,
     /// Statements at most that the instance is let work on at once.
-    pub abreast: usize,
+    pub max_statements: usize,
     /// A connection that nobody used for this long is closed.
-    pub spare_idle: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 impl Size {
@@ -26,9 +26,9 @@
     #[must_use]
     pub const fn shared() -> Self {
         Self {
-            most: MOST,
-            abreast: MOST,
-            spare_idle: SPARE_IDLE,
+            max_connections: MAX_CONNECTIONS,
+            max_statements: MAX_CONNECTIONS,
+            idle_timeout: IDLE_TIMEOUT,
         }
     }
 }
--- a/desk/src/urgency.rs
+++ b/desk/src/urgency.rs
@@ -34,7 +34,7 @@
 impl Urgency {
     /// That of a look at an instance, or an order to it: one serves many statements.
     #[must_use]
-    pub fn now(until: id::Time) -> Self {
+    pub fn immediate(until: id::Time) -> Self {
         Self {
             priority: 0,
             objective: time::Duration::ZERO,
@@ -46,7 +46,7 @@
 
     /// The same with the time that is left in place of times, for another node's clock.
     #[must_use]
-    pub fn leave(self) -> Self {
+    pub fn to_remaining(self) -> Self {
         let now = boot::now();
         Self {
             due: self.due.saturating_sub(now),
@@ -56,9 +56,9 @@
         }
     }
 
-    /// What [`Urgency::leave`] was given, on this node's clock.
+    /// What [`Urgency::to_remaining`] was given, on this node's clock.
     #[must_use]
-    pub fn arrive(self) -> Self {
+    pub fn to_absolute(self) -> Self {
         let now = boot::now();
         Self {
             due: now.saturating_add(self.due),
--- a/desk/tests/group.rs
+++ b/desk/tests/group.rs
@@ -203,7 +203,7 @@
         };
         let before = find();
         let deadline = boot::now() + LIMIT;
-        let urgency = urgency::Urgency::now(deadline);
+        let urgency = urgency::Urgency::immediate(deadline);
         drop(
             before
                 .lend(
--- a/desk/tests/keeper.rs
+++ b/desk/tests/keeper.rs
@@ -291,7 +291,7 @@
             let find = move |target: &upstream::Target| router.pool(target);
             let server = relay::Server::new(find, rc::Rc::clone(&stage.executor));
             let node = rc::Rc::clone(&one.node);
-            server.answer_by(move |question| {
+            server.set_question_handler(move |question| {
                 let node = rc::Rc::clone(&node);
                 async move {
                     let question::Question::Floor(ask) = question else {
--- a/desk/tests/organisations.rs
+++ b/desk/tests/organisations.rs
@@ -46,7 +46,7 @@
 
 async fn run_for(pool: &rc::Rc<pool::Pool>, name: &str) {
     let deadline = boot::now() + LIMIT;
-    let urgency = urgency::Urgency::now(deadline);
+    let urgency = urgency::Urgency::immediate(deadline);
     let values = connection::Values::new();
     let lent = pool.lend(urgency, &name.into(), &values, deadline).await;
     let mut lent = lent.expect("a connection");
@@ -79,7 +79,7 @@
     let pool = stage.pool(3, 3);
     stage.run(async {
         let deadline = boot::now() + LIMIT;
-        let urgency = urgency::Urgency::now(deadline);
+        let urgency = urgency::Urgency::immediate(deadline);
         let values = connection::Values::new();
         let own = organisation::OWN;
         let lend = || pool.lend(urgency, &own, &values, deadline);
@@ -100,7 +100,7 @@
     let pool = stage.pool(1, 1);
     stage.run(async {
         let deadline = boot::now() + LIMIT;
-        let urgency = urgency::Urgency::now(deadline);
+        let urgency = urgency::Urgency::immediate(deadline);
         let values = connection::Values::new();
         let held = pool.lend(urgency, &"dome".into(), &values, deadline).await;
         let waiting = {
@@ -121,8 +121,8 @@
     let stage = stage::Stage::new();
     let pool = stage.pool(3, 3);
     stage.run(async {
-        let mut lender = relay::Lender::new(pool, "dome".into());
-        let urgency = urgency::Urgency::now(boot::now() + LIMIT);
+        let mut lender = relay::Session::new(pool, "dome".into());
+        let urgency = urgency::Urgency::immediate(boot::now() + LIMIT);
         let set = [upstream::Command::Set {
             name: "tint".into(),
             value: "red".into(),
@@ -145,8 +145,8 @@
     let stage = stage::Stage::new();
     let pool = stage.pool(3, 3);
     stage.run(async {
-        let mut lender = relay::Lender::new(pool, "dome".into());
-        let urgency = urgency::Urgency::now(boot::now() + LIMIT);
+        let mut lender = relay::Session::new(pool, "dome".into());
+        let urgency = urgency::Urgency::immediate(boot::now() + LIMIT);
         let begin = [upstream::Command::Begin {
             id: "t".into(),
             read_only: false,
--- a/desk/tests/peers.rs
+++ b/desk/tests/peers.rs
@@ -51,7 +51,7 @@
     }
 
     async fn talk(self: rc::Rc<Self>, mut stream: async_net::TcpStream, number: usize) {
-        let opened = message::opening(&mut stream).await;
+        let opened = message::receive_opening(&mut stream).await;
         assert_eq!(opened.ok(), Some(message::Opening::Questions));
         while let Ok(question) = message::receive::<question::Question>(&mut stream).await {
             if number <= self.dead.get() {
--- a/desk/tests/pool.rs
+++ b/desk/tests/pool.rs
@@ -10,7 +10,7 @@
 use futures_util::FutureExt;
 use futures_util::future;
 use mangotray_desk::boot;
-use mangotray_desk::lent;
+use mangotray_desk::checkout;
 use mangotray_desk::organisation;
 use mangotray_desk::pool;
 use mangotray_desk::reply;
@@ -24,11 +24,11 @@
 const LIMIT: time::Duration = time::Duration::from_secs(5);
 const SHORT: time::Duration = time::Duration::from_millis(40);
 
-async fn lend(pool: &rc::Rc<pool::Pool>, values: &Values) -> lent::Lent {
+async fn lend(pool: &rc::Rc<pool::Pool>, values: &Values) -> checkout::Checkout {
     let deadline = boot::now() + LIMIT;
     let lent = pool
         .lend(
-            urgency::Urgency::now(deadline),
+            urgency::Urgency::immediate(deadline),
             &organisation::OWN,
             values,
             deadline,
@@ -60,7 +60,7 @@
             first.run(&status, boot::now() + LIMIT).await.map(|_| first)
         });
         wait::sleep(SHORT).await;
-        let prelude = second.prelude(&values, None, false);
+        let prelude = second.setup_commands(&values, None, false);
         let limit = if dropped { LIMIT } else { SHORT };
         let run = second.run(&prelude, boot::now() + limit);
         let ended = wait::within(2 * SHORT, run).await;
@@ -69,7 +69,7 @@
         stage.world.borrow_mut().stalled = false;
         let _busy = busy.await.expect("an answer");
         let mut third = lend(&pool, &values).await;
-        let prelude = third.prelude(&values, None, false);
+        let prelude = third.setup_commands(&values, None, false);
         let sets = |command: &upstream::Command| matches!(command, upstream::Command::Set { .. });
         assert!(prelude.iter().any(sets), "{prelude:?}");
     });
--- a/desk/tests/queue.rs
+++ b/desk/tests/queue.rs
@@ -12,11 +12,11 @@
 
 const LONG: time::Duration = time::Duration::from_secs(5);
 /// Well beyond the time after which a queue stands.
-const STANDING: time::Duration = time::Duration::from_millis(200);
+const STANDING_QUEUE_AGE: time::Duration = time::Duration::from_millis(200);
 
 /// Queues requests with a priority and the time in which each is due, lets them wait, and
 /// tells the order in which they are woken.
-fn order(requests: &[(u8, u64)], waited: time::Duration) -> Vec<usize> {
+fn wake_order(requests: &[(u8, u64)], waited: time::Duration) -> Vec<usize> {
     let executor = async_executor::LocalExecutor::new();
     let queue = rc::Rc::new(queue::Queue::default());
     let woken = rc::Rc::new(cell::RefCell::new(Vec::new()));
@@ -57,7 +57,7 @@
 #[test]
 fn a_short_queue_is_served_by_priority_and_then_by_when_each_is_due() {
     let requests = [(2, 500), (2, 250), (1, 900)];
-    assert_eq!(order(&requests, time::Duration::ZERO), [2, 1, 0]);
+    assert_eq!(wake_order(&requests, time::Duration::ZERO), [2, 1, 0]);
 }
 
 /// Symptom: after all nodes were restarted, nearly every answer of the next two seconds is
@@ -68,5 +68,5 @@
 #[test]
 fn in_a_standing_queue_the_newest_go_first() {
     let requests = [(2, 250), (2, 250), (1, 900), (2, 250), (2, 500)];
-    assert_eq!(order(&requests, STANDING), [2, 3, 1, 0, 4]);
+    assert_eq!(wake_order(&requests, STANDING_QUEUE_AGE), [2, 3, 1, 0, 4]);
 }
--- a/desk/tests/relay.rs
+++ b/desk/tests/relay.rs
@@ -25,18 +25,18 @@
     let stage = stage::Stage::new();
     let pool = stage.pool(3, 1);
     stage.run(async {
-        let mut first = relay::Lender::new(rc::Rc::clone(&pool), organisation::OWN);
-        let mut second = relay::Lender::new(pool, organisation::OWN);
+        let mut first = relay::Session::new(rc::Rc::clone(&pool), organisation::OWN);
+        let mut second = relay::Session::new(pool, organisation::OWN);
         first.open().await.expect("an instance in reach");
         stage.world.borrow_mut().stalled = true;
         let busy = stage.executor.spawn(async move {
-            let urgency = urgency::Urgency::now(boot::now() + LONG);
+            let urgency = urgency::Urgency::immediate(boot::now() + LONG);
             first
                 .run(&stage::read("first"), urgency, &organisation::OWN)
                 .await
         });
         wait::sleep(SHORT).await;
-        let urgency = urgency::Urgency::now(boot::now() + SHORT);
+        let urgency = urgency::Urgency::immediate(boot::now() + SHORT);
         let waiting = wait::within(
             LONG,
             second.run(&stage::read("second"), urgency, &organisation::OWN),
@@ -62,13 +62,13 @@
     let stage = stage::Stage::new();
     let pool = stage.pool(3, 1);
     stage.run(async {
-        let mut lender = relay::Lender::new(pool, organisation::OWN);
-        lender.open().await.expect("an instance in reach");
+        let mut session = relay::Session::new(pool, organisation::OWN);
+        session.open().await.expect("an instance in reach");
         stage.world.borrow_mut().stalled = true;
-        let urgency = urgency::Urgency::now(boot::now() + SHORT);
+        let urgency = urgency::Urgency::immediate(boot::now() + SHORT);
         let run = wait::within(
             LONG,
-            lender.run(&stage::read("lost"), urgency, &organisation::OWN),
+            session.run(&stage::read("lost"), urgency, &organisation::OWN),
         )
         .await;
         let failure = run.expect("an answer").expect_err("a failure");
@@ -85,13 +85,17 @@
     let stage = stage::Stage::new();
     let pool = stage.pool(3, 1);
     stage.run(async {
-        let mut lender = relay::Lender::new(pool, organisation::OWN);
+        let mut session = relay::Session::new(pool, organisation::OWN);
         let until = boot::now() + SHORT;
         let batch = [stage::read("one"), stage::read("two")].concat();
-        lender.open().await.expect("an instance in reach");
+        session.open().await.expect("an instance in reach");
         stage.world.borrow_mut().die_after = Some(1);
-        let result = lender
-            .run(&batch, urgency::Urgency::now(until), &organisation::OWN)
+        let result = session
+            .run(
+                &batch,
+                urgency::Urgency::immediate(until),
+                &organisation::OWN,
+            )
             .await;
         let failure = result.expect_err("a failure");
         assert_eq!(stage.world.borrow().ran.len(), 1);
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -28,7 +28,7 @@
 const ENDLESS: time::Duration = time::Duration::from_mins(10);
 
 /// Longer than it takes until a lending node tells that it is at work.
-const BEATS: time::Duration = time::Duration::from_millis(300);
+const SEVERAL_HEARTBEATS: time::Duration = time::Duration::from_millis(300);
 
 fn listener() -> (async_net::TcpListener, net::SocketAddr) {
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -52,7 +52,7 @@
 }
 
 /// A node that lends connections to the primary on stage.
-async fn lending(stage: &stage::Stage) -> net::SocketAddr {
+async fn relay_server(stage: &stage::Stage) -> net::SocketAddr {
     let (listener, address) = listener();
     drop(listener);
     let pool = stage.pool(3, 3);
@@ -70,9 +70,9 @@
 }
 
 /// Reaches instances through the node at an address only.
-struct Through(net::SocketAddr);
+struct ThroughNode(net::SocketAddr);
 
-impl upstream::Dialer for Through {
+impl upstream::Dialer for ThroughNode {
     fn dial<'a>(
         &'a self,
         target: &'a upstream::Target,
@@ -94,14 +94,14 @@
 fn a_lending_node_tells_that_it_is_at_work() {
     let stage = stage::Stage::new();
     stage.run(async {
-        let address = lending(&stage).await;
+        let address = relay_server(&stage).await;
         let dialled = remote::dial(address, &target(&stage), None).await;
         let (mut link, _) = dialled.expect("a node").expect("a connection");
         let pulse = link.pulse().expect("a pulse");
         stage.world.borrow_mut().stalled = true;
         let sent = boot::now();
         let run = stage.executor.spawn(async move {
-            let urgency = urgency::Urgency::now(boot::now() + ENDLESS);
+            let urgency = urgency::Urgency::immediate(boot::now() + ENDLESS);
             link.run(&stage::read("one"), urgency, &organisation::OWN)
                 .await
         });
@@ -116,7 +116,7 @@
 fn a_read_on_a_dead_connection_is_given_up_soon() {
     let stage = stage::Stage::new();
     let (listener, address) = listener();
-    let deaf = async move {
+    let unresponsive = async move {
         let mut silent = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
             let target: Result<upstream::Target, _> = message::receive(&mut stream).await;
@@ -126,21 +126,21 @@
             }
         }
     };
-    stage.executor.spawn(deaf).detach();
+    stage.executor.spawn(unresponsive).detach();
     let instance = stage.world.borrow().list().remove(0);
     let pool = rc::Rc::new(pool::Pool::new(
         instance,
-        rc::Rc::new(Through(address)),
+        rc::Rc::new(ThroughNode(address)),
         rc::Rc::clone(&stage.executor),
         size::Size::shared(),
     ));
     stage.run(async {
-        let urgency = urgency::Urgency::now(boot::now() + ENDLESS);
+        let urgency = urgency::Urgency::immediate(boot::now() + ENDLESS);
         let (values, own) = (connection::Values::new(), organisation::OWN);
         let loan = pool.lend(urgency, &own, &values, boot::now() + LIMIT);
-        let mut lent = loan.await.expect("a connection");
+        let mut checkout = loan.await.expect("a connection");
         let read = stage::read("one");
-        let run = lent.run_unless_silent(&read, boot::now() + ENDLESS);
+        let run = checkout.run_unless_silent(&read, boot::now() + ENDLESS);
         let failure = wait::within(LIMIT, run).await.expect("given up in time");
         assert!(failure.expect_err("nobody answers").sent);
     });
@@ -160,7 +160,7 @@
 fn a_node_that_does_not_know_heartbeats_gets_none() {
     let stage = stage::Stage::new();
     stage.run(async {
-        let address = lending(&stage).await;
+        let address = relay_server(&stage).await;
         let mut stream = async_net::TcpStream::connect(address).await.expect("a way");
         message::send(&mut stream, &target(&stage))
             .await
@@ -169,12 +169,12 @@
         opened.expect("a connection");
         stage.world.borrow_mut().stalled = true;
         let work = Work {
-            urgency: urgency::Urgency::now(boot::now() + ENDLESS).leave(),
+            urgency: urgency::Urgency::immediate(boot::now() + ENDLESS).to_remaining(),
             organisation: organisation::OWN,
             commands: stage::read("one"),
         };
         message::send(&mut stream, &work).await.expect("a way");
-        wait::sleep(BEATS).await;
+        wait::sleep(SEVERAL_HEARTBEATS).await;
         stage.world.borrow_mut().stalled = false;
         let answer: relay::Answer = message::receive(&mut stream).await.expect("an answer");
         assert!(answer.is_ok());
--- a/desk/tests/replay/mod.rs
+++ b/desk/tests/replay/mod.rs
@@ -10,9 +10,9 @@
 
 use mangotray::id;
 use mangotray::stamp;
-use mangotray_desk::limit;
-use mangotray_desk::order;
+use mangotray_desk::deadline;
 use mangotray_desk::relief;
+use mangotray_desk::schedule;
 use mangotray_desk::urgency;
 
 /// What a statement costs and is worth.
@@ -135,7 +135,7 @@
 #[derive(Default)]
 struct Lane {
     turn: u64,
-    places: Vec<order::Place>,
+    places: Vec<schedule::Entry>,
     requests: Vec<Request>,
     at_work: usize,
 }
@@ -271,7 +271,7 @@
         let Some(index) = choice else { return };
         self.number += 1;
         let lane = self.random.usize(..self.policy.nodes);
-        let place = order::Place {
+        let place = schedule::Entry {
             urgency: urgency::Urgency {
                 priority: spec.priority,
                 objective: millis(spec.objective),
@@ -308,7 +308,7 @@
             lane.give_up(load, now);
             while !dark && lane.at_work < self.policy.abreast {
                 let next = if self.policy.ordered {
-                    order::next(&lane.places, millis(now), lane.turn)
+                    schedule::next(&lane.places, millis(now), lane.turn)
                 } else {
                     (!lane.places.is_empty()).then_some(0)
                 };
@@ -343,7 +343,7 @@
     // Refuses those that have waited for long enough.
     fn give_up(&mut self, load: &Load, now: u64) {
         let late = |request: &Request| {
-            let limit = load.kinds[request.kind].timeout * u64::from(limit::QUEUE_PERCENT) / 100;
+            let limit = load.kinds[request.kind].timeout * u64::from(deadline::QUEUE_PERCENT) / 100;
             now - request.arrived > limit
         };
         for index in (0..self.requests.len()).rev() {
--- a/desk/tests/session.rs
+++ b/desk/tests/session.rs
@@ -6,7 +6,7 @@
 
 use assert_matches::assert_matches;
 use mangotray_desk::boot;
-use mangotray_desk::limit;
+use mangotray_desk::deadline;
 use mangotray_desk::organisation;
 use mangotray_desk::reply;
 use mangotray_desk::upstream;
@@ -190,7 +190,7 @@
         let values = std::collections::BTreeMap::new();
         let mut lent = pool
             .lend(
-                urgency::Urgency::now(deadline()),
+                urgency::Urgency::immediate(deadline()),
                 &organisation::OWN,
                 &values,
                 deadline(),
@@ -256,7 +256,7 @@
         group.doubt(1, "test");
         let since = group.vacancy().since;
         stage::until("the group counts as dark", || {
-            limit::is_vacant(since, boot::now())
+            deadline::is_vacant(since, boot::now())
         })
         .await;
         let mut session = stage.session("own");
--- a/desk/tests/stage/mod.rs
+++ b/desk/tests/stage/mod.rs
@@ -568,14 +568,14 @@
         async_io::block_on(self.executor.run(test))
     }
 
-    /// A pool to the primary of `most` connections, of which `abreast` work at once.
-    pub fn pool(&self, most: usize, abreast: usize) -> rc::Rc<pool::Pool> {
+    /// A pool to the primary of `max_connections` connections, of which `max_statements` work at once.
+    pub fn pool(&self, max_connections: usize, max_statements: usize) -> rc::Rc<pool::Pool> {
         let instance = self.world.borrow().list().remove(0);
         let dialer = rc::Rc::new(Dialer(rc::Rc::clone(&self.world)));
         let executor = rc::Rc::clone(&self.executor);
         let size = size::Size {
-            most,
-            abreast,
+            max_connections,
+            max_statements,
             ..size::Size::shared()
         };
         rc::Rc::new(pool::Pool::new(instance, dialer, executor, size))
