--- a/desk/src/checkout.rs
+++ b/desk/src/checkout.rs
@@ -1,4 +1,4 @@
-//! A connection on loan from a pool.
+//! A connection that is checked out of a pool.
 
 use std::rc;
 use std::time;
@@ -15,38 +15,39 @@
 use crate::urgency;
 use crate::wait;
 
-/// Prepared statements that one connection keeps before it is cleared; bounds its memory.
+/// Most prepared statements on one connection. A connection with this many is reset before its next
+/// use outside of a transaction, which bounds its memory.
 const MAX_PREPARED: usize = 256;
 
-/// An answer that did not come within less than this tells nothing about the instance. A
-/// statement that has waited here has little time left; taking its end for silence would
-/// close the connections to an instance that is merely busy, and shut it for 200 ms.
-/// Above the longest work (220 ms) and half of a full queue (160 ms).
+/// A shorter wait without an answer does not show that the instance is silent. A statement that has
+/// queued in this node has little time left. If the end of that time counted as silence, the
+/// connections to an instance that is merely busy would be closed, and the instance would be
+/// avoided for 200 ms. Above the longest execution (220 ms) and half of a full queue (160 ms).
 const MIN_CONCLUSIVE_WAIT: time::Duration = time::Duration::from_millis(300);
 
-/// What becomes of commands whose instance is silent.
+/// What to do with commands whose instance is silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OnSilence {
-    /// They are awaited until their time is over: nobody knows whether they have run.
+    /// Wait until the deadline, for commands that may already have taken effect.
     Wait,
-    /// They are given up: they leave nothing behind, and another instance may be asked.
+    /// Give up, for commands without lasting effect that another instance can run.
     GiveUp,
 }
 
-/// A connection on loan; given back when dropped.
+/// A connection that is checked out of a pool; returned when dropped.
 pub struct Checkout {
     pool: rc::Rc<pool::Pool>,
     urgency: urgency::Urgency,
     connection: Option<connection::Connection>,
     broken: bool,
-    /// A transaction is open on it.
+    /// A transaction is open on the connection.
     open: bool,
-    /// [`Checkout::setup_commands`] noted values as set that have not been sent.
+    /// [`Checkout::setup_commands`] recorded values as set that have not been sent yet.
     setup_pending: bool,
 }
 
 impl Checkout {
-    /// Lends `connection` until the loan is dropped.
+    /// Checks out `connection`, which goes back to `pool` when this is dropped.
     #[must_use]
     pub(crate) const fn new(
         pool: rc::Rc<pool::Pool>,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The pool that it came from.
+    /// Returns the pool that the connection belongs to.
     #[must_use]
     pub const fn pool(&self) -> &rc::Rc<pool::Pool> {
         &self.pool
@@ -74,9 +75,11 @@
         self.urgency = urgency;
     }
 
-    /// Commands that bring the connection to a session's values and one prepared shape.
+    /// Returns the commands that set a session's values on the connection and prepare one
+    /// statement, without what is already set or prepared on it. Records them as done: they have to
+    /// be sent next.
     ///
-    /// `in_transaction` tells that a transaction is open, in which the connection cannot be cleared.
+    /// With `in_transaction`, a transaction is open and the connection cannot be reset.
     pub fn setup_commands(
         &mut self,
         values: &connection::Values,
@@ -120,11 +123,11 @@
         commands
     }
 
-    /// Runs commands until `deadline`; the connection is of no further use after a failure.
-    /// Answers to commands that set values may be left out.
+    /// Runs commands until `deadline`; the connection must not be used any more after a failure.
+    /// Replies to commands that set values may be left out.
     ///
     /// # Errors
-    /// When not all answers came.
+    /// Returns an error if some replies did not arrive.
     pub async fn run(
         &mut self,
         commands: &[upstream::Command],
@@ -133,11 +136,11 @@
         self.run_with(commands, deadline, OnSilence::Wait).await
     }
 
-    /// The same for commands that leave nothing behind and may be run elsewhere: they are given up once
-    /// the instance has been silent to all for a while.
+    /// Like [`Checkout::run`], for commands without lasting effect that another instance can run:
+    /// gives up once the instance has answered no request of this node for a while.
     ///
     /// # Errors
-    /// When not all answers came.
+    /// Returns an error if some replies did not arrive.
     pub async fn run_unless_silent(
         &mut self,
         commands: &[upstream::Command],
@@ -167,8 +170,8 @@
         };
         let sent = boot::now();
         let (values, statements) = commands.split_at(setup_len(&*connection.link, commands));
-        // Broken until proven whole: a request that is dropped half way leaves an answer
-        // on the connection that the next one would take for its own.
+        // Broken until the exchange is complete: if this future is dropped before that, an unread reply
+        // stays on the connection, and the next request would take it for its own.
         self.broken = true;
         if !values.is_empty() {
             let replies = wait::until(
@@ -185,7 +188,7 @@
             }
         }
         let result = exchange(connection, &self.pool, statements, urgency, on_silence).await;
-        // Another node that could not run them has answered so in full.
+        // If a relaying node could not run the commands, its answer has been read completely.
         self.broken = result.as_ref().is_err_and(|failure| failure.sent);
         let replies = result?;
         self.setup_pending = false;
@@ -205,14 +208,15 @@
         self.open = open;
     }
 
-    /// Forgets what was prepared here, as after the instance no longer knew a name.
+    /// Forgets which statements are prepared on the connection, for use after the instance did not
+    /// know one of them.
     pub fn forget(&mut self) {
         if let Some(connection) = &mut self.connection {
             connection.handles.clear();
         }
     }
 
-    /// Marks the connection as of no further use.
+    /// Marks the connection as unusable, so that it is closed instead of returned to the pool.
     pub fn discard(&mut self) {
         self.broken = true;
     }
@@ -223,11 +227,11 @@
         let Some(mut connection) = self.connection.take() else {
             return;
         };
-        // A request can be dropped, or give up, while it waits for its turn. The next
-        // user's statements would run with values that were never set.
+        // A request can be dropped or time out while it waits for a permit. Without the mark, the
+        // next user's statements would run with values that were never set.
         connection.dirty |= self.setup_pending;
-        // A request dropped between two statements leaves its transaction open: the next
-        // user's statements would run inside it.
+        // A request that is dropped between two statements leaves its transaction open, and the
+        // next user's statements would run inside of it.
         let reusable = !self.broken && !self.open;
         if self.open {
             self.pool.unpin();
@@ -236,8 +240,8 @@
     }
 }
 
-// Sends commands and awaits the answers; an instance that stays silent is suspected before
-// the time is over.
+// Sends commands and awaits the replies. An instance that stays silent is suspected before the
+// deadline.
 async fn exchange(
     connection: &mut connection::Connection,
     pool: &rc::Rc<pool::Pool>,
@@ -275,9 +279,9 @@
     })
 }
 
-// How many of the commands set values, and must have succeeded before the rest is sent. An
-// instance that fails part of its requests may fail these too, and would then run the
-// statement behind them with somebody else's values.
+// Number of leading commands that have to succeed before the rest is sent: all up to the last one
+// that sets or resets values. An instance that fails some of its requests may fail these too, and
+// would then run the statement after them with the values of another session.
 fn setup_len(link: &dyn upstream::Connection, commands: &[upstream::Command]) -> usize {
     if link.sets_surely() {
         return 0;
--- a/desk/src/deadline.rs
+++ b/desk/src/deadline.rs
@@ -1,4 +1,4 @@
-//! How long a statement may wait, and how urgent it is.
+//! How long statements may wait, and how urgent they are, by their route.
 
 use std::time;
 
@@ -7,28 +7,29 @@
 use crate::catalog;
 use crate::urgency;
 
-/// Part of a statement's timeout for which it may wait for an instance to be reached. A
-/// caller that is refused early can still ask another node in time; one that is kept
-/// waiting to the end cannot.
+/// Percentage of a statement's timeout for which it may wait until an instance can be reached. A
+/// caller that is refused early can still ask another node in time; one that waits to the end
+/// cannot.
 const WAIT_PERCENT: u32 = 40;
 
-/// Part of a route's objective for which a statement waits where this node has reached no
-/// instance of the group for a second. Its caller's next try goes to another node, which may
-/// stand on the other side of the cut; the sooner, the better.
+/// Percentage of a route's objective for which a statement waits if this node has reached no
+/// instance of the group for a second. The caller's next try goes to another node, which may be on
+/// the other side of a network partition, so it should come soon.
 const UNREACHABLE_PERCENT: u32 = 20;
 
-/// A group without a primary for this long goes without one for longer: the lease of a promoter
-/// that is lost ends within two seconds, its successor acts 0.7 s later, sees within 0.6 s
-/// that the primary is silent, and a promotion takes 0.6 s. What lasts beyond, as a promotion
-/// that is held back or a store that is away, a caller does better to sit out elsewhere.
+/// A group that has had no primary for this long is expected to have none for a while longer. The
+/// lease of a promoter that is lost ends within two seconds, its successor acts 0.7 s later and
+/// detects within 0.6 s that the primary is silent, and a promotion takes 0.6 s. If it takes
+/// longer, as when a promotion is held back or the store is unavailable, the caller is better
+/// refused at once than kept waiting here.
 const LONG_VACANCY: time::Duration = time::Duration::from_secs(6);
 
-/// When a caller that was refused for want of a primary should come back: promoters try again
-/// about once a second, and callers have two or three tries in all.
+/// When a caller that was refused for lack of a primary should retry: promoters retry about once a
+/// second, and callers have two or three tries in all.
 pub const RETRY_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// Whether a group that has had no primary since `since` will have none for a while, so that
-/// what needs one is refused at once.
+/// Returns whether a group that has had no primary since `since` will probably have none for a
+/// while, so that statements that need one are refused at once.
 ///
 /// ```
 /// use mangotray_desk::deadline;
@@ -43,13 +44,14 @@
     since.is_some_and(|since| now > since + LONG_VACANCY)
 }
 
-/// Part of a statement's timeout for which it may wait behind others. Where more is asked
-/// than the instances can do, waiting longer serves nobody else instead, and callers with
-/// one second and three tries would see it end in the middle of the third.
+/// Percentage of a statement's timeout for which it may wait in a queue. Under overload a longer
+/// wait would not let more statements be served, and callers with one second for three tries would
+/// see it end in the middle of the third.
 pub const QUEUE_PERCENT: u32 = 22;
 
-/// Until when a statement that arrived at `arrived` may wait for an instance, on a node that
-/// has lost its whole group or not.
+/// Returns until when a statement that arrived at `arrived` may wait for an instance. With
+/// `unreachable`, no instance of the group can be reached, or the group has had no primary for
+/// long.
 ///
 /// ```
 /// use mangotray_desk::{catalog, deadline};
@@ -67,7 +69,10 @@
 /// assert_eq!(deadline::for_instance(&route, Duration::ZERO, false), Duration::from_millis(320));
 /// assert_eq!(deadline::for_instance(&route, Duration::ZERO, true), Duration::from_millis(40));
 /// assert_eq!(deadline::urgency(&route, Duration::ZERO).until, Duration::from_millis(176));
-/// assert_eq!(deadline::urgency_in_transaction(&route, Duration::ZERO).until, Duration::from_millis(800));
+/// assert_eq!(
+///     deadline::urgency_in_transaction(&route, Duration::ZERO).until,
+///     Duration::from_millis(800)
+/// );
 /// ```
 #[must_use]
 pub fn for_instance(route: &catalog::Route, arrived: id::Time, unreachable: bool) -> id::Time {
@@ -78,7 +83,8 @@
     }
 }
 
-/// The urgency of a statement outside of a transaction, or of its first one.
+/// Returns the urgency of a statement outside of a transaction, or of a transaction's first
+/// statement.
 #[must_use]
 pub fn urgency(route: &catalog::Route, arrived: id::Time) -> urgency::Urgency {
     urgency::Urgency {
@@ -90,8 +96,8 @@
     }
 }
 
-/// The urgency of a statement inside a transaction. It has had its place: were it refused,
-/// all the work that the transaction has done would be lost.
+/// Returns the urgency of a statement inside of a transaction, which may start until the route's
+/// timeout is over: a refusal would lose all the work that the transaction has done.
 #[must_use]
 pub fn urgency_in_transaction(route: &catalog::Route, arrived: id::Time) -> urgency::Urgency {
     urgency::Urgency {
--- a/desk/src/limiter.rs
+++ b/desk/src/limiter.rs
@@ -1,7 +1,7 @@
-//! Who may let an instance work, where only so many statements may at once.
+//! Limits how many statements this node runs on an instance at once.
 //!
-//! The load that this answers: an instance has a few slots and a queue that it serves in order of arrival. What waits here in
-//! place of there can be put in order, and refused in time.
+//! An instance has a few slots, and a queue that it serves in order of arrival. Statements that
+//! wait in this node instead can be served by urgency, and refused in time.
 
 use std::cell;
 use std::rc;
@@ -16,7 +16,7 @@
 use crate::urgency;
 use crate::window;
 
-/// The turns at one instance.
+/// The adaptive concurrency limit of one instance, with the statements that wait for a permit.
 pub(crate) struct Limiter {
     window: cell::Cell<window::Window>,
     waiting: queue::Queue,
@@ -24,7 +24,7 @@
 }
 
 impl Limiter {
-    /// Turns for at most so many statements at once.
+    /// Creates a limiter that never lets more than `max_statements` run at once.
     pub(crate) fn new(max_statements: usize) -> rc::Rc<Self> {
         rc::Rc::new(Self {
             window: cell::Cell::new(window::Window::new(max_statements)),
@@ -33,12 +33,13 @@
         })
     }
 
-    /// Statements that may be at work at once now.
+    /// Returns the current limit of statements that run at once.
     pub(crate) fn window(&self) -> usize {
         self.window.get().size()
     }
 
-    /// A turn, awaited for as long as the statement is of use.
+    /// Waits for a permit until the statement's latest start or the deadline of its answer,
+    /// whichever is first; returns `None` if that time passes.
     pub(crate) async fn acquire(self: &rc::Rc<Self>, urgency: urgency::Urgency) -> Option<Permit> {
         let deadline = urgency.until.min(urgency.awaited);
         let (anybody, since) = (organisation::OWN, boot::now());
@@ -52,14 +53,15 @@
         Some(Permit(rc::Rc::clone(self)))
     }
 
-    /// Fits the window to an answer; whether it has grown, so that there is room for one more.
+    /// Adapts the limit to a reply; returns whether it has grown, so that one more statement may
+    /// run.
     pub(crate) fn adapt(&self, now: id::Time, reply: &reply::Reply, took: time::Duration) -> bool {
         let mut window = self.window.get();
         let before = window.size();
         match reply.code() {
             None => window.record_success(now, took, self.running.get() >= before),
             Some(reply::Code::Busy) => window.record_refusal(now),
-            // Refused for another reason, which tells nothing about the instance's load.
+            // Other errors tell nothing about the instance's load.
             Some(_) => return false,
         }
         self.window.set(window);
@@ -71,7 +73,7 @@
     }
 }
 
-/// A statement at work, or about to be.
+/// The right to run one statement, released when dropped.
 pub(crate) struct Permit(rc::Rc<Limiter>);
 
 impl Drop for Permit {
--- a/desk/src/message.rs
+++ b/desk/src/message.rs
@@ -1,4 +1,7 @@
-//! Messages between nodes: a length, and a value in a compact binary form.
+//! Messages between nodes: a length of four bytes, little-endian, and a value in postcard's binary
+//! form.
+//!
+//! Lengths above the limit serve as markers in place of a message.
 
 use std::io;
 
@@ -6,37 +9,38 @@
 use futures_lite::AsyncReadExt;
 use futures_lite::AsyncWriteExt;
 
-/// Longest message between nodes; a caller's statement has one MiB at most.
+/// Longest message between nodes, in bytes; a caller's statement has one MiB at most.
 const MAX_LENGTH: u32 = 4 << 20;
 
-/// Sent in place of a first message's length by a node that asks questions. A node that does not
-/// know it takes it for a message that is too long, and closes the connection.
+/// Sent in place of the first message's length on a connection for questions. A node that does not
+/// know the marker takes it for the length of a message that is too long, and closes the
+/// connection.
 const QUESTIONS_MARKER: u32 = u32::MAX - 1;
 
-/// Sent in place of a length by a node that is still at work on what it was sent.
+/// Sent in place of a length as a heartbeat, by a node that still works on the request.
 const HEARTBEAT_MARKER: u32 = u32::MAX - 2;
 
-/// What a connection between two nodes is for.
+/// Purpose of a connection between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// Statements are relayed; the first message has this length.
+    /// Relaying statements; the first message has this length.
     Relay(u32),
-    /// Questions are asked.
+    /// Questions and answers.
     Questions,
 }
 
-/// Opens a conversation of questions.
+/// Marks a new connection as one for questions.
 ///
 /// # Errors
-/// When the other node is not there.
+/// Returns an error if the connection is broken.
 pub async fn open_questions(stream: &mut TcpStream) -> io::Result<()> {
     stream.write_all(&QUESTIONS_MARKER.to_le_bytes()).await
 }
 
-/// Reads what a new connection is for.
+/// Reads the purpose of a new connection.
 ///
 /// # Errors
-/// When the other node is not there.
+/// Returns an error if the connection is broken or closed.
 pub async fn receive_opening(stream: &mut TcpStream) -> io::Result<Opening> {
     match receive_length(stream).await? {
         QUESTIONS_MARKER => Ok(Opening::Questions),
@@ -47,7 +51,7 @@
 /// Sends a message.
 ///
 /// # Errors
-/// When the other node is not there.
+/// Returns an error if the connection is broken, or the value cannot be serialised.
 pub async fn send(stream: &mut TcpStream, value: &impl serde::Serialize) -> io::Result<()> {
     let body = postcard::to_stdvec(value).map_err(io::Error::other)?;
     let length = u32::try_from(body.len()).map_err(io::Error::other)?;
@@ -60,21 +64,21 @@
 /// Receives a message.
 ///
 /// # Errors
-/// When the other node is not there, or the message makes no sense.
+/// Returns an error if the connection is broken or closed, or the message is too long or malformed.
 pub async fn receive<T: serde::de::DeserializeOwned>(stream: &mut TcpStream) -> io::Result<T> {
     let length = receive_length(stream).await?;
     receive_body(stream, length).await
 }
 
-/// Tells the other node that its message is still worked on.
+/// Sends a heartbeat: the other node's request is still being worked on.
 ///
 /// # Errors
-/// When the other node is not there.
+/// Returns an error if the connection is broken.
 pub async fn send_heartbeat(stream: &mut TcpStream) -> io::Result<()> {
     stream.write_all(&HEARTBEAT_MARKER.to_le_bytes()).await
 }
 
-/// Receives a message; calls `on_heartbeat` for each heartbeat before it.
+/// Receives a message, and calls `on_heartbeat` for each heartbeat before it.
 ///
 /// # Errors
 /// As [`receive`].
@@ -90,7 +94,7 @@
     }
 }
 
-/// Receives a message, and the byte that may follow it.
+/// Receives a message, and the byte after its value if there is one.
 ///
 /// # Errors
 /// As [`receive`].
@@ -103,7 +107,7 @@
     Ok((value, rest.first().copied()))
 }
 
-/// Receives a message whose length is known.
+/// Receives a message whose length has been read already.
 ///
 /// # Errors
 /// As [`receive`].
--- a/desk/src/query.rs
+++ b/desk/src/query.rs
@@ -1,4 +1,4 @@
-//! A statement that needs an instance.
+//! Statements that run on an instance, and the commands that are sent for them.
 
 use compact_str::CompactString;
 use compact_str::format_compact;
@@ -10,25 +10,26 @@
 use crate::statement;
 use crate::upstream;
 
-/// Longest name of a prepared statement that is made of its text.
+/// Longest text, in bytes, that is used in the name of a prepared statement without encoding.
 const MAX_PLAIN_NAME: usize = 48;
 
-/// A statement that needs an instance.
+/// A statement that runs on an instance.
 pub struct Query {
-    /// The caller's id.
+    /// Id that the caller gave to the request.
     pub id: statement::Id,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: id::Time,
-    /// The caller's words.
+    /// The statement's text as the caller sent it.
     pub text: CompactString,
-    /// Whether it reads or writes.
+    /// Whether the statement reads or writes.
     pub access: statement::Access,
-    /// Name on connections, shape and arguments of a prepared statement.
+    /// For a prepared statement: its name on connections, what it does, and its arguments.
     pub prepared: Option<(CompactString, statement::Shape, CompactString)>,
 }
 
 impl Query {
-    /// What is sent for it on a connection, values and preparing included.
+    /// Returns the commands to send for the statement on a connection, after those that set the
+    /// session's values and prepare the statement there.
     pub fn commands(
         &self,
         checkout: &mut checkout::Checkout,
@@ -58,7 +59,9 @@
     }
 }
 
-/// One name for a shape on all connections, so that sessions share what is prepared.
+/// Returns the name of a prepared statement on connections. It depends only on the statement's
+/// access and text, so that sessions share prepared statements. A text that is long or contains
+/// white space is encoded in hexadecimal digits.
 #[must_use]
 pub fn prepared_name(shape: &statement::Shape) -> CompactString {
     let access = match shape.access {
--- a/desk/src/queue.rs
+++ b/desk/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for something scarce; [`crate::order`] says who goes next.
+//! A queue of requests that wait for a limited resource, woken in the order of [`crate::schedule`].
 
 use std::cell;
 
@@ -10,37 +10,39 @@
 use crate::urgency;
 use crate::wait;
 
-/// One that waits at the same index of the places.
+/// Wakes the request whose entry has the same index.
 struct Waker {
     wake: async_channel::Sender<()>,
     organisation: organisation::Name,
 }
 
-/// A queue.
+/// A queue of waiting requests, ordered by urgency.
 #[derive(Default)]
 pub struct Queue {
     entries: cell::RefCell<Vec<schedule::Entry>>,
-    /// Wakes those who wait at the same index.
+    /// The wakers of `entries`, by the same index.
     wakers: cell::RefCell<Vec<Waker>>,
+    /// Sequence number of the next entry.
     number: cell::Cell<u64>,
-    /// Requests woken so far.
+    /// Number of requests woken one at a time so far.
     served: cell::Cell<u64>,
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Waits to be woken; `false` when `deadline` comes first. It has waited since `since` already.
+    /// Waits to be woken; returns `false` if `deadline` passes first. `since` is when the request
+    /// began to wait, which may be before this call.
     pub async fn wait(
         &self,
         organisation: &organisation::Name,
@@ -64,13 +66,13 @@
         let result = wait::until(deadline, woken.recv()).await;
         drop(guard);
         if result.is_none() && woken.try_recv().is_ok() {
-            // A wake-up that came too late for this one belongs to the next.
+            // This request was woken after its deadline; the wake-up goes to the next one.
             self.wake();
         }
         result.is_some()
     }
 
-    /// Wakes the most urgent.
+    /// Wakes the request that [`schedule::next`] picks.
     pub fn wake(&self) {
         let served = self.served.get() + 1;
         let next = schedule::next(&self.entries.borrow(), boot::now(), served);
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Wakes the most urgent of an organisation; the most urgent of all where none of it waits.
+    /// Wakes the next request of an organisation, or the next of all if none of its requests waits.
     pub fn wake_for(&self, organisation: &organisation::Name) {
         let indices: Vec<_> = {
             let wakers = self.wakers.borrow();
@@ -101,7 +103,7 @@
         }
     }
 
-    /// How many of an organisation wait.
+    /// Returns the number of waiting requests of an organisation.
     #[must_use]
     pub fn count_waiting(&self, organisation: &organisation::Name) -> usize {
         let wakers = self.wakers.borrow();
@@ -112,15 +114,15 @@
     }
 
     fn wake_at(&self, index: usize) {
-        // The receiver is gone only when its request was dropped; nobody is owed then.
+        // Sending fails only if the request was dropped, which then needs no wake-up.
         let _ = self.remove(index).wake.try_send(());
     }
 
-    /// Wakes all.
+    /// Wakes all requests.
     pub fn wake_all(&self) {
         self.entries.take();
         for waker in self.wakers.take() {
-            // The receiver is gone only when its request was dropped; nobody is owed then.
+            // Sending fails only if the request was dropped, which then needs no wake-up.
             let _ = waker.wake.try_send(());
         }
     }
@@ -131,7 +133,7 @@
     }
 }
 
-/// A place in a queue, left when the request is dropped.
+/// Removes a request's entry from the queue when dropped.
 struct Guard<'a>(&'a Queue, u64);
 
 impl Drop for Guard<'_> {
--- a/desk/src/relay.rs
+++ b/desk/src/relay.rs
@@ -1,8 +1,9 @@
-//! One node's connections, lent to another.
+//! Runs other nodes' statements over this node's connections to instances.
 //!
-//! A relayed connection looks like one to the instance. The lending node keeps what was
-//! set and prepared on it, and takes a connection of its own only while statements run or
-//! a transaction is open: hundreds of relayed connections share a handful.
+//! To its user a relayed connection behaves like a direct connection to the instance. The relaying
+//! node keeps the values and prepared statements of each relayed connection, and checks out a
+//! pooled connection only while statements run or a transaction is open. Hundreds of relayed
+//! connections can therefore share a few connections to the instance.
 
 use std::cell;
 use std::collections;
@@ -29,32 +30,34 @@
 use crate::urgency;
 use crate::wait;
 
-/// Longest wait for a connection that shows that the instance can be reached.
+/// Longest wait for a pooled connection when a relayed connection is opened.
 const OPEN_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
-/// An instance that answered this lately can be reached, be there a connection for the organisation
-/// that asks or not: were crowding taken for a lost link, all nodes would look for other ways.
+/// An instance that answered within this time counts as reachable, even if no connection is free
+/// for the organisation that asks. If congestion counted as a lost link, all nodes would look for
+/// another route.
 const RECENT_ANSWER: time::Duration = time::Duration::from_millis(500);
 
-/// A connection within this process is suspected after this long without an answer: the wait for a
-/// connection comes on top of what an instance itself may take.
+/// An instance behind a connection within this process is suspected after this long without an
+/// answer. Covers the wait for a pooled connection besides the time that the instance may take.
 const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(650);
 
-/// A lending node tells each so often that it is at work: rarely enough that most statements are done
-/// before.
+/// Interval of the heartbeats that a relaying node sends while commands run. Long enough that most
+/// statements finish before the first heartbeat.
 const HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(60);
 
-/// It does so for this long: what takes longer waits for an instance that may be silent, of which whoever
-/// asked should think so too.
-const HEARTBEAT_PERIOD: time::Duration = time::Duration::from_millis(400);
+/// Heartbeats stop after this long. Commands that take longer may be waiting for a silent instance,
+/// and the requesting node has to suspect it too.
+const MAX_HEARTBEAT_DURATION: time::Duration = time::Duration::from_millis(400);
 
-/// A lending node's answer to the opening of a relayed connection.
+/// A relaying node's answer to the opening of a relayed connection: the instance's log position if
+/// it is known.
 pub type Opened = Result<Option<stamp::Stamp>, upstream::Refusal>;
 
-/// Follows the work of a node that wants to be told while it goes on.
+/// Trailing byte of a request whose sender wants heartbeats while the commands run.
 pub const WANT_HEARTBEATS: u8 = 1;
 
-/// What a lending node is asked to run.
+/// A request to run commands; the sending side is `WorkRef` in [`crate::remote`].
 #[derive(serde::Deserialize)]
 struct Work {
     urgency: urgency::Urgency,
@@ -62,13 +65,14 @@
     commands: Vec<upstream::Command>,
 }
 
-/// A lending node's answer to commands.
+/// A relaying node's answer to commands.
 pub type Answer = Result<Vec<reply::Reply>, upstream::Failure>;
 
-/// What one relayed connection has set, and the connection that it is on, if any.
+/// State of one relayed connection: its values, its prepared statements, and the pooled connection
+/// of its open transaction, if any.
 pub struct Session {
     pool: rc::Rc<pool::Pool>,
-    /// For whom it was last used.
+    /// The organisation that last used it.
     organisation: organisation::Name,
     values: collections::BTreeMap<statement::Name, CompactString>,
     prepared: collections::BTreeMap<CompactString, statement::Shape>,
@@ -76,7 +80,7 @@
 }
 
 impl Session {
-    /// A relayed connection on which nothing is set.
+    /// Creates a relayed connection without values or prepared statements.
     #[must_use]
     pub const fn new(pool: rc::Rc<pool::Pool>, organisation: organisation::Name) -> Self {
         Self {
@@ -88,10 +92,10 @@
         }
     }
 
-    /// Whether the instance can be reached, and where its log stands.
+    /// Checks that the instance can be reached and returns its last known log position.
     ///
     /// # Errors
-    /// When this node cannot reach the instance either.
+    /// Returns an error if this node cannot reach the instance, or gets no connection from it.
     pub async fn open(&self) -> Opened {
         let now = boot::now();
         if self.pool.last_answer() + RECENT_ANSWER > now {
@@ -109,7 +113,7 @@
             .await
         {
             Ok(_) => Ok(Some(self.pool.applied())),
-            // All connections are busy; the instance is well if it answers on them.
+            // All connections are busy; the instance is reachable if it has answered recently.
             Err(pool::Shortage::Late) if self.pool.last_answer() + OPEN_TIMEOUT > boot::now() => {
                 Ok(Some(self.pool.applied()))
             }
@@ -119,14 +123,17 @@
         }
     }
 
-    /// Runs commands as an instance would, as long as somebody awaits their answers.
+    /// Runs commands as an instance would, until the deadlines in `urgency`.
     ///
-    /// Whoever asked gives up, and asks elsewhere. A statement that still waited here would
-    /// take an instance's slot for nothing, and one whose answer was lost would keep its
-    /// turn: a few lost answers then shut the instance for all that this node serves.
+    /// The requesting node gives up at these deadlines and asks another node. Without them, a
+    /// statement that still waited here would occupy an instance's slot for nothing, and one whose
+    /// answer was lost would keep its permit: a few lost answers would then block the instance for
+    /// all requests through this node.
     ///
     /// # Errors
-    /// When the instance's answer is lost, or the commands could not begin in time.
+    /// Returns an error if the instance's answer is lost, the commands cannot start in time, or a
+    /// transaction of another organisation is open. [`upstream::Failure::sent`] is set if any
+    /// command of the batch may have run.
     pub async fn run(
         &mut self,
         commands: &[upstream::Command],
@@ -152,8 +159,7 @@
         Ok(replies)
     }
 
-    // What was set for one organisation is nothing to another, and an open transaction is nobody
-    // else's.
+    // Values and prepared statements belong to one organisation, and so does an open transaction.
     fn switch_organisation(
         &mut self,
         organisation: &organisation::Name,
@@ -174,7 +180,8 @@
         Ok(())
     }
 
-    // Answers a command that sets something, which is done when a statement needs it.
+    // Records a command that changes values or prepared statements, and answers it. The commands
+    // are sent to an instance when a statement needs them.
     fn apply_locally(&mut self, command: &upstream::Command) -> Option<reply::Reply> {
         match command {
             upstream::Command::Set { name, value } => {
@@ -251,7 +258,8 @@
 }
 
 impl Drop for Session {
-    // The far end is gone in the middle of a transaction: closing the connection rolls back.
+    // The requesting node has disconnected during a transaction; closing the connection rolls it
+    // back.
     fn drop(&mut self) {
         if let Some(checkout) = &mut self.pinned {
             checkout.discard();
@@ -280,7 +288,7 @@
         true
     }
 
-    // The lending node notes values, and sets them before it runs a statement.
+    // The session records values without sending them, and sets them before a statement runs.
     fn sets_surely(&self) -> bool {
         true
     }
@@ -290,13 +298,13 @@
     }
 }
 
-/// Finds the pool of an instance.
+/// Returns the pool of an instance.
 type FindPool = dyn Fn(&upstream::Target) -> rc::Rc<pool::Pool>;
 
 /// Answers a question of another node.
 type Handler = dyn Fn(question::Question) -> future::LocalBoxFuture<'static, question::Answer>;
 
-/// Lends connections to other nodes, and answers their questions.
+/// Relays statements of other nodes to instances, and answers other nodes' questions.
 pub struct Server {
     find_pool: Box<FindPool>,
     handler: cell::RefCell<Option<rc::Rc<Handler>>>,
@@ -305,7 +313,7 @@
 }
 
 impl Server {
-    /// A server that lends from the pools that `find_pool` gives.
+    /// Creates a server that uses the connections of the pools that `find_pool` returns.
     #[must_use]
     pub fn new(
         find_pool: impl Fn(&upstream::Target) -> rc::Rc<pool::Pool> + 'static,
@@ -319,7 +327,8 @@
         })
     }
 
-    /// Answers questions from now on, as `handler` does.
+    /// Sets the handler of questions. Without a handler, each answer is
+    /// [`question::Answer::Nothing`].
     pub fn set_question_handler(
         &self,
         handler: impl Fn(question::Question) -> future::LocalBoxFuture<'static, question::Answer>
@@ -328,18 +337,18 @@
         self.handler.replace(Some(rc::Rc::new(handler)));
     }
 
-    /// Relayed connections on which a statement runs now.
+    /// Returns the number of relayed connections on which commands run or wait.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.busy.get()
     }
 
-    /// Binds the address and serves for ever.
+    /// Binds the address and accepts connections of other nodes; never returns once bound.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub async fn serve(self: rc::Rc<Self>, address: std::net::SocketAddr) -> io::Result<()> {
-        /// Pause after a failed accept, which mostly means that descriptors ran out.
+        /// Pause after a failed accept, usually because file descriptors ran out.
         const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
         let listener = async_net::TcpListener::bind(address).await?;
         loop {
@@ -351,7 +360,7 @@
                         .detach();
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "node not accepted");
+                    tracing::warn!(%error, "cannot accept a connection from a node");
                     wait::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -399,7 +408,7 @@
             self.busy.set(self.busy.get() + 1);
             let urgency = work.urgency.to_absolute();
             let answer = {
-                // Pinned here: handed on by value, its state would be kept several times.
+                // Pinned here: passed by value, the future's state would be stored several times.
                 let run = session.run(&work.commands, urgency, &work.organisation);
                 let run = pin::pin!(run);
                 match trailer {
@@ -413,19 +422,19 @@
     }
 }
 
-// Tells whoever asked that the work goes on: its silence then means that the connection, or this node,
-// is dead.
+// Awaits the commands and sends heartbeats meanwhile, so that the requesting node can take silence
+// as a sign that the connection or this node is dead.
 async fn run_with_heartbeats(
     mut run: pin::Pin<&mut impl Future<Output = Answer>>,
     stream: &mut TcpStream,
 ) -> Answer {
-    let until = boot::now() + HEARTBEAT_PERIOD;
+    let until = boot::now() + MAX_HEARTBEAT_DURATION;
     while boot::now() < until {
         if let Some(answer) = wait::within(HEARTBEAT_INTERVAL, run.as_mut()).await {
             return answer;
         }
         if let Err(error) = message::send_heartbeat(stream).await {
-            tracing::debug!(%error, "nobody awaits a relayed statement any more");
+            tracing::debug!(%error, "cannot send a heartbeat for a relayed statement");
             break;
         }
     }
--- a/desk/src/remote.rs
+++ b/desk/src/remote.rs
@@ -1,4 +1,4 @@
-//! Connections to instances through another node, which lends its own.
+//! Connections to instances that are relayed through another node.
 
 use std::io;
 use std::rc;
@@ -18,28 +18,29 @@
 use crate::urgency;
 use crate::wait;
 
-/// Longest wait for another node to accept a connection, which its system does even while the
-/// node is busy: a few ways there and back. A node that is gone for good stays listed, and is asked
-/// first for some instance by each node that starts.
+/// Longest wait for another node to accept a connection: a few round trips, as the kernel accepts
+/// even while the node is busy. Kept short because a node that is gone for good stays listed, and
+/// each node that starts asks it first for some instance.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
-/// A connection is suspected after this long without an answer or a heartbeat. The lending node sends one each
-/// 60 ms; its machine may not let it run for the rest of a tenth of a second.
+/// A connection is suspected after this long without an answer or a heartbeat. The relaying node
+/// sends a heartbeat every 60 ms, and may not be scheduled for the rest of a tenth of a second.
 const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
-/// What a lending node is asked to run.
+/// A request to run commands; the receiving side is `Work` in [`crate::relay`].
 #[derive(serde::Serialize)]
 struct WorkRef<'a> {
     urgency: urgency::Urgency,
     organisation: &'a organisation::Name,
     commands: &'a [upstream::Command],
-    /// Nodes of an earlier version do not read it.
+    /// Trailing byte [`relay::WANT_HEARTBEATS`]; nodes of an earlier version ignore it.
     tell: u8,
 }
 
-/// A relayed connection through another node, of use until a time if one is set.
+/// A relayed connection through another node.
 struct Remote {
     stream: TcpStream,
+    /// When the connection is to be replaced, if ever.
     expires_at: Option<id::Time>,
     pulse: upstream::Pulse,
 }
@@ -79,7 +80,8 @@
         let fresh = self
             .expires_at
             .is_none_or(|expires_at| boot::now() < expires_at);
-        // Nothing may come unasked: bytes or an end of stream both make it useless.
+        // The other node sends nothing unasked: bytes or an end of the stream both mean that the
+        // connection cannot be used any more.
         fresh && poll::block_on(poll::poll_once(self.stream.peek(&mut byte))).is_none()
     }
 
@@ -87,7 +89,7 @@
         true
     }
 
-    // The lending node notes values, and sets them before it runs a statement.
+    // The relaying node records values without sending them, and sets them before a statement runs.
     fn sets_surely(&self) -> bool {
         true
     }
@@ -101,12 +103,13 @@
     }
 }
 
-/// Opens a connection to an instance through the node at `address`, of use for `lifetime`.
+/// Opens a connection to an instance through the node at `address`, to be used for `lifetime` at
+/// most.
 ///
-/// The inner result is what that node answered.
+/// The inner result is that node's answer.
 ///
 /// # Errors
-/// When the node itself is not there.
+/// Returns an error if the node itself cannot be reached.
 pub async fn dial(
     address: std::net::SocketAddr,
     target: &upstream::Target,
--- a/desk/src/reply.rs
+++ b/desk/src/reply.rs
@@ -1,4 +1,4 @@
-//! What an instance, or this node itself, answers.
+//! Replies to statements, from an instance or from this node itself.
 
 use compact_str::CompactString;
 use mangotray::stamp;
@@ -8,36 +8,36 @@
 pub enum Code {
     /// No capacity; not run.
     Busy,
-    /// The transaction is gone and nothing of it is kept.
+    /// The transaction was aborted and none of its writes are kept.
     Aborted,
-    /// The instance's log lacks the required position; not run.
+    /// The instance has not applied the required log position; not run.
     Behind,
-    /// The instance does not lead; not run.
+    /// The instance is not the primary; not run.
     ReadOnly,
     /// The address belongs to another instance; not run.
     WrongNode,
     /// The instance has no connection left.
     TooMany,
-    /// Nobody can say whether it ran.
+    /// It is unknown whether the statement ran.
     Unsure,
-    /// It ran out of time; it may have run.
+    /// The statement timed out; it may have run.
     Timeout,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
     /// No prepared statement of that name; not run.
     NoStatement,
     /// No database of that name.
     NoDatabase,
-    /// The statement makes no sense here; not run.
+    /// The statement is malformed or not allowed in this state; not run.
     Bad,
-    /// A code that this version does not know.
+    /// A code that is unknown to this version.
     Other(CompactString),
-    /// No organisation holds the caller's key.
+    /// The caller's key belongs to no organisation.
     Unauthorised,
 }
 
 impl Code {
-    /// Whether the code proves that the statement has not run.
+    /// Returns whether the code proves that the statement has not run.
     ///
     /// ```
     /// use mangotray_desk::reply;
@@ -61,18 +61,19 @@
 /// How a statement ended.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum End {
-    /// Done; the digest proves which instance did it, `-` where none was needed.
+    /// Success. The digest proves which instance ran the statement; it is `-` if no instance was
+    /// needed.
     Done(CompactString),
-    /// Failed.
+    /// Failure.
     Error {
-        /// Why.
+        /// Reason of the failure.
         code: Code,
-        /// For a human.
+        /// Description for humans.
         text: CompactString,
     },
 }
 
-/// State of a session or connection between two statements.
+/// Transaction state of a session or connection between two statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum State {
     /// No transaction.
@@ -83,21 +84,21 @@
     Failed,
 }
 
-/// A whole answer.
+/// A complete reply to a statement.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Reply {
     /// The rows, unchanged.
     pub rows: Vec<CompactString>,
-    /// How it ended.
+    /// How the statement ended.
     pub end: End,
-    /// State after it.
+    /// Transaction state after the statement.
     pub state: State,
-    /// Last record that the instance has applied.
+    /// Log position up to which the instance has applied its log.
     pub position: Option<stamp::Stamp>,
 }
 
 impl Reply {
-    /// An answer that this node gives by itself.
+    /// Creates a successful reply of this node itself.
     ///
     /// ```
     /// use mangotray_desk::reply;
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A refusal or failure that this node reports.
+    /// Creates an error reply of this node itself.
     ///
     /// ```
     /// use mangotray_desk::reply;
@@ -131,13 +132,13 @@
         }
     }
 
-    /// Whether it ended well.
+    /// Returns whether the statement succeeded.
     #[must_use]
     pub const fn is_done(&self) -> bool {
         matches!(self.end, End::Done(_))
     }
 
-    /// Why it failed, if it did.
+    /// Returns the error code if the statement failed.
     #[must_use]
     pub const fn code(&self) -> Option<&Code> {
         match &self.end {
--- a/desk/src/schedule.rs
+++ b/desk/src/schedule.rs
@@ -1,9 +1,10 @@
-//! Who of those that wait for something scarce goes next.
+//! Picks the queued request that is served next.
 //!
-//! Once a queue stands, serving it in order makes everybody late: those that are served
-//! have waited the longest, and those that come wait as long. The newest go first then:
-//! as many are served, most of them in time. Routes with the shorter objective go before
-//! those whose callers are still served well a second later.
+//! A short queue is served by priority and due time. Serving a standing queue in order would make
+//! every answer late: the request that is served has waited longest, and each new one waits as
+//! long. A standing queue is therefore served newest first: as many requests are served, and most
+//! of them in time. Within a priority, routes with a shorter objective come first, as callers of
+//! the other routes are still served well a second later.
 
 use std::time;
 
@@ -11,23 +12,23 @@
 
 use crate::urgency;
 
-/// A queue whose oldest request has waited this long stands: it is half of the time in which
-/// a booking is due, and longer than a burst of a few requests takes.
+/// A queue is standing when its oldest request has waited longer than this: half of the time in
+/// which a booking is due, and longer than a burst of a few requests takes.
 const STANDING_QUEUE_AGE: time::Duration = time::Duration::from_millis(80);
 
-/// One turn in this many of a standing queue goes to the least urgent kind that waits: without it
-/// that kind would starve while the others keep an instance busy, and much more often would cost
-/// the urgent more than it gains.
+/// In a standing queue, one pick in this many takes the least urgent class, which would otherwise
+/// starve while the others keep an instance busy. A much lower value would cost the urgent classes
+/// more than it gains.
 const LEAST_URGENT_EVERY: u64 = 20;
 
-/// One that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// How urgent it is.
+    /// Urgency of the request.
     pub urgency: urgency::Urgency,
-    /// Rises with each arrival.
+    /// Sequence number, increasing with each arrival.
     pub number: u64,
-    /// When it arrived.
+    /// Time of arrival.
     pub since: id::Time,
 }
 
@@ -47,7 +48,7 @@
     same.max_by_key(|index| waiting[*index].number)
 }
 
-/// Index of the one that goes next; `served` counts those that went before.
+/// Returns the index of the request to serve next; `served` counts those that were served before.
 ///
 /// ```
 /// use mangotray_desk::{schedule, urgency};
--- a/desk/src/size.rs
+++ b/desk/src/size.rs
@@ -1,28 +1,28 @@
-//! How many connections to an instance a node may have.
+//! Size of the connection pool that a node has for one instance.
 
 use std::time;
 
-/// Connections to one instance that a node holds at most. Eight nodes share the 23
-/// connections of today's smaller instances; who needs more than an equal part borrows
-/// what others leave free, and the instance refuses what is too much.
+/// Most connections of a node to one instance when all nodes connect directly. Eight nodes share
+/// the 23 connections of the smaller instances. A node that needs more than an equal share uses
+/// connections that others leave free, and the instance refuses those beyond its limit.
 const MAX_CONNECTIONS: usize = 5;
 
-/// A borrowed connection that nobody used for this long is given back.
+/// Idle time after which a connection beyond the pool's minimum is closed, for other nodes to use.
 pub const IDLE_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
-/// How many connections a pool has.
+/// Size of a connection pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Connections at most.
+    /// Most connections at once.
     pub max_connections: usize,
-    /// Statements at most that the instance is let work on at once.
+    /// Most statements that run on the instance at once.
     pub max_statements: usize,
-    /// A connection that nobody used for this long is closed.
+    /// Idle time after which a connection beyond the pool's minimum is closed.
     pub idle_timeout: time::Duration,
 }
 
 impl Size {
-    /// Of a node that shares an instance with all others.
+    /// Returns the size for a node that shares an instance with all other nodes.
     #[must_use]
     pub const fn shared() -> Self {
         Self {
--- a/desk/src/statement.rs
+++ b/desk/src/statement.rs
@@ -1,8 +1,8 @@
-//! What a caller asks for.
+//! Statements of callers.
 
 use compact_str::CompactString;
 
-/// Id that the caller gave to its request; passed on unchanged.
+/// Id that a caller gave to its request; passed on unchanged.
 pub type Id = CompactString;
 
 /// Name of a session's value or prepared statement.
@@ -19,14 +19,14 @@
     Write,
 }
 
-/// What a prepared statement does, whatever its caller named it.
+/// What a prepared statement does, independent of the name that a caller gave it.
 #[derive(
     Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct Shape {
-    /// Whether it reads or writes.
+    /// Whether the statement reads or writes.
     pub access: Access,
-    /// Its text.
+    /// Text of the statement.
     pub text: CompactString,
 }
 
@@ -35,12 +35,12 @@
 pub enum Statement {
     /// Opens a transaction.
     Begin {
-        /// The transaction only reads.
+        /// Whether the transaction may only read.
         read_only: bool,
     },
-    /// Ends a transaction and keeps its writes.
+    /// Commits a transaction.
     Commit,
-    /// Ends a transaction and drops its writes.
+    /// Rolls back a transaction.
     Rollback,
     /// Reads one item.
     Read,
@@ -53,36 +53,36 @@
         /// The value.
         value: CompactString,
     },
-    /// Names a shape for later use.
+    /// Prepares a statement under a name.
     Prepare {
-        /// The caller's name for it.
+        /// The caller's name for the prepared statement.
         name: Name,
-        /// What it does.
+        /// What the prepared statement does.
         shape: Shape,
     },
     /// Runs a prepared statement.
     Execute {
-        /// The caller's name for it.
+        /// The caller's name for the prepared statement.
         name: Name,
-        /// Item, and data where it writes.
+        /// The item and, for a write, the data.
         arguments: CompactString,
     },
     /// Drops a prepared statement.
     Forget {
-        /// The caller's name for it.
+        /// The caller's name for the prepared statement.
         name: Name,
     },
-    /// A text that is none of the above.
+    /// Any other text.
     Unknown,
 }
 
-/// A statement with the caller's id and exact text.
+/// A statement with the caller's id and original text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// The caller's id of this request.
+    /// Id that the caller gave to the request.
     pub id: Id,
-    /// The caller's words, passed on unchanged.
+    /// The statement's text as the caller sent it; passed on unchanged.
     pub text: CompactString,
-    /// What they mean.
+    /// The parsed statement.
     pub statement: Statement,
 }
--- a/desk/src/urgency.rs
+++ b/desk/src/urgency.rs
@@ -1,4 +1,4 @@
-//! Who goes first.
+//! Urgency of statements: their priority and deadlines.
 
 use std::time;
 
@@ -6,7 +6,8 @@
 
 use crate::boot;
 
-/// Place of a statement in a queue: by its route's priority, then by when it is due.
+/// Urgency of a statement. Orders the more urgent statement first: by the route's priority, then by the
+/// time when the statement is due.
 ///
 /// ```
 /// use mangotray_desk::urgency;
@@ -19,20 +20,21 @@
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize,
 )]
 pub struct Urgency {
-    /// The route's priority; 0 goes first.
+    /// Priority of the route; 0 is the most urgent.
     pub priority: u8,
     /// When the statement should be answered, on this node's clock.
     pub due: id::Time,
-    /// Time in which requests of its route are to be answered.
+    /// Time in which requests of the route should be answered.
     pub objective: time::Duration,
-    /// No use to begin later than this, on this node's clock: whoever asked has given up.
+    /// Latest start of the statement, on this node's clock; the requester has given up after it.
     pub until: id::Time,
-    /// Nobody awaits the answer after this, on this node's clock.
+    /// Deadline of the answer, on this node's clock; the requester does not wait any longer.
     pub awaited: id::Time,
 }
 
 impl Urgency {
-    /// That of a look at an instance, or an order to it: one serves many statements.
+    /// Returns the highest urgency, for this node's own status queries and commands to an instance:
+    /// one of these serves many statements. `until` is both the latest start and the deadline.
     #[must_use]
     pub fn immediate(until: id::Time) -> Self {
         Self {
@@ -44,7 +46,8 @@
         }
     }
 
-    /// The same with the time that is left in place of times, for another node's clock.
+    /// Replaces points in time by the time that remains, to be sent to another node, whose clock
+    /// differs.
     #[must_use]
     pub fn to_remaining(self) -> Self {
         let now = boot::now();
@@ -56,7 +59,7 @@
         }
     }
 
-    /// What [`Urgency::to_remaining`] was given, on this node's clock.
+    /// Converts the result of [`Urgency::to_remaining`] to points in time on this node's clock.
     #[must_use]
     pub fn to_absolute(self) -> Self {
         let now = boot::now();
--- a/desk/src/window.rs
+++ b/desk/src/window.rs
@@ -1,35 +1,35 @@
-//! How many statements a node lets one instance work on at once.
+//! The adaptive limit of statements that a node runs on one instance at once.
 
 use std::time;
 
 use mangotray::id;
 
-/// Exchanges that take longer than this on average have waited inside the instance, where
-/// urgent ones cannot overtake. A read's work takes 18 to 30 ms, and the instance works on
-/// three at once: eight or more then wait before it.
+/// If exchanges take longer than this on average, statements wait inside the instance, where urgent
+/// ones cannot overtake. A read takes 18 to 30 ms and the instance runs three at once, so that
+/// eight or more statements wait before one that takes this long.
 const SLOW_EXCHANGE: time::Duration = time::Duration::from_millis(90);
 
-/// Weight of a new exchange in the average: one in this many.
+/// A new exchange counts in the moving average with a weight of one in this many.
 const SMOOTHING_WEIGHT: u32 = 6;
 
-/// Part of the window that stays after a step down.
+/// Factor by which the window shrinks.
 const SHRINK_FACTOR: f32 = 0.8;
 
-/// Least time between two steps down: a step shows only in the answers of statements that
-/// were sent after it. Stepping down with every answer left slots idle in a burst.
+/// Least time between two reductions. A reduction shows only in the answers to statements that were
+/// sent after it, and reducing the window with every answer left slots idle in a burst.
 const MIN_SHRINK_INTERVAL: time::Duration = time::Duration::from_millis(90);
 
-/// A window is never smaller: with one statement of each node, slots lie idle while answers
-/// and the next statements are on their way.
+/// Least size of a window. With one statement per node, slots would be idle while answers and the
+/// next statements are in transit.
 const MIN_SIZE: f32 = 2.0;
 
-/// A window that shrinks while the instance answers slowly, and grows while it is in use
-/// and the instance answers fast.
+/// A limit that shrinks while the instance answers slowly, and grows while it is fully used and the
+/// instance answers fast: additive increase, multiplicative decrease.
 ///
-/// An instance serves those that wait in the order in which they came. With a fixed window,
-/// an overloaded one keeps a queue of twenty, and a booking due in 150 ms waits 130 ms behind
-/// reports. With a smaller one they wait in this node, where the urgent go first. Where
-/// other nodes are cut off, the window grows and no slot lies idle.
+/// An instance serves its queue in order of arrival. With a fixed window, an overloaded instance
+/// has a queue of twenty statements, and a booking due in 150 ms waits 130 ms behind reports. With
+/// a smaller window they wait in this node, where urgent statements go first. When other nodes are
+/// cut off, the window grows, so that no slot is idle.
 ///
 /// ```
 /// use mangotray_desk::window;
@@ -56,7 +56,7 @@
 }
 
 impl Window {
-    /// A window that is as wide as it may be.
+    /// Creates a window of its largest size, `max_size`.
     #[must_use]
     #[allow(clippy::cast_precision_loss)] // A dozen connections at most.
     pub const fn new(max_size: usize) -> Self {
@@ -68,15 +68,16 @@
         }
     }
 
-    /// Statements that may be at work at once.
+    /// Returns the number of statements that may run at once.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)] // Between one and a dozen.
     pub const fn size(&self) -> usize {
         self.size as usize
     }
 
-    /// Notes that the instance had no room for a statement, which it says at once: counted
-    /// as a fast answer, it would widen the window of an instance that is full.
+    /// Records that the instance had no capacity for a statement, and shrinks the window. The
+    /// refusal comes at once; counted as a fast answer, it would widen the window of an instance
+    /// that is full.
     pub fn record_refusal(&mut self, now: id::Time) {
         if now >= self.shrunk_at + MIN_SHRINK_INTERVAL {
             self.shrunk_at = now;
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Notes that the instance took `took` to run a statement, and whether the window was full.
+    /// Records that the instance answered a statement after `took`, and whether the window was full
+    /// then.
     pub fn record_success(&mut self, now: id::Time, took: time::Duration, full: bool) {
         self.average = (self.average * (SMOOTHING_WEIGHT - 1) + took) / SMOOTHING_WEIGHT;
         if self.average > SLOW_EXCHANGE {
--- a/desk/tests/queue.rs
+++ b/desk/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting requests go.
+//! The order in which waiting requests are woken.
 
 use std::cell;
 use std::rc;
@@ -11,11 +11,11 @@
 use mangotray_desk::wait;
 
 const LONG: time::Duration = time::Duration::from_secs(5);
-/// Well beyond the time after which a queue stands.
+/// Well beyond the wait after which a queue counts as standing.
 const STANDING_QUEUE_AGE: time::Duration = time::Duration::from_millis(200);
 
-/// Queues requests with a priority and the time in which each is due, lets them wait, and
-/// tells the order in which they are woken.
+/// Queues requests, each with a priority and the milliseconds until it is due, lets them wait, and
+/// returns the order in which they are woken.
 fn wake_order(requests: &[(u8, u64)], waited: time::Duration) -> Vec<usize> {
     let executor = async_executor::LocalExecutor::new();
     let queue = rc::Rc::new(queue::Queue::default());
@@ -60,11 +60,9 @@
     assert_eq!(wake_order(&requests, time::Duration::ZERO), [2, 1, 0]);
 }
 
-/// Symptom: after all nodes were restarted, nearly every answer of the next two seconds is
-/// late, though the instances work at full speed.
-/// Events: the requests of the dark seconds come all at once; those that come afterwards
-/// queue behind them, and are as late.
-/// Cause: a standing queue was served in the order of arrival.
+/// Guards against late answers for two seconds after all nodes were restarted, though the instances
+/// work at full speed. The requests of the outage arrive all at once, and later ones queue behind
+/// them. A standing queue was served in order of arrival, which made the later ones as late.
 #[test]
 fn in_a_standing_queue_the_newest_go_first() {
     let requests = [(2, 250), (2, 250), (1, 900), (2, 250), (2, 500)];
--- a/desk/tests/relay.rs
+++ b/desk/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Connections that a node lends to others.
+//! Relayed connections.
 
 mod stage;
 
@@ -14,20 +14,18 @@
 const SHORT: time::Duration = time::Duration::from_millis(40);
 const LONG: time::Duration = time::Duration::from_secs(5);
 
-/// Symptom: an overloaded primary runs reads whose callers were refused long before, and
-/// serves a third of what it could.
-/// Events: a relayed statement waits for its turn at the lending node; its sender gives up
-/// and asks elsewhere; the turn comes.
-/// Cause: the lending node knew nothing of the sender's limit and kept the statement for
-/// thirty seconds.
+/// Guards against an overloaded primary that runs reads whose callers were refused long before, and
+/// serves a third of its capacity. A relayed statement waited for a permit at the relaying node
+/// while its sender gave up and asked another node. The relaying node did not know the sender's
+/// deadline and kept the statement for thirty seconds.
 #[test]
-fn a_statement_that_nobody_awaits_any_more_is_not_run() {
+fn a_statement_whose_sender_has_given_up_is_not_run() {
     let stage = stage::Stage::new();
     let pool = stage.pool(3, 1);
     stage.run(async {
         let mut first = relay::Session::new(rc::Rc::clone(&pool), organisation::OWN);
         let mut second = relay::Session::new(pool, organisation::OWN);
-        first.open().await.expect("an instance in reach");
+        first.open().await.expect("a reachable instance");
         stage.world.borrow_mut().stalled = true;
         let busy = stage.executor.spawn(async move {
             let urgency = urgency::Urgency::immediate(boot::now() + LONG);
@@ -52,18 +50,17 @@
     });
 }
 
-/// Symptom: a node refuses all statements for an instance for half a minute, while the
-/// instance answers everybody else.
-/// Events: some answers are lost on their way; each statement keeps its turn at the
-/// lending node, which lets an instance work on a few at once.
-/// Cause: the lending node waited for an answer long after the sender had given up.
+/// Guards against a node that refuses all statements for an instance for half a minute while the
+/// instance answers other nodes. Some answers were lost in transit, and each of these statements
+/// kept its permit at the relaying node, which runs only a few statements on an instance at once:
+/// it waited for the answers long after the sender had given up.
 #[test]
-fn a_lost_answer_does_not_keep_its_turn() {
+fn a_lost_answer_does_not_keep_its_permit() {
     let stage = stage::Stage::new();
     let pool = stage.pool(3, 1);
     stage.run(async {
         let mut session = relay::Session::new(pool, organisation::OWN);
-        session.open().await.expect("an instance in reach");
+        session.open().await.expect("a reachable instance");
         stage.world.borrow_mut().stalled = true;
         let urgency = urgency::Urgency::immediate(boot::now() + SHORT);
         let run = wait::within(
@@ -76,10 +73,9 @@
     });
 }
 
-/// Symptom: a promise that nothing ran is given for a batch of which a part has run.
-/// Events: of two commands in one message the first is done; then the instance ends, and
-/// no connection is left for the second.
-/// Cause: only the last command's failure was reported.
+/// Guards against a batch that is reported as not run although a part of it has run. The first of
+/// two commands in one message succeeded; then the instance exited, and no connection was left for
+/// the second one. Only the second command's failure was reported.
 #[test]
 fn a_batch_that_has_begun_is_not_reported_as_unsent() {
     let stage = stage::Stage::new();
@@ -88,7 +84,7 @@
         let mut session = relay::Session::new(pool, organisation::OWN);
         let until = boot::now() + SHORT;
         let batch = [stage::read("one"), stage::read("two")].concat();
-        session.open().await.expect("an instance in reach");
+        session.open().await.expect("a reachable instance");
         stage.world.borrow_mut().die_after = Some(1);
         let result = session
             .run(
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -1,4 +1,4 @@
-//! Connections through another node: at work, or dead.
+//! Connections through another node that is busy or dead.
 
 mod stage;
 
@@ -21,13 +21,13 @@
 use mangotray_desk::urgency;
 use mangotray_desk::wait;
 
-/// Far above what anything takes that is not dead.
-const LIMIT: time::Duration = time::Duration::from_secs(20);
+/// Test timeout, far above any wait for a connection that is alive.
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Time for which nobody waits.
-const ENDLESS: time::Duration = time::Duration::from_mins(10);
+/// Deadline of statements, too long to be reached in a test.
+const LONG_DEADLINE: time::Duration = time::Duration::from_mins(10);
 
-/// Longer than it takes until a lending node tells that it is at work.
+/// Longer than a relaying node takes to send the first heartbeat.
 const SEVERAL_HEARTBEATS: time::Duration = time::Duration::from_millis(300);
 
 fn listener() -> (async_net::TcpListener, net::SocketAddr) {
@@ -51,8 +51,8 @@
     }
 }
 
-/// A node that lends connections to the primary on stage.
-async fn relay_server(stage: &stage::Stage) -> net::SocketAddr {
+/// Starts a node that relays to the primary of the stage, and returns its address.
+async fn start_relay(stage: &stage::Stage) -> net::SocketAddr {
     let (listener, address) = listener();
     drop(listener);
     let pool = stage.pool(3, 3);
@@ -69,7 +69,7 @@
     address
 }
 
-/// Reaches instances through the node at an address only.
+/// Dials instances only through the node at an address.
 struct ThroughNode(net::SocketAddr);
 
 impl upstream::Dialer for ThroughNode {
@@ -89,19 +89,20 @@
     }
 }
 
-/// Guards against a busy lending node that is taken for dead.
+/// Guards against a busy relaying node that is taken for dead, by checking that it sends heartbeats
+/// while a statement runs.
 #[test]
-fn a_lending_node_tells_that_it_is_at_work() {
+fn a_relaying_node_sends_heartbeats_while_a_statement_runs() {
     let stage = stage::Stage::new();
     stage.run(async {
-        let address = relay_server(&stage).await;
+        let address = start_relay(&stage).await;
         let dialled = remote::dial(address, &target(&stage), None).await;
         let (mut link, _) = dialled.expect("a node").expect("a connection");
         let pulse = link.pulse().expect("a pulse");
         stage.world.borrow_mut().stalled = true;
         let sent = boot::now();
         let run = stage.executor.spawn(async move {
-            let urgency = urgency::Urgency::immediate(boot::now() + ENDLESS);
+            let urgency = urgency::Urgency::immediate(boot::now() + LONG_DEADLINE);
             link.run(&stage::read("one"), urgency, &organisation::OWN)
                 .await
         });
@@ -111,7 +112,8 @@
     });
 }
 
-/// Guards against a read that waits for half of its time on a connection that has gone dead.
+/// Guards against a read that waits for half of its timeout on a connection that is dead: the other
+/// node accepts the connection and then neither answers nor sends heartbeats.
 #[test]
 fn a_read_on_a_dead_connection_is_given_up_soon() {
     let stage = stage::Stage::new();
@@ -135,18 +137,20 @@
         size::Size::shared(),
     ));
     stage.run(async {
-        let urgency = urgency::Urgency::immediate(boot::now() + ENDLESS);
+        let urgency = urgency::Urgency::immediate(boot::now() + LONG_DEADLINE);
         let (values, own) = (connection::Values::new(), organisation::OWN);
-        let loan = pool.lend(urgency, &own, &values, boot::now() + LIMIT);
+        let loan = pool.lend(urgency, &own, &values, boot::now() + TEST_TIMEOUT);
         let mut checkout = loan.await.expect("a connection");
         let read = stage::read("one");
-        let run = checkout.run_unless_silent(&read, boot::now() + ENDLESS);
-        let failure = wait::within(LIMIT, run).await.expect("given up in time");
+        let run = checkout.run_unless_silent(&read, boot::now() + LONG_DEADLINE);
+        let failure = wait::within(TEST_TIMEOUT, run)
+            .await
+            .expect("given up in time");
         assert!(failure.expect_err("nobody answers").sent);
     });
 }
 
-/// What nodes of an earlier version send: nothing behind the commands.
+/// Request of nodes of an earlier version, without the trailing byte that asks for heartbeats.
 #[derive(serde::Serialize)]
 struct Work {
     urgency: urgency::Urgency,
@@ -154,26 +158,30 @@
     commands: Vec<upstream::Command>,
 }
 
-/// Guards against nodes of an earlier version that take a heartbeat for a broken answer while the fleet is
-/// brought up to date.
+/// Guards against heartbeats to nodes of an earlier version, which take them for malformed answers
+/// during a rolling upgrade.
 #[test]
 fn a_node_that_does_not_know_heartbeats_gets_none() {
     let stage = stage::Stage::new();
     stage.run(async {
-        let address = relay_server(&stage).await;
-        let mut stream = async_net::TcpStream::connect(address).await.expect("a way");
+        let address = start_relay(&stage).await;
+        let mut stream = async_net::TcpStream::connect(address)
+            .await
+            .expect("a connection to the node");
         message::send(&mut stream, &target(&stage))
             .await
-            .expect("a way");
+            .expect("a connection to the node");
         let opened: relay::Opened = message::receive(&mut stream).await.expect("an answer");
         opened.expect("a connection");
         stage.world.borrow_mut().stalled = true;
         let work = Work {
-            urgency: urgency::Urgency::immediate(boot::now() + ENDLESS).to_remaining(),
+            urgency: urgency::Urgency::immediate(boot::now() + LONG_DEADLINE).to_remaining(),
             organisation: organisation::OWN,
             commands: stage::read("one"),
         };
-        message::send(&mut stream, &work).await.expect("a way");
+        message::send(&mut stream, &work)
+            .await
+            .expect("a connection to the node");
         wait::sleep(SEVERAL_HEARTBEATS).await;
         stage.world.borrow_mut().stalled = false;
         let answer: relay::Answer = message::receive(&mut stream).await.expect("an answer");
