--- a/desk/src/backoff.rs
+++ b/desk/src/backoff.rs
@@ -1,9 +1,10 @@
-//! When a promotion for a primary that lives is tried again.
+//! Backoff between promotions that replace a live primary.
 //!
-//! The load that this answers: a primary loses its replicas, and some of them cannot reach each other
-//! either. Whoever takes over is as alone as it was: without a pause the two would change places every
-//! second, each time without what the other has acknowledged. And a replica that answers looks, but no
-//! hold, has the others held in vain, while the primary has nothing confirmed.
+//! When a primary loses its replicas and some of them can't reach each other either, the new
+//! primary is as isolated as the old one. Without a delay the two would change places every second,
+//! each time without what the other has acknowledged. Likewise, if a replica answers probes but
+//! can't be held, the other replicas are held in vain, and meanwhile the primary gets no commit
+//! confirmed.
 
 use std::time;
 
@@ -12,24 +13,25 @@
 use crate::detector;
 use crate::upstream;
 
-/// First pause after a promotion that was given up; doubled with each further one.
+/// First delay after a promotion was given up; doubled with each further one.
 const GIVEN_UP_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// Longest such pause: a primary that announced its end works for seven seconds, of which up to three
-/// pass before the first try.
+/// Longest such delay. A primary that announced its end works for seven seconds, of which up to
+/// three pass before the first attempt.
 const MAX_GIVEN_UP_DELAY: time::Duration = time::Duration::from_millis(1500);
 
-/// First pause after a change of places for a stall, before one of the two may change places for a stall
-/// again; doubled with each further one. Longer than a replica needs to follow a new primary.
+/// First delay after primary and replica changed places because of a stall, before one of the two
+/// may do so again for a stall; doubled with each further one. It is longer than a replica needs to
+/// follow a new primary.
 const STALLED_DELAY: time::Duration = time::Duration::from_secs(4);
 
-/// Longest such pause.
+/// Longest such delay.
 const MAX_STALLED_DELAY: time::Duration = time::Duration::from_secs(32);
 
-/// What comes this long after the last of its kind has another cause.
+/// An event this long after the last of its kind starts a new streak, as it has another cause.
 const STREAK_TIMEOUT: time::Duration = time::Duration::from_mins(1);
 
-/// What came of the promotions of one group for primaries that live.
+/// Backoff state of one group.
 ///
 /// ```
 /// use mangotray_desk::{backoff, detector::Cause};
@@ -46,11 +48,11 @@
 pub struct Backoff {
     given_up: Option<Streak>,
     stalled: Option<Streak>,
-    /// The instances that have changed places for a stall.
+    /// The instances that changed places because of a stall.
     stalled_instances: Vec<upstream::Id>,
 }
 
-/// How often in succession, and when last.
+/// Number of events in a row, and the time of the last one.
 #[derive(Clone, Copy, Debug)]
 struct Streak {
     count: u32,
@@ -59,8 +61,8 @@
 
 impl Streak {
     fn extend(streak: Option<Self>, now: id::Time) -> Self {
-        let before = streak.filter(|streak| now < streak.last + STREAK_TIMEOUT);
-        let count = before.map_or(0, |streak| streak.count) + 1;
+        let current = streak.filter(|streak| now < streak.last + STREAK_TIMEOUT);
+        let count = current.map_or(0, |streak| streak.count) + 1;
         Self { count, last: now }
     }
 
@@ -71,7 +73,7 @@
 }
 
 impl Backoff {
-    /// Whether a promotion for this cause that replaces `primary` may be tried now.
+    /// Whether a promotion for this cause that replaces `primary` may be attempted now.
     #[must_use]
     pub fn permits(&self, primary: &upstream::Id, cause: detector::Cause, now: id::Time) -> bool {
         if !cause.can_wait() {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Notes that `new` leads in place of `old`.
+    /// Notes that `new` was promoted in place of `old`.
     pub fn changed(
         &mut self,
         old: &upstream::Id,
--- a/desk/src/election.rs
+++ b/desk/src/election.rs
@@ -1,8 +1,8 @@
-//! The promoter's seat: one node of the fleet at a time replaces primaries.
+//! Election of the promoter, the one node at a time that replaces primaries.
 //!
-//! The seat is a key in the platform's store under a lease, beside a second one that names the
-//! holder. The era of the store and the seat's revision order the holders; the number made of
-//! both goes along with each promotion.
+//! The promoter holds a lease on a key in the platform's store, and on a second key that names the
+//! holder. The store's era and the revision of the election key together form the fencing token of
+//! each holder, which goes with every promotion.
 
 use std::cell;
 use std::rc;
@@ -21,94 +21,100 @@
 use crate::uncertainty;
 use crate::wait;
 
-/// Key of the seat.
+/// Election key in the store.
 pub const KEY: &str = "mangotray/promoter";
 
-/// The seat and all recorded promotions begin so: one list tells a new holder of both.
+/// Common prefix of the election key and all recorded promotions: a new holder reads both with one
+/// list call.
 const SHARED_PREFIX: &str = "mangotray/promot";
 
-/// Key that tells which era has lasted for so long that no order of an earlier one can take effect: a
-/// holder that has just started need not wait to find out. The list of the seat and the promotions has it too.
+/// Key of the latest era that has lasted long enough that no order of an earlier era can still take
+/// effect. It spares a holder that has just started the wait to find out. It is listed together
+/// with the election key and the promotions.
 pub const SETTLED_ERA_KEY: &str = "mangotray/promotion-era";
 
-/// Lease of the seat, where the store grants leases as short. A killed holder is succeeded after this time at most; a store that
-/// is slow for a moment does not cost a calm holder the seat.
+/// Lease duration; longer where the store grants no lease as short. It bounds the time until a
+/// killed holder is succeeded. A brief slowdown of the store doesn't cost a healthy holder its
+/// lease.
 pub const LEASE_TTL: time::Duration = time::Duration::from_secs(2);
 
-/// Pause between renewals: three may fail before the lease ends. Each is priced at a tenth
-/// of a call.
+/// Pause between renewals, so that three may fail before the lease ends. A renewal is priced at a
+/// tenth of a call.
 const RENEW_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// A node that was told of no change for this long looks at the seat itself, in case the
-/// news was lost; rarely, as each look of each node is a priced call.
+/// A node that has heard of no change for this long reads the election key itself, in case a
+/// notification was lost. Each read by each node is a priced call.
 const RECHECK_INTERVAL: time::Duration = time::Duration::from_mins(1);
 
-/// Nodes that see the seat empty wait up to this long, for each [`CLAIM_WINDOW_NODES`] of them, so that not all of them
-/// claim it: most hear of the first one's claim before their turn.
+/// Window in which nodes claim a vacant lease at random, for each [`CLAIM_WINDOW_NODES`] of them:
+/// most hear of the first claim before their own turn.
 const CLAIM_WINDOW: time::Duration = time::Duration::from_millis(300);
 
-/// Nodes among which the first claims soon although each waits for up to [`CLAIM_WINDOW`].
+/// Number of nodes among which the first claim comes soon although each waits for up to
+/// [`CLAIM_WINDOW`].
 const CLAIM_WINDOW_NODES: u32 = 8;
 
-/// A node that started less than this ago lets the others claim the seat first, and so long:
-/// its list of instances may not be whole, and until it is it promotes nobody. After an outage
-/// of the store it would find the seat first, and leave groups without a primary for seconds.
+/// A node that started less than [`STARTUP_PERIOD`] ago delays its claim by [`CLAIM_DELAY`] in
+/// favour of the others: it promotes nothing until its list of instances is complete. After an
+/// outage of the store it would otherwise often claim first and leave groups without a primary for
+/// seconds.
 const STARTUP_PERIOD: time::Duration = time::Duration::from_secs(3);
 const CLAIM_DELAY: time::Duration = time::Duration::from_millis(1200);
 
 /// Pause after the store failed to answer.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
-/// A new holder waits this long. A predecessor that confirmed its seat just before losing
-/// it sends its last order within [`CONFIRMATION_LIFETIME`].
+/// Time that a new holder waits before its first order. A predecessor that confirmed its lease just
+/// before losing it sends its last order within [`CONFIRMATION_LIFETIME`].
 const TAKEOVER_DELAY: time::Duration = time::Duration::from_millis(400);
 
-/// An order must leave this soon after the store confirmed the seat.
+/// An order must be sent within this time after the store confirmed the lease.
 pub const CONFIRMATION_LIFETIME: time::Duration = time::Duration::from_millis(200);
 
-/// A held seat.
+/// A lease on the promoter role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The holder's number.
+    /// Fencing token of the holder.
     pub fence: promote::Fence,
-    /// The lease surely lasts until then.
+    /// The lease is certain to last until then.
     pub until: id::Time,
-    /// No order before this.
+    /// No order may be sent before this time.
     pub not_before: id::Time,
     id: store::Lease,
-    /// Era of the store in which the seat was taken.
+    /// Era of the store in which the lease was obtained.
     era: store::Era,
-    /// Key that exists as long as this node holds the seat. A revision alone does not name a holder:
-    /// a store that comes back from an older copy gives it out again.
+    /// Key that exists as long as this node holds the lease. A revision alone doesn't identify a
+    /// holder, since a store that is reset to an older copy reuses it.
     holder_key: CompactString,
-    /// Revisions of the seat and of that key.
+    /// Revisions of the election key and of `holder_key`.
     versions: [store::Version; 2],
 }
 
-/// This node's part in holding the seat.
+/// This node's participation in the election.
 pub struct Election {
     store: rc::Rc<dyn store::Store>,
-    /// Unlike the VM's name it differs after a restart: what a former process of this VM
-    /// still has under way is not this one's.
+    /// Value that this process writes under its keys. It differs after a restart, unlike the VM's
+    /// name, so that pending calls of a former process on this VM aren't taken for its own.
     token: CompactString,
     lease: time::Duration,
     held: cell::RefCell<Option<Lease>>,
-    vacated: event_listener::Event,
+    became_vacant: event_listener::Event,
     store_reachable: event_listener::Event,
-    occupied: cell::Cell<bool>,
+    is_held_by_any: cell::Cell<bool>,
     stopping: cell::Cell<bool>,
     created_at: id::Time,
     records: records::Records,
-    /// Promotions that this process has recorded.
+    /// Number of promotions recorded by this process.
     record_count: cell::Cell<u64>,
     uncertainty: cell::Cell<uncertainty::Uncertainty>,
-    /// The era that the store's entry [`SETTLED_ERA_KEY`] is known to tell.
+    /// The era that the store's entry [`SETTLED_ERA_KEY`] is known to hold.
     settled_era: cell::Cell<store::Era>,
     members: cell::Cell<usize>,
 }
 
 impl Election {
-    /// A seat that is not held, of a store whose shortest lease is `least`.
+    /// Joins the election without holding the lease; `least` is the shortest lease that the store
+    /// grants.
     #[must_use]
     pub fn new(
         store: rc::Rc<dyn store::Store>,
@@ -120,9 +126,9 @@
             token: format_compact!("{vm} {:016x}", fastrand::u64(..)),
             lease: LEASE_TTL.max(least),
             held: cell::RefCell::default(),
-            vacated: event_listener::Event::new(),
+            became_vacant: event_listener::Event::new(),
             store_reachable: event_listener::Event::new(),
-            occupied: cell::Cell::new(true),
+            is_held_by_any: cell::Cell::new(true),
             stopping: cell::Cell::default(),
             created_at: boot::now(),
             records: records::Records::default(),
@@ -133,7 +139,7 @@
         })
     }
 
-    /// The seat, if this node surely holds it now and may act.
+    /// The lease, if this node is certain to hold it now and may send orders.
     #[must_use]
     pub fn held(&self) -> Option<Lease> {
         let now = boot::now();
@@ -141,13 +147,13 @@
         held.filter(|held| held.not_before <= now && now < held.until && self.is_valid(held))
     }
 
-    // A seat that was taken before the store came back from an older copy is void: others may have
-    // held it in the seconds that are gone, with higher numbers, or have taken it since.
+    // A lease from before a reset of the store is void: others may have held the role in the lost
+    // seconds, with higher fencing tokens, or may have obtained it since.
     fn is_valid(&self, held: &Lease) -> bool {
         held.era == self.store.era()
     }
 
-    // What is doubted in the present era.
+    // The uncertainty about lost orders in the present era.
     fn uncertainty(&self) -> uncertainty::Uncertainty {
         let uncertainty = self
             .uncertainty
@@ -157,7 +163,7 @@
         uncertainty
     }
 
-    /// Whether an order may yet take effect whose record the store has lost.
+    /// Whether an order may still take effect whose record the store has lost.
     #[must_use]
     pub fn may_have_lost_order(&self) -> bool {
         self.uncertainty().is_open(boot::now())
@@ -169,24 +175,25 @@
         self.store.era()
     }
 
-    /// Asks the store whether this node still holds the seat.
+    /// Asks the store whether this node still holds the lease.
     ///
-    /// A lease that is ended from outside, or a pause of this VM, can make somebody else
-    /// the holder while this node still believes in its lease; two promoters that take
-    /// turns would each promote an instance. Orders go out only right after a confirmation.
+    /// If the lease is revoked from outside or this VM is paused, another node can become the
+    /// holder while this node still relies on its lease. Two promoters would then each promote an
+    /// instance, so orders are sent only right after a confirmation.
     pub async fn confirm(&self) -> Option<Lease> {
         let held = self.held()?;
         let started = boot::now();
         let entry = self.store.get(KEY).await.ok().flatten()?;
         let mine = entry.version == held.versions[0] && entry.value == self.token.as_bytes();
-        let soon = boot::now() < started + CONFIRMATION_LIFETIME;
-        (mine && soon && self.is_valid(&held)).then_some(held)
+        let in_time = boot::now() < started + CONFIRMATION_LIFETIME;
+        (mine && in_time && self.is_valid(&held)).then_some(held)
     }
 
-    /// Records a promotion and confirms with the same call that this node still holds the seat.
+    /// Records a promotion and confirms with the same call that this node still holds the lease.
     ///
-    /// What a former holder has recorded is known to every later one: its record needs the seat
-    /// as it was then, and a holder reads them after it has taken the seat.
+    /// Every later holder knows what a former holder has recorded: a record is written only while
+    /// the writer's lease is in force, and a holder reads the records after it has obtained the
+    /// lease.
     pub async fn record(&self, intent: &intent::Intent) -> Option<Lease> {
         let held = self.held()?;
         let started = boot::now();
@@ -205,8 +212,8 @@
             return None;
         }
         self.records.note(intent);
-        let soon = boot::now() < started + CONFIRMATION_LIFETIME;
-        (soon && self.is_valid(&held)).then_some(held)
+        let in_time = boot::now() < started + CONFIRMATION_LIFETIME;
+        (in_time && self.is_valid(&held)).then_some(held)
     }
 
     async fn write(
@@ -215,11 +222,11 @@
         intent: &intent::Intent,
     ) -> Result<store::Swap, store::Failure> {
         let value = encode(intent)
-            .ok_or_else(|| store::Failure::NotRun("not to be written as text".into()))?;
+            .ok_or_else(|| store::Failure::NotRun("the record cannot be encoded".into()))?;
         self.put(held, &intent.key(), value).await
     }
 
-    // Stores a value if this node still holds the seat.
+    // Stores a value if this node still holds the lease.
     async fn put(
         &self,
         held: &Lease,
@@ -244,14 +251,14 @@
         self.records.last(group)
     }
 
-    /// Forgets a recorded promotion that surely never takes effect. The record stays in the
-    /// store, so that this costs no call; a later holder comes to the same conclusion.
+    /// Discards a recorded promotion that can never take effect. The record stays in the store,
+    /// which saves a call; a later holder comes to the same conclusion.
     pub fn retract(&self, group: &id::Group) {
         self.records.retract(group);
     }
 
-    /// Writes records again that the store has lost, unless another node has done so within a
-    /// moment of this node's own.
+    /// Writes lost records to the store again after a random delay, unless another node has done so
+    /// first.
     pub async fn write_lost_records(&self) {
         wait::sleep(era::REWRITE_JITTER.mul_f64(fastrand::f64())).await;
         for (intent, version) in self.records.lost() {
@@ -263,37 +270,38 @@
         }
     }
 
-    /// Notes that the seat may be empty, as its key was removed or the store is back.
+    /// Notes that the lease may be vacant, as the key was removed or the store is reachable again.
     pub fn note_vacant(&self) {
-        self.occupied.set(false);
-        self.vacated.notify(usize::MAX);
+        self.is_held_by_any.set(false);
+        self.became_vacant.notify(usize::MAX);
     }
 
-    /// Notes that the store is back, so that a lease is renewed at once.
+    /// Notes that the store is reachable again, so that the lease is renewed at once.
     pub fn note_store_reachable(&self) {
         self.store_reachable.notify(usize::MAX);
     }
 
-    /// Whether this node had the seat when it last heard of it, be the lease sure or not.
+    /// Whether this node held the lease when it last heard of it, even if the lease may have ended
+    /// since.
     ///
-    /// Such a node goes on watching the primaries while the store is away: it need not
-    /// begin anew to wonder whether one is lost when it may act again.
+    /// Such a node goes on checking the primaries while the store is unavailable, so that failure
+    /// detection doesn't start over when it may act again.
     #[must_use]
     pub fn is_last_known_holder(&self) -> bool {
         self.held.borrow().is_some()
     }
 
-    /// Notes how many nodes there are.
+    /// Sets the number of nodes.
     pub fn note_members(&self, members: usize) {
         self.members.set(members);
     }
 
-    /// Notes that somebody holds the seat.
+    /// Notes that some node holds the lease.
     pub fn note_held(&self) {
-        self.occupied.set(true);
+        self.is_held_by_any.set(true);
     }
 
-    /// Tries to take the seat and keeps it, for ever.
+    /// Obtains the lease when it is vacant and renews it, until this node resigns.
     pub async fn run(self: rc::Rc<Self>) {
         while !self.stopping.get() {
             let held = self.held.borrow().clone();
@@ -304,13 +312,13 @@
         }
     }
 
-    /// Gives the seat up, so that a successor need not wait for the lease to end.
+    /// Gives the lease up, so that a successor need not wait until it expires.
     pub async fn resign(&self) {
         self.stopping.set(true);
         let held = self.held.take();
         if let Some(held) = held {
             let left = self.store.revoke(&held.id).await;
-            tracing::info!(fence = held.fence, ?left, "promoter's seat left");
+            tracing::info!(fence = held.fence, ?left, "promoter's lease resigned");
         }
     }
 
@@ -332,7 +340,7 @@
             Ok(false) => {
                 tracing::warn!(
                     fence = held.fence,
-                    "promoter's seat lost: the lease has ended"
+                    "promoter's lease lost: it has expired or was revoked"
                 );
                 self.held.replace(None);
             }
@@ -342,7 +350,7 @@
         }
     }
 
-    // Tells later holders that no order of an earlier era can take effect any more: once an era.
+    // Publishes, once an era, that no order of an earlier era can still take effect.
     async fn publish_settled_era(&self, held: &Lease) {
         let uncertainty = self.uncertainty();
         if !uncertainty.has_settled(boot::now()) || self.settled_era.get() == uncertainty.era() {
@@ -356,12 +364,12 @@
         tracing::info!(
             era = uncertainty.era(),
             ?written,
-            "told that the store's last return is long past"
+            "published that no order of an earlier era can take effect"
         );
     }
 
-    // The store came back from an older copy while this node held the seat. It is not taken for
-    // empty: the copy may hold it under what is left of a lease.
+    // Handles a reset of the store while this node held the lease. The lease isn't taken for
+    // vacant: the copy may still hold the key for the rest of an old lease.
     fn void_after_reset(&self, held: &Lease, now: id::Time) {
         let uncertainty = self.uncertainty();
         if now < held.until {
@@ -371,35 +379,38 @@
         tracing::warn!(
             fence = held.fence,
             era = uncertainty.era(),
-            "promoter's seat void: the store has come back from an older copy"
+            "promoter's lease void: the store was reset to an older copy"
         );
     }
 
     async fn claim(&self) {
-        let vacated = self.vacated.listen();
-        if self.occupied.get() {
-            if wait::within(RECHECK_INTERVAL, vacated).await.is_none() {
-                self.occupied.set(false);
+        let became_vacant = self.became_vacant.listen();
+        if self.is_held_by_any.get() {
+            if wait::within(RECHECK_INTERVAL, became_vacant)
+                .await
+                .is_none()
+            {
+                self.is_held_by_any.set(false);
             }
             return;
         }
-        // How many nodes there are is known only after a while, where all have just started.
+        // The number of nodes is known only after this delay if all have just started.
         wait::sleep(self.claim_delay()).await;
         let window = claim_window(self.members.get());
         wait::sleep(window.mul_f64(fastrand::f64())).await;
-        if self.occupied.get() || self.stopping.get() {
+        if self.is_held_by_any.get() || self.stopping.get() {
             return;
         }
-        let found = match self.store.get(KEY).await {
+        let result = match self.store.get(KEY).await {
             Ok(Some(_)) => {
-                self.occupied.set(true);
+                self.is_held_by_any.set(true);
                 return;
             }
-            Ok(None) => self.take().await,
+            Ok(None) => self.obtain().await,
             Err(failure) => Err(failure),
         };
-        if let Err(failure) = found {
-            tracing::info!(?failure, "promoter's seat not taken");
+        if let Err(failure) = result {
+            tracing::info!(?failure, "promoter's lease not obtained");
             wait::sleep(RETRY_DELAY).await;
         }
     }
@@ -412,7 +423,7 @@
                 self.settled_era.set(era);
                 self.uncertainty.set(self.uncertainty().settled(era));
             }
-            Err(error) => tracing::error!(key = SETTLED_ERA_KEY, %error, "entry not understood"),
+            Err(error) => tracing::error!(key = SETTLED_ERA_KEY, %error, "cannot parse the entry"),
         }
     }
 
@@ -429,12 +440,13 @@
         }
     }
 
-    async fn take(&self) -> Result<(), store::Failure> {
+    async fn obtain(&self) -> Result<(), store::Failure> {
         let started = boot::now();
         let era = self.store.era();
         let lease = self.store.grant(self.lease).await?;
         let value = bytes::Bytes::copy_from_slice(self.token.as_bytes());
-        // Whatever the answer says, or if none comes: the entries tell who holds the seat.
+        // The create call may have succeeded even if its answer is an error or was lost, so the
+        // entries decide who holds the lease.
         let holder_key = format_compact!("{KEY}/{:016x}", fastrand::u64(..));
         let keys = [KEY, holder_key.as_str()];
         let created = self.store.create(&keys, value, &lease).await;
@@ -443,12 +455,12 @@
             let entry = shared.iter().find(|entry| entry.key == key);
             entry.filter(|entry| entry.value == self.token.as_bytes())
         };
-        let (Some(entry), Some(own)) = (mine(KEY), mine(&holder_key)) else {
-            self.occupied.set(created.is_ok());
+        let (Some(entry), Some(holder)) = (mine(KEY), mine(&holder_key)) else {
+            self.is_held_by_any.set(created.is_ok());
             return created.map(|_| ());
         };
         if self.store.era() != era {
-            return Err(store::Failure::Unknown("the store came back".into()));
+            return Err(store::Failure::Unknown("the store was reset".into()));
         }
         let held = Lease {
             fence: era::fence(era, entry.version),
@@ -457,14 +469,14 @@
             id: lease,
             era,
             holder_key,
-            versions: [entry.version, own.version],
+            versions: [entry.version, holder.version],
         };
-        let found = shared
+        let recorded = shared
             .iter()
             .filter(|entry| entry.key.starts_with(intent::PREFIX));
-        self.records.reload(found);
+        self.records.reload(recorded);
         self.read_settled_era(&shared);
-        tracing::info!(fence = held.fence, era, "promoter's seat taken");
+        tracing::info!(fence = held.fence, era, "promoter's lease obtained");
         for (intent, _) in self.records.lost() {
             let written = self.write(&held, &intent).await;
             log_rewritten(&intent, &written);
@@ -474,11 +486,12 @@
     }
 }
 
-/// The time within which so many nodes claim an empty seat.
+/// Window in which this many nodes claim a vacant lease.
 ///
-/// The load that this answers: a hundred nodes start together and see the seat empty. Each asks the store
-/// before it claims. Within the time that does for eight, half of a hundred would have asked before they
-/// hear of the first claim; in proportion to their number the first claims as soon, and few ask.
+/// When a hundred nodes start together, all see the lease vacant, and each asks the store before it
+/// claims. Within the window for eight nodes, half of them would ask before they hear of the first
+/// claim. A window in proportion to their number keeps the first claim as early and lets few nodes
+/// ask.
 ///
 /// ```
 /// use mangotray_desk::election;
@@ -497,12 +510,12 @@
 fn encode(intent: &intent::Intent) -> Option<bytes::Bytes> {
     let encoded = serde_json::to_vec(intent);
     let logged = encoded.inspect_err(|error| {
-        tracing::error!(group = %intent.group, %error, "promotion not to be written as text");
+        tracing::error!(group = %intent.group, %error, "cannot encode the record of a promotion");
     });
     logged.ok().map(bytes::Bytes::from)
 }
 
 fn log_rewritten(intent: &intent::Intent, written: &Result<store::Swap, store::Failure>) {
     tracing::warn!(group = %intent.group, candidate = %intent.candidate, term = intent.term, ?written,
-        "recorded promotion written again: the store had lost it");
+        "record of a promotion written again: the store had lost it");
 }
--- a/desk/src/era.rs
+++ b/desk/src/era.rs
@@ -1,9 +1,9 @@
-//! What becomes of what a node knows when the platform's store comes back from an older copy.
+//! What a node does with its data after a reset of the platform's store to an older copy.
 //!
-//! The load that this answers: the store is away for a moment and returns to what it held some
-//! seconds ago. What nodes wrote since is gone, leases too, and revisions are given out
-//! again; operators and instances write again what they wrote. A node that went on as before would
-//! take what is missing for removed, and a number that was given out twice for its own.
+//! The store is away for a moment and returns to what it held some seconds ago. Writes and leases
+//! since then are lost, and revisions are reused; operators and instances write their entries
+//! again. A node that ignored the reset would take missing entries for removed ones, and a reused
+//! revision for its own.
 
 use std::time;
 
@@ -14,18 +14,18 @@
 use crate::promote;
 use crate::sampler;
 
-/// Operators and instances have written again what the copy lacks after this long: two seconds
-/// at most, and the time that a watch takes to tell.
+/// Time after which operators and instances have written lost entries again: two seconds at most,
+/// and the time for a watch to report them.
 pub const REWRITE_GRACE: time::Duration = time::Duration::from_secs(3);
 
-/// Nodes write what the copy lacks of their own within this time, each at a moment of its own.
+/// Nodes write their own lost entries again at a random moment within this time.
 pub const REWRITE_JITTER: time::Duration = time::Duration::from_secs(1);
 
-/// Bits of a fence that the revision takes. There is room for a million changes a second through
-/// twelve days, and for eight million eras.
+/// Bits of a fencing token that hold the revision. They suffice for a million changes a second over
+/// twelve days, and leave room for eight million eras.
 const REVISION_BITS: u32 = 40;
 
-/// Something that a node has from the store.
+/// Data that a node reads from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Data {
     /// The operators' configuration.
@@ -38,24 +38,24 @@
     Enrolment,
     /// Promotions that were recorded before they were ordered.
     Promotions,
-    /// The promoter's seat.
+    /// The lease of the promoter.
     Election,
 }
 
-/// What becomes of it.
+/// What happens to a node's data after a reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetPolicy {
-    /// It stays until the store has something newer: an older version is no news.
+    /// It is kept until the store has a newer version; an older version is ignored.
     Kept,
-    /// What the copy lacks stays until its writers have had time to write it again.
+    /// Missing entries are kept until their writers have had time to write them again.
     Awaited,
-    /// What the copy lacks of it is written again.
+    /// Missing entries are written again by this node.
     Rewritten,
-    /// It is void, and has to be obtained anew.
+    /// It is void and must be obtained again.
     Dropped,
 }
 
-/// What becomes of a piece.
+/// The policy for each kind of data.
 ///
 /// ```
 /// use mangotray_desk::era;
@@ -64,18 +64,19 @@
 #[must_use]
 pub const fn reset_policy(data: Data) -> ResetPolicy {
     match data {
-        // A version never goes back, and members leave no other trace than their entry.
+        // Versions of the configuration never go back, and nothing but the entry itself tells of a
+        // member.
         Data::Configuration | Data::Members => ResetPolicy::Kept,
-        // Absence from the copy is no sign that an instance has left.
+        // An instance that is missing from the copy hasn't necessarily left.
         Data::Instances => ResetPolicy::Awaited,
         Data::Enrolment | Data::Promotions => ResetPolicy::Rewritten,
-        // Somebody else may have been the holder in the seconds that are gone, or be it now.
+        // Another node may have held the lease in the lost seconds, or may hold it now.
         Data::Election => ResetPolicy::Dropped,
     }
 }
 
-/// The number of a holder who took the seat at `revision` of an era; a later holder has a higher
-/// one, also where the store has given out the same revision again.
+/// The fencing token of a holder that obtained the lease at `revision` of an era. A later holder
+/// has a higher token, even if the store has reused the revision.
 ///
 /// ```
 /// use mangotray_desk::era;
@@ -87,23 +88,23 @@
     (era << REVISION_BITS) | revision
 }
 
-/// Whether instances' answers leave room for an order that nobody has a record of.
+/// Whether the instances' answers allow for an order whose record is lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LostOrder {
-    /// No replica is held, so that nobody can have been ordered.
+    /// No replica is held, so no promotion can have been ordered.
     None,
-    /// This instance leads a later term: what was ordered is done.
+    /// This instance leads a later term: the order has taken effect.
     Done(sampler::Lead),
-    /// A replica is held, or one that does not answer may be.
+    /// A replica is held, or may be, as it doesn't answer.
     Possible,
 }
 
-/// Judges the answers of the `expected` instances other than the primary of `term`.
+/// Evaluates the answers of the `expected` instances other than the primary of `term`.
 ///
-/// A promotion holds every replica before its order leaves, and a holder frees none while its order
-/// may take effect. A successor without the record that frees a held replica lets a replaced
-/// primary acknowledge what the new one never gets; one that orders another candidate has two
-/// instances lead in turns.
+/// A promotion holds every replica before its order is sent, and the holder of the lease releases
+/// none while the order may take effect. A successor without the record must not release a held
+/// replica, or a replaced primary acknowledges writes that the new one never gets. It must not
+/// order another candidate either, or two instances lead in turn.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -133,8 +134,8 @@
     }
 }
 
-/// How long a node that sees the seat empty waits before it claims it, so that the one that held it
-/// when the store came back, and knows what it ordered, can take it again.
+/// Whether a node that sees the lease vacant delays its claim, so that the node that held the lease
+/// at the reset, and knows its own orders, can obtain it again.
 ///
 /// ```
 /// use mangotray_desk::era;
--- a/desk/src/intent.rs
+++ b/desk/src/intent.rs
@@ -1,11 +1,11 @@
 //! Promotions that were recorded in the platform's store before they were ordered.
 //!
-//! A promoter may end between its order and the moment at which the replaced primary knows of
-//! it. Its successor finds replicas that are held, and has to know why: replicas of a promotion
-//! that was never ordered may be freed, and the old primary goes on; those of one that was
-//! ordered may not, or a primary that never heard of its replacement acknowledges writes
-//! which the new one does not get. It is written in place of the question whether the seat is still
-//! held, by the same call, so that it costs the store nothing.
+//! A promoter may fail between its order and the moment when the replaced primary learns of it. Its
+//! successor finds held replicas and needs to know why. Replicas of a promotion that was never
+//! ordered may be released, and the old primary goes on. Replicas of an ordered promotion must stay
+//! held, or a primary that never heard of its replacement acknowledges writes that the new one
+//! doesn't get. The record is written by the call that confirms the promoter's lease, so it costs
+//! no further call.
 
 use mangotray::id;
 use mangotray::role;
@@ -17,13 +17,13 @@
 use crate::sampler;
 use crate::upstream;
 
-/// Keys of records begin so; the group's name follows.
+/// Prefix of the keys of records; the group's name follows.
 pub const PREFIX: &str = "mangotray/promotion/";
 
-/// Where a record stands among those of its group, whoever wrote them; the last one counts.
+/// Order of a record among those of its group, whoever wrote them; the last one counts.
 ///
-/// The store's revisions do not tell: they go back when it comes back from an older copy, with
-/// records that are older than what was recorded since.
+/// The store's revisions can't give this order: after a reset to an older copy they go back, and
+/// its records are older than those written since.
 #[derive(
     Clone,
     Copy,
@@ -38,50 +38,50 @@
 )]
 #[serde(default)]
 pub struct Place {
-    /// The number of the holder who wrote it.
+    /// Fencing token of the holder that wrote the record.
     pub fence: promote::Fence,
-    /// The holder's records, counted.
+    /// Number of the record among those of this holder.
     pub turn: u64,
 }
 
-/// A promotion that was, or was about to be, ordered.
+/// A promotion that was ordered, or was about to be.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Intent {
     /// The group.
     pub group: id::Group,
-    /// The instance that is to lead.
+    /// The instance to be promoted.
     pub candidate: upstream::Id,
-    /// Which process of it.
+    /// The process of that instance.
     pub born: upstream::Birth,
-    /// It leads in this term, or a later one.
+    /// The lowest term in which the candidate becomes the primary.
     pub term: id::Term,
-    /// The primary that it replaces, if one was listed.
+    /// The replaced primary, if one was listed.
     pub old: Option<upstream::Id>,
-    /// Furthest record that any held replica had received: all that was acknowledged before.
+    /// Latest record received by any held replica; it covers everything acknowledged before.
     pub received: stamp::Stamp,
-    /// Where this record stands among those of the group.
+    /// Order of this record among those of the group.
     #[serde(default)]
     pub place: Place,
 }
 
-/// What became of a recorded promotion, as far as the instances' answers tell.
+/// What became of a recorded promotion, as far as the instances' answers show.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An instance leads in its term or a later one.
+    /// An instance leads in the promotion's term or a later one.
     Leads(sampler::Lead),
-    /// The candidate does not lead, and may yet: its order may take effect late.
+    /// The candidate doesn't lead yet; the order may still take effect.
     Open,
-    /// The candidate does not answer, while the replaced primary does. It may lead, and is
-    /// replaced as a primary that is silent.
+    /// The candidate doesn't answer, while the replaced primary does or is no longer listed. The
+    /// candidate may lead, and is replaced like any silent primary.
     Silent,
-    /// Neither answers: nobody can tell what was acknowledged, and by whom.
+    /// Neither answers, so it is unknown which of them acknowledged what.
     Unknown,
     /// The candidate has left the group for good.
     Void,
 }
 
 impl Intent {
-    /// Its key in the platform's store.
+    /// Key of the record in the platform's store.
     ///
     /// ```
     /// use mangotray::stamp::Stamp;
@@ -103,7 +103,7 @@
         format!("{PREFIX}{}", self.group)
     }
 
-    /// Reads a record; none where the entry is of another kind, or makes no sense.
+    /// Decodes a record; `None` if the entry is of another kind or can't be decoded.
     #[must_use]
     pub fn read(entry: &store::Entry) -> Option<Self> {
         if !entry.key.starts_with(PREFIX) {
@@ -112,19 +112,19 @@
         match serde_json::from_slice(&entry.value) {
             Ok(intent) => Some(intent),
             Err(error) => {
-                tracing::error!(key = %entry.key, %error, "recorded promotion not understood");
+                tracing::error!(key = %entry.key, %error, "cannot decode the record of a promotion");
                 None
             }
         }
     }
 
-    /// The process that is to lead.
+    /// The process to be promoted.
     #[must_use]
     pub fn life(&self) -> promotion::Process {
         (self.candidate.clone(), self.born)
     }
 
-    /// Whether this is the same promotion, be it recorded once more.
+    /// Whether this is the same promotion, possibly recorded again.
     #[must_use]
     pub fn is_same_as(&self, other: &Self) -> bool {
         let place = other.place;
@@ -134,7 +134,7 @@
         } == *other
     }
 
-    /// What became of it, by the answers of the listed instances that did answer.
+    /// Determines what became of the promotion from the answers of the listed instances.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
@@ -168,7 +168,7 @@
         if let Some(lead) = sampler::latest(looks, self.term) {
             return Outcome::Leads(lead);
         }
-        // It was a replica when it was ordered.
+        // The candidate was a replica when it was ordered.
         let own = looks.iter().find(|look| look.id == self.candidate);
         if let Some(look) = own.filter(|look| look.status.role == role::Role::Primary) {
             return Outcome::Leads(look.lead());
@@ -180,7 +180,8 @@
         if answers(&self.candidate) {
             return Outcome::Open;
         }
-        // One that is listed no more is gone, and cannot have acknowledged anything since.
+        // A replaced primary that is no longer listed has ended and can't have acknowledged
+        // anything since.
         let old = self.old.as_ref().filter(|old| listed.contains(old));
         if old.is_none_or(answers) {
             Outcome::Silent
--- a/desk/src/probe.rs
+++ b/desk/src/probe.rs
@@ -1,4 +1,4 @@
-//! What the promoter sees of one group: looks at its instances, and what they tell.
+//! Probes of one group's instances, from which the promoter decides whether to replace the primary.
 
 use std::rc;
 use std::time;
@@ -14,13 +14,13 @@
 use crate::sampler;
 use crate::upstream;
 
-/// A primary that answered a request this recently needs no look.
+/// A primary that answered a request this recently isn't probed.
 const RECENT_ANSWER: time::Duration = time::Duration::from_millis(250);
 
-/// Longest wait for one look at a primary, above the slowest answers under load.
+/// Timeout of one probe, above the slowest answers under load.
 pub const TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
-/// A group and the primary that is watched.
+/// Probes a group whose primary is monitored.
 pub struct Prober<'a> {
     group: &'a rc::Rc<group::Group>,
     lead: &'a sampler::Lead,
@@ -31,7 +31,7 @@
 }
 
 impl<'a> Prober<'a> {
-    /// A group whose primary is believed to be `lead`.
+    /// Creates a prober for a group whose assumed primary is `lead`.
     #[must_use]
     pub fn new(group: &'a rc::Rc<group::Group>, lead: &'a sampler::Lead) -> Self {
         let pools = group.roster().pools();
@@ -45,14 +45,14 @@
         }
     }
 
-    /// One round of looks for the reasons to replace a primary.
+    /// One round of probes for reasons to replace the primary.
     pub async fn round(&self, uneasy: bool) -> detector::Round {
         let started = boot::now();
         let (group, lead, others) = (self.group, self.lead, &self.others);
         let dialer = group.dialer();
         let reach = match &self.primary {
             Some(pool) => {
-                // Answers to reads show that it leads only while this node believes so.
+                // Answers to reads prove the primary only if this node routes to it as such.
                 let needs_probe = uneasy || group.lead().as_ref() != Some(lead);
                 reach(pool, dialer, needs_probe).await
             }
@@ -97,8 +97,9 @@
         look.is_some_and(|look| look.status.role == role::Role::Primary)
     }
 
-    /// Looks at all instances for the reason to let primary and replica change places, if
-    /// some replica has told of a lag that is one for reads that accept data of `age`.
+    /// Probes all instances to decide whether the primary should change places with a replica.
+    /// Returns `None` unless some replica reported a lag that is too long for reads that accept
+    /// data of `age`.
     pub async fn observe_lag(&self, age: time::Duration) -> Option<relief::View> {
         let told = |pool: &rc::Rc<pool::Pool>| relief::is_stuck(pool.lag(), age);
         if !self.others.iter().any(told) {
@@ -131,11 +132,11 @@
     }
 }
 
-/// Whom to watch where no primary was ever seen to lead.
+/// Infers the primary to monitor where none was ever seen to lead.
 ///
-/// After a loss of all nodes in the middle of a promotion, or together with a primary,
-/// nobody remembers who led. Waiting for a primary to show itself would then be waiting
-/// for ever. Where all answer and none leads, the id is empty.
+/// After all nodes fail in the middle of a promotion, or together with a primary, no node knows
+/// which instance led, and waiting for a primary to appear might never end. The id is empty if all
+/// instances answer and none leads.
 pub async fn infer_primary(group: &rc::Rc<group::Group>) -> Option<sampler::Lead> {
     let pools = group.roster().pools();
     let looks = group.look_at(&pools, TIMEOUT).await;
@@ -160,8 +161,8 @@
     })
 }
 
-// What the replicas told along with their answers to reads: free, and a little behind
-// what they have received, so that it only serves to raise a doubt.
+// Latest record reported with the replicas' answers to reads. It costs no probe and lags a little
+// behind what they have received, so it only serves to raise a suspicion.
 fn applied(pools: &[rc::Rc<pool::Pool>]) -> Option<stamp::Stamp> {
     pools.iter().map(|pool| pool.applied()).max()
 }
@@ -180,7 +181,8 @@
             detector::Reach::Answered(look.status.received)
         }
         None if pool.is_closed() => detector::Reach::Closed,
-        // One that answers, but leads no more, is as bad for callers as a silent one.
+        // An instance that answers but no longer leads serves callers' writes no better than a
+        // silent one.
         Some(_) | None => detector::Reach::Silent,
     }
 }
--- a/desk/src/promote.rs
+++ b/desk/src/promote.rs
@@ -1,4 +1,4 @@
-//! Border to the call that makes an instance the primary of its group.
+//! Client of the platform's call that makes an instance the primary of its group.
 
 use compact_str::CompactString;
 use futures_util::future;
@@ -6,34 +6,34 @@
 
 use crate::upstream;
 
-/// Number that orders the holders of the promoter's seat; a later holder has a higher one.
+/// Fencing token of a holder of the promoter's lease; a later holder has a higher one.
 pub type Fence = u64;
 
-/// One promotion.
+/// An order to promote an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The group.
     pub group: id::Group,
-    /// The instance that is to lead.
+    /// The instance to be promoted.
     pub candidate: upstream::Id,
-    /// Who orders it.
+    /// The VM that sends the order.
     pub holder: id::Vm,
-    /// The holder's number.
+    /// Fencing token of the sender.
     pub fence: Fence,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Accepted; the instance leads some hundred milliseconds later.
+    /// Accepted; the instance becomes the primary some hundred milliseconds later.
     Accepted,
     /// Not carried out, now or later.
     Refused(CompactString),
-    /// It may be carried out, also later.
+    /// It may be carried out, now or later.
     Unknown(CompactString),
 }
 
-/// Makes instances primaries.
+/// Promotes instances.
 pub trait Client {
     /// Orders a promotion.
     fn promote<'a>(&'a self, order: &'a Order) -> future::LocalBoxFuture<'a, Outcome>;
--- a/desk/src/records.rs
+++ b/desk/src/records.rs
@@ -1,4 +1,4 @@
-//! The promotions that holders of the seat have recorded, as this node knows them.
+//! The promotions recorded by holders of the promoter's lease, as this node knows them.
 
 use std::cell;
 use std::collections;
@@ -10,10 +10,11 @@
 
 /// The last recorded promotion of each group, and what the store has of them.
 ///
-/// Every node hears of each record as it is written. A store that comes back from an older copy
-/// loses the last ones, or has older ones in their place: whoever knows better writes them again,
-/// and an older one does not replace what is known. Without that a promoter that has just started
-/// would find replicas that are held, or that have lost their logs, and not know why.
+/// Every node is notified of each record as it is written. A store that is reset to an older copy
+/// loses the latest records or has older ones in their place. Every node that knows a later record
+/// writes it again, and an older record doesn't replace a known one. Otherwise a promoter that has
+/// just started would find replicas that are held, or that have lost their logs, without knowing
+/// why.
 ///
 /// ```
 /// use mangotray::stamp::Stamp;
@@ -36,15 +37,15 @@
 #[derive(Default)]
 pub struct Records {
     known: cell::RefCell<collections::BTreeMap<id::Group, intent::Intent>>,
-    /// Those that surely never take effect.
+    /// Records that can never take effect.
     retracted: cell::RefCell<collections::BTreeMap<id::Group, intent::Place>>,
-    /// What the store was last heard to have, and in which versions.
+    /// The store's records at the last notification, with their versions.
     stored: cell::RefCell<collections::BTreeMap<id::Group, (intent::Place, store::Version)>>,
 }
 
 impl Records {
-    /// Takes note of a recorded promotion, unless a later one of its group is known, or it is
-    /// known never to take effect.
+    /// Adds a recorded promotion, unless a later one of its group is known or it is known never to
+    /// take effect.
     pub fn note(&self, intent: intent::Intent) {
         let retracted = self.retracted.borrow().get(&intent.group).copied();
         let mut known = self.known.borrow_mut();
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Takes note of an entry of the store.
+    /// Adds an entry of the store.
     pub fn note_stored(&self, entry: &store::Entry) {
         let Some(intent) = intent::Intent::read(entry) else {
             return;
@@ -64,7 +65,7 @@
         self.note(intent);
     }
 
-    /// Takes note of all that the store has, which may be less than before.
+    /// Replaces what is known of the store's content, which may be less than before.
     pub fn reload<'a>(&self, entries: impl Iterator<Item = &'a store::Entry>) {
         self.stored.borrow_mut().clear();
         for entry in entries {
@@ -78,7 +79,7 @@
         self.known.borrow().get(group).cloned()
     }
 
-    /// Forgets a recorded promotion that surely never takes effect.
+    /// Discards a recorded promotion that can never take effect.
     pub fn retract(&self, group: &id::Group) {
         if let Some(intent) = self.known.borrow_mut().remove(group) {
             let mut retracted = self.retracted.borrow_mut();
@@ -86,16 +87,17 @@
         }
     }
 
-    /// Those that the store has lost, with the version of what it has in their place.
+    /// The records that the store has lost, each with the version of the store's entry in its
+    /// place.
     #[must_use]
     pub fn lost(&self) -> Vec<(intent::Intent, store::Version)> {
         let stored = self.stored.borrow();
         let known = self.known.borrow();
         let lost = known.values().filter_map(|intent| {
             let found = stored.get(&intent.group);
-            let older = found.is_none_or(|(place, _)| *place < intent.place);
+            let is_older = found.is_none_or(|(place, _)| *place < intent.place);
             let version = found.map_or(0, |(_, version)| *version);
-            older.then(|| (intent.clone(), version))
+            is_older.then(|| (intent.clone(), version))
         });
         lost.collect()
     }
--- a/desk/src/relief.rs
+++ b/desk/src/relief.rs
@@ -1,63 +1,60 @@
-//! When a primary that does all the work of its group changes places with a replica.
+//! Decides when a primary that does all the work of its group changes places with a replica.
 //!
-//! The load that this answers: replicas apply their records in order, and one record that
-//! takes seconds holds up all behind it. None of them may serve a read any more, and the
-//! primary's few slots are asked for the work of all, for as long as it takes. But the
-//! replicas go on receiving. One that takes over leads with all that it has received within
-//! some 350 ms, and the old primary, whose log is applied whole, serves fresh reads as a
-//! replica from then on: the group's usable slots double, at the price of one short gap for
-//! writes.
+//! Replicas apply their records in order, so one record that takes seconds delays all behind it.
+//! Meanwhile no replica may serve a read, and the few slots of the primary get the work of all. The
+//! replicas go on receiving, however: a promoted replica leads with everything it has received
+//! within some 350 ms, and the old primary, whose log is fully applied, serves fresh reads as a
+//! replica from then on. The group's usable slots double at the cost of one short gap for writes.
 //!
-//! A replica tells its lag as soon as it receives a record that will take long, so that the
-//! change is over before the first read is refused. Waiting for refusals and a full primary
-//! instead took two seconds longer, in which one order in two found that the primary had just
-//! taken a record which no replica had.
+//! A replica reports its lag as soon as it receives a slow record, so the change is over before the
+//! first read is refused. Waiting for refused reads and a full primary instead took two seconds
+//! longer, and then one order in two found that the primary had just taken a record which no
+//! replica had.
 
 use std::time;
 
 use mangotray::id;
 use mangotray::stamp;
 
-/// The state that justifies the change has to last this long: one answer may be a freak, and
-/// a replica that lacks a record may receive it a moment later.
+/// The condition for the change must last this long: a single answer may be an outlier, and a
+/// replica that lacks a record may receive it a moment later.
 const MIN_DURATION: time::Duration = time::Duration::from_millis(250);
 
-/// Replicas that serve again within this time make the change worthless: it takes the gap
-/// and the time to find the new primary, and has to pay for both.
+/// A change isn't worthwhile if replicas serve reads again within this time: it costs the gap for
+/// writes and the time to find the new primary.
 const MIN_BENEFIT: time::Duration = time::Duration::from_secs(1);
 
-/// Least time between two changes of one group: the second would undo the first before its
-/// worth has paid for the gap.
+/// Minimum time between two changes of one group; an earlier one would undo the first before its
+/// benefit outweighs the gap.
 const MIN_INTERVAL: time::Duration = time::Duration::from_secs(8);
 
-/// What is known of one replica now.
+/// State of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replica {
     /// Last record received.
     pub received: stamp::Stamp,
     /// Last record applied, which its reads see.
     pub applied: stamp::Stamp,
-    /// Time after which it will have applied what it has received, as it reckons.
+    /// The replica's own estimate of the time until it has applied what it has received.
     pub lag: time::Duration,
     /// It is about to leave.
     pub leaving: bool,
 }
 
-/// What is known of a group now.
+/// State of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// When the looks began.
+    /// When the probes began.
     pub now: id::Time,
-    /// What the primary had received before the replicas were looked at.
+    /// Last record that the primary had before the replicas were probed.
     pub position: stamp::Stamp,
-    /// All other instances; fewer answers than instances make no view.
+    /// All other instances; there is no view if any of them didn't answer.
     pub replicas: Vec<Replica>,
     /// Largest age of data that any route of the group accepts.
     pub age: time::Duration,
 }
 
-/// Whether a replica that reckons with this lag serves no read that accepts data of `age`,
-/// nor will soon.
+/// Whether a replica with this lag can't serve reads that accept data of `age`, now or soon.
 ///
 /// ```
 /// use mangotray_desk::relief;
@@ -72,8 +69,8 @@
 }
 
 impl View {
-    // One that has not even received what the primary had gets nothing: it serves no read
-    // until that ends, whatever its lag.
+    // A replica that lacks records of the primary is cut off from it and serves no read until that
+    // ends, whatever its lag.
     fn serves_no_reads(&self, replica: &Replica) -> bool {
         let lacks_records = replica.received < self.position;
         let stuck = replica.applied < replica.received && is_stuck(replica.lag, self.age);
@@ -85,7 +82,8 @@
         self.replicas.iter().any(is_complete)
     }
 
-    // No replica serves reads, and one that stays has all that the primary had.
+    // Whether no replica serves reads, and a replica that stays has everything that the primary
+    // had.
     fn calls_for_change(&self) -> bool {
         self.replicas
             .iter()
@@ -94,7 +92,7 @@
     }
 }
 
-/// What was seen of a group over time.
+/// Observations of a group over time.
 ///
 /// ```
 /// use mangotray::stamp::Stamp;
@@ -125,18 +123,18 @@
 }
 
 impl Relief {
-    /// Takes a view in and says whether primary and replica should change places now.
+    /// Adds an observation; returns whether primary and replica should change places now.
     pub fn observe(&mut self, view: &View) -> bool {
         if !view.calls_for_change() {
             self.since = None;
             return false;
         }
         let since = *self.since.get_or_insert(view.now);
-        let rested = self.done.is_none_or(|done| view.now >= done + MIN_INTERVAL);
-        view.now >= since + MIN_DURATION && rested
+        let is_due = self.done.is_none_or(|done| view.now >= done + MIN_INTERVAL);
+        view.now >= since + MIN_DURATION && is_due
     }
 
-    /// Whether the group may soon need a change, so that it should be looked at often.
+    /// Whether a change may be due soon, so that the group should be probed often.
     #[must_use]
     pub const fn is_near(&self) -> bool {
         self.since.is_some()
--- a/desk/src/resumes.rs
+++ b/desk/src/resumes.rs
@@ -1,25 +1,27 @@
-//! Commands of this node that end holds, and may arrive late.
+//! Commands of this node that release held replicas and may arrive late.
 
 use std::collections;
 use std::time;
 
 use mangotray::id;
 
-/// A command that got no answer arrives within this time or never: it waits for its turn for up to 300 ms, the
-/// instance drops a dead connection after three seconds, and a full queue takes 160 ms.
+/// A command without an answer arrives within this time or never: it waits for its turn for up
+/// to 300 ms, the instance drops a dead connection after three seconds, and a full queue takes 160
+/// ms.
 pub const MAX_DELIVERY_DELAY: time::Duration = time::Duration::from_secs(4);
 
-/// A command that may be on its way.
+/// A command that may still arrive.
 struct Sent {
     group: id::Group,
     at: id::Time,
 }
 
-/// Ends of holds that are on their way, and the groups of which a promotion is under way.
+/// Unanswered commands to release replicas, and the groups with a promotion under way.
 ///
-/// The end of a hold names no term, and commands on different connections arrive in any order: one that is
-/// late ends the hold of a later promotion, whose old primary may then acknowledge what its successor never
-/// gets. No order leaves while one may be on its way.
+/// The command names no term, and commands on different connections arrive in any order. A late
+/// command releases a replica held for a later promotion, whose old primary may then acknowledge
+/// writes that its successor never gets. Therefore no order is sent while such a command may still
+/// arrive.
 ///
 /// ```
 /// use mangotray_desk::resumes;
@@ -43,7 +45,7 @@
 }
 
 impl Resumes {
-    /// Notes a command to a replica of this group; its number tells it from others.
+    /// Notes a command to a replica of this group and returns its number.
     pub fn sent(&mut self, group: &id::Group, now: id::Time) -> u64 {
         self.count += 1;
         let group = group.clone();
@@ -56,7 +58,8 @@
         self.unanswered.remove(&number);
     }
 
-    /// Until when a command to a replica of this group may arrive; none where all have been answered.
+    /// Until when a command to a replica of this group may arrive; `None` if all have been
+    /// answered.
     pub fn until(&mut self, group: &id::Group, now: id::Time) -> Option<id::Time> {
         self.unanswered
             .retain(|_, sent| now < sent.at + MAX_DELIVERY_DELAY);
@@ -64,7 +67,7 @@
         sent.map(|sent| sent.at + MAX_DELIVERY_DELAY).max()
     }
 
-    /// Notes that a promotion of this group begins, or is over.
+    /// Notes that a promotion of this group begins or is over.
     ///
     /// ```
     /// use mangotray_desk::resumes;
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Whether a promotion of this group is under way, whose holds nobody else may end.
+    /// Whether a promotion of this group is under way; nothing else may release its replicas.
     #[must_use]
     pub fn is_promoting(&self, group: &id::Group) -> bool {
         self.promoting.contains(group)
--- a/desk/src/roster.rs
+++ b/desk/src/roster.rs
@@ -1,4 +1,4 @@
-//! The instances of one group, as the list of instances has them.
+//! The known instances of one group, as the store's list of instances has them.
 
 use std::cell;
 use std::collections;
@@ -16,41 +16,42 @@
 use crate::size;
 use crate::upstream;
 
-/// An instance that has announced its end is used this long at most. Callers' work must
-/// not reach it after seven seconds; the rest is for the way and for queues.
+/// Longest use of an instance after it has announced its end. Callers' work must not reach it after
+/// seven seconds; the difference allows for transmission and queues.
 const MAX_LEAVING_USE: time::Duration = time::Duration::from_millis(5500);
 
-/// Time after a node's first list, or after the store came back from an older copy, in which instances
-/// may be missing from it. Entries that ended
-/// while the store was away come back within two seconds of its return; a node that starts
-/// just then knows nothing of those that are missing, as the others do.
+/// Time after a node's first list, or after a reset of the store, during which instances may be
+/// missing from the list. Entries that expired while the store was away come back within two
+/// seconds of its return, and a node that starts just then doesn't know of the missing instances,
+/// while the other nodes do.
 const SETTLING_TIME: time::Duration = time::Duration::from_secs(3);
 
-/// The list of instances counts as known for this long after the last word of it: a watch waits
-/// 2.2 s, and promoters go on holding an instance for 5.5 s at least after it was last listed. The rest
-/// is for answers that lag.
+/// The list counts as current for this long after it was last confirmed. A watch waits 2.2 s, and
+/// promoters go on holding an instance for at least 5.5 s after it was last listed; the difference
+/// allows for slow answers.
 const LIST_LIFETIME: time::Duration = time::Duration::from_secs(4);
 
-/// What the id of an instance is followed by where whoever listens at its address is meant.
+/// Suffix of the id under which an unknown successor at an instance's address is addressed.
 const SUCCESSOR_SUFFIX: &str = "+";
 
-/// The address of an instance that has ended is asked for a successor this long. One that starts again writes its
-/// entry within a second or two unless it is cut off from the list.
+/// How long the address of an ended instance is checked for a successor. A restarted instance
+/// writes its entry within a second or two unless it can't reach the store.
 const SUCCESSOR_SEARCH_TIME: time::Duration = time::Duration::from_secs(30);
 
-/// A successor at an address that was reached a moment ago answers or refuses within this time, as one that is loaded.
+/// A successor at an address that was reachable a moment ago answers or refuses within this time,
+/// even under load.
 const SUCCESSOR_ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(2500);
 
-/// The address of an instance that has ended.
-struct Vacated {
-    /// Connections to whoever listens there.
+/// The address of an ended instance.
+struct EndedAddress {
+    /// Connections to any process that listens there.
     pool: rc::Rc<pool::Pool>,
-    /// Until then a successor may live there that has not answered yet.
+    /// Until then, a successor may live there that hasn't answered yet.
     undecided_until: id::Time,
     until: id::Time,
 }
 
-/// An instance that was forgotten longer ago has nothing that the present primary lacks.
+/// An instance that was forgotten longer ago has no record that the present primary lacks.
 const FORGOTTEN_RETENTION: time::Duration = time::Duration::from_mins(1);
 
 /// The instances of a group and this node's connections to them.
@@ -59,27 +60,27 @@
     dialer: rc::Rc<dyn upstream::Dialer>,
     executor: rc::Rc<async_executor::LocalExecutor<'static>>,
     pools: cell::RefCell<collections::BTreeMap<upstream::Id, rc::Rc<pool::Pool>>>,
-    /// Until when those that leave may be sent callers' work.
+    /// Until when each leaving instance may be sent callers' work.
     leaving: cell::RefCell<collections::BTreeMap<upstream::Id, id::Time>>,
-    /// Those that are missing from the list and may live.
+    /// Instances that are missing from the list and may still run.
     absent: cell::RefCell<collections::BTreeMap<upstream::Id, absence::Absence>>,
-    /// Processes that have ended though they are listed, as another instance answered at their address.
-    ended: cell::RefCell<collections::BTreeSet<promotion::Process>>,
-    /// Addresses of instances that were forgotten: a successor may live there that cannot write its entry.
-    vacated: cell::RefCell<Vec<Vacated>>,
-    added: cell::Cell<id::Time>,
-    /// When this node first had a list, or the list came back from an older copy.
+    /// Listed processes that have ended, as another instance answered at their address.
+    ended_processes: cell::RefCell<collections::BTreeSet<promotion::Process>>,
+    /// Addresses of forgotten instances, where a successor may run that can't write its entry.
+    ended_addresses: cell::RefCell<Vec<EndedAddress>>,
+    last_added: cell::Cell<id::Time>,
+    /// When this node first received a list, or the store was last reset.
     settling_since: cell::Cell<Option<id::Time>>,
-    /// When instances were forgotten, for as long as that may explain something.
+    /// When each instance was forgotten, kept for [`FORGOTTEN_RETENTION`].
     forgotten: cell::RefCell<collections::BTreeMap<upstream::Id, id::Time>>,
-    /// When an instance was last forgotten, or started again.
-    lost: cell::Cell<Option<id::Time>>,
-    /// When this node last had word of the list.
+    /// When an instance was last forgotten or restarted.
+    last_lost: cell::Cell<Option<id::Time>>,
+    /// When the list was last confirmed to this node.
     confirmed_at: cell::Cell<Option<id::Time>>,
 }
 
 impl Roster {
-    /// A group without instances.
+    /// Creates a roster without instances.
     #[must_use]
     pub fn new(
         group: id::Group,
@@ -93,18 +94,18 @@
             pools: cell::RefCell::default(),
             leaving: cell::RefCell::default(),
             absent: cell::RefCell::default(),
-            ended: cell::RefCell::default(),
-            vacated: cell::RefCell::default(),
-            added: cell::Cell::default(),
+            ended_processes: cell::RefCell::default(),
+            ended_addresses: cell::RefCell::default(),
+            last_added: cell::Cell::default(),
             settling_since: cell::Cell::default(),
             forgotten: cell::RefCell::default(),
-            lost: cell::Cell::default(),
+            last_lost: cell::Cell::default(),
             confirmed_at: cell::Cell::default(),
         }
     }
 
-    /// Takes a new list as it was at `heard`, of which the news may date back to `since`, or be of
-    /// any age; tells which instances have started again.
+    /// Applies a list as it was at `heard`. Its changes may date back to `since`, or to any time if
+    /// that is `None`. Returns the instances that have restarted.
     pub fn update(
         &self,
         instances: Vec<catalog::Instance>,
@@ -118,30 +119,30 @@
             .iter()
             .map(|instance| instance.id.clone())
             .collect();
-        self.ended
+        self.ended_processes
             .borrow_mut()
             .retain(|(id, _)| listed.contains(id));
-        let enter = |instance: catalog::Instance| {
+        let add_or_update = |instance: catalog::Instance| {
             let id = instance.id.clone();
-            self.enter(instance, since).then_some(id)
+            self.add_or_update(instance, since).then_some(id)
         };
-        let lives = |instance: &catalog::Instance| {
-            let life = (instance.id.clone(), instance.born);
-            !self.ended.borrow().contains(&life)
+        let is_running = |instance: &catalog::Instance| {
+            let process = (instance.id.clone(), instance.born);
+            !self.ended_processes.borrow().contains(&process)
         };
-        let living = instances.into_iter().filter(lives);
-        let reborn = living.filter_map(enter).collect();
-        self.leave_unless(|id| listed.contains(id), heard);
-        reborn
+        let running = instances.into_iter().filter(is_running);
+        let restarted = running.filter_map(add_or_update).collect();
+        self.mark_unlisted_unless(|id| listed.contains(id), heard);
+        restarted
     }
 
-    /// Notes that the list was heard of at `heard`, be it that nothing has changed.
+    /// Notes that the list was confirmed at `heard`, changed or not.
     pub fn note_confirmed(&self, heard: id::Time) {
         self.confirmed_at
             .set(self.confirmed_at.get().max(Some(heard)));
     }
 
-    /// Whether the list is known as it was a moment ago.
+    /// Whether the list was confirmed recently.
     #[must_use]
     pub fn is_fresh(&self, now: id::Time) -> bool {
         self.confirmed_at
@@ -149,19 +150,19 @@
             .is_some_and(|heard| now < heard + LIST_LIFETIME)
     }
 
-    /// Notes that the list has come back from an older copy: some that there are may be missing from
-    /// it for a while, as at the start.
+    /// Notes a reset of the store: as after the start, existing instances may be missing from the
+    /// list for a while.
     pub fn note_store_reset(&self) {
         self.settling_since.set(Some(boot::now()));
     }
 
-    /// Whether an instance is still asked, but listed no more.
+    /// Whether an instance is no longer listed but still probed.
     #[must_use]
     pub fn is_unlisted(&self, pool: &pool::Pool) -> bool {
         self.absent.borrow().contains_key(&pool.id())
     }
 
-    /// The instances that are listed no more and may live.
+    /// The instances that are no longer listed and may still run.
     #[must_use]
     pub fn absent(&self) -> Vec<rc::Rc<pool::Pool>> {
         let mut pools = self.pools();
@@ -169,54 +170,60 @@
         pools
     }
 
-    /// Whoever listens where an instance has ended lately, to be asked.
+    /// Connections to addresses of recently ended instances, to probe them for a successor.
     #[must_use]
     pub fn successor_candidates(&self) -> Vec<rc::Rc<pool::Pool>> {
         let now = boot::now();
-        let mut vacated = self.vacated.borrow_mut();
-        vacated.retain(|vacated| now < vacated.until);
-        vacated
+        let mut addresses = self.ended_addresses.borrow_mut();
+        addresses.retain(|address| now < address.until);
+        addresses
             .iter()
-            .map(|vacated| rc::Rc::clone(&vacated.pool))
+            .map(|address| rc::Rc::clone(&address.pool))
             .collect()
     }
 
-    /// Takes in a successor that answered where an instance has ended, as one that is missing from the list.
+    /// Adds a successor that answered at the address of an ended instance, as an instance that is
+    /// missing from the list.
     ///
-    /// It receives records and lets commits be acknowledged as soon as it has started; a promotion
-    /// that does not hold it loses them. As nobody knows its id it cannot be promoted itself.
+    /// It receives records and lets commits be acknowledged as soon as it has started, so a
+    /// promotion that doesn't hold it loses them. It can't be promoted itself, as its id isn't
+    /// known.
     pub fn adopt_successor(&self, id: &upstream::Id) {
-        let mut vacated = self.vacated.borrow_mut();
-        let Some(index) = vacated.iter().position(|vacated| vacated.pool.id() == *id) else {
+        let mut addresses = self.ended_addresses.borrow_mut();
+        let Some(index) = addresses
+            .iter()
+            .position(|address| address.pool.id() == *id)
+        else {
             return;
         };
-        let pool = vacated.swap_remove(index).pool;
+        let pool = addresses.swap_remove(index).pool;
         let now = boot::now();
         let absence = absence::Absence {
             since: now,
             noticed: now,
             announced: false,
         };
-        tracing::info!(group = %self.group, instance = %id, "an instance that is not listed lives where one has ended");
+        tracing::info!(group = %self.group, instance = %id, "unlisted successor found at the address of an ended instance");
         self.absent.borrow_mut().insert(id.clone(), absence);
         self.leaving.borrow_mut().insert(id.clone(), id::Time::ZERO);
         self.pools.borrow_mut().insert(id.clone(), pool);
-        self.added.set(now);
+        self.last_added.set(now);
     }
 
-    /// Whether a successor may live where an instance has ended that nobody has heard of yet: the address neither
-    /// refuses nor answers.
+    /// Whether a successor may run at the address of an ended instance without being known: the
+    /// address neither refuses nor answers.
     #[must_use]
     pub fn may_have_successor(&self) -> bool {
         let now = boot::now();
-        let vacated = self.vacated.borrow();
+        let addresses = self.ended_addresses.borrow();
         let is_undecided =
-            |vacated: &Vacated| now < vacated.undecided_until && !vacated.pool.is_closed();
-        vacated.iter().any(is_undecided)
+            |address: &EndedAddress| now < address.undecided_until && !address.pool.is_closed();
+        addresses.iter().any(is_undecided)
     }
 
-    // Whoever listens at the address of an instance that is forgotten, unless the list names it.
-    fn watch_for_successor(&self, ended: &pool::Pool, now: id::Time) {
+    // Starts the search for a successor at the address of a forgotten instance, unless a known
+    // instance has that address.
+    fn search_successor(&self, ended: &pool::Pool, now: id::Time) {
         let mut instance = ended.instance.borrow().clone();
         let address = |pool: &rc::Rc<pool::Pool>| pool.instance.borrow().address;
         if self
@@ -234,7 +241,7 @@
         instance.leads = false;
         let (dialer, executor) = (rc::Rc::clone(&self.dialer), rc::Rc::clone(&self.executor));
         let pool = pool::Pool::new(instance, dialer, executor, size::Size::shared());
-        self.vacated.borrow_mut().push(Vacated {
+        self.ended_addresses.borrow_mut().push(EndedAddress {
             pool: rc::Rc::new(pool),
             undecided_until: if ended.is_closed() {
                 now + SUCCESSOR_ANSWER_TIMEOUT
@@ -245,12 +252,12 @@
         });
     }
 
-    // A listed instance at the same address is the successor that was looked for.
-    fn name_successor(&self, instance: &catalog::Instance) {
+    // A listed instance at the same address is the successor that was searched for.
+    fn replace_unlisted_successor(&self, instance: &catalog::Instance) {
         let address = |pool: &pool::Pool| pool.instance.borrow().address;
-        self.vacated
+        self.ended_addresses
             .borrow_mut()
-            .retain(|vacated| address(&vacated.pool) != instance.address);
+            .retain(|ended| address(&ended.pool) != instance.address);
         let unnamed = |pool: &rc::Rc<pool::Pool>| {
             pool.instance.borrow().any && address(pool) == instance.address
         };
@@ -259,8 +266,8 @@
         }
     }
 
-    /// Whether an instance has announced its end, or has been missing from the list for so long that
-    /// callers' work will have to leave it.
+    /// Whether an instance has announced its end, or has been missing from the list for so long
+    /// that callers' work will have to leave it.
     #[must_use]
     pub fn is_departing(&self, pool: &pool::Pool) -> bool {
         let now = boot::now();
@@ -271,15 +278,15 @@
         overdue || pool.instance.borrow().draining
     }
 
-    /// Drops what is no longer listed and gives spare connections back; called now and then.
+    /// Marks instances that are no longer listed and closes spare connections; called periodically.
     pub fn tidy(&self, listed: impl Fn(&upstream::Id) -> bool) {
-        self.leave_unless(listed, boot::now());
+        self.mark_unlisted_unless(listed, boot::now());
         for pool in self.pools.borrow().values() {
             pool.trim();
         }
     }
 
-    fn leave_unless(&self, listed: impl Fn(&upstream::Id) -> bool, heard: id::Time) {
+    fn mark_unlisted_unless(&self, listed: impl Fn(&upstream::Id) -> bool, heard: id::Time) {
         let gone: Vec<_> = self
             .pools
             .borrow()
@@ -288,15 +295,15 @@
             .cloned()
             .collect();
         for id in gone {
-            self.leave(&id, heard);
+            self.mark_unlisted(&id, heard);
         }
     }
 
-    // Whether the instance was known and has started again.
-    fn enter(&self, instance: catalog::Instance, since: Option<id::Time>) -> bool {
-        let reborn = self.end_life_before(&instance);
-        self.name_successor(&instance);
-        self.mark(&instance, since);
+    // Adds or updates an instance; returns whether it was known and has restarted.
+    fn add_or_update(&self, instance: catalog::Instance, since: Option<id::Time>) -> bool {
+        let restarted = self.remove_earlier_process(&instance);
+        self.replace_unlisted_successor(&instance);
+        self.update_leaving(&instance, since);
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get(&instance.id) {
             *pool.instance.borrow_mut() = instance;
@@ -311,19 +318,19 @@
             rc::Rc::clone(&self.executor),
             size::Size::shared(),
         ));
-        if reborn {
+        if restarted {
             pool.note_restart();
         }
         pools.insert(id, pool);
-        self.added.set(boot::now());
-        reborn
+        self.last_added.set(boot::now());
+        restarted
     }
 
-    // An instance that starts again under its id holds and knows nothing of before. All that
-    // was seen of its earlier life, from positions to prepared statements, goes with the pool:
-    // a position that it no longer has would send it reads that it refuses, and a delay or
-    // an announced end that is over would keep work away from it.
-    fn end_life_before(&self, instance: &catalog::Instance) -> bool {
+    // A restarted instance has kept nothing under its id, so everything known of the earlier
+    // process, from positions to prepared statements, goes with its pool. A position that it has
+    // lost would send it reads that it refuses, and an outdated delay or announced end would keep
+    // work away from it.
+    fn remove_earlier_process(&self, instance: &catalog::Instance) -> bool {
         let known = self.find(&instance.id);
         let Some(pool) = known.filter(|pool| pool.born() < instance.born) else {
             return false;
@@ -331,19 +338,19 @@
         tracing::info!(group = %self.group, instance = %instance.id, before = pool.born(),
             born = instance.born, "instance has started again");
         self.remove(&pool);
-        self.lost.set(Some(boot::now()));
+        self.last_lost.set(Some(boot::now()));
         true
     }
 
-    /// Notes that an instance has lost its log, as its own answers show before the list does.
+    /// Notes that an instance has lost its log, which its own answers show before the list does.
     pub fn note_lost_log(&self, id: &upstream::Id) {
-        self.lost.set(Some(boot::now()));
+        self.last_lost.set(Some(boot::now()));
         if let Some(pool) = self.pools.borrow().get(id) {
             pool.note_restart();
         }
     }
 
-    fn mark(&self, instance: &catalog::Instance, since: Option<id::Time>) {
+    fn update_leaving(&self, instance: &catalog::Instance, since: Option<id::Time>) {
         if self.absent.borrow_mut().remove(&instance.id).is_some() {
             tracing::info!(group = %self.group, instance = %instance.id, "instance is listed again");
         }
@@ -359,9 +366,9 @@
         });
     }
 
-    // An entry that vanished means that the instance left, or that it cannot reach the
-    // list. It is used as one that leaves: it may be healthy, but not for long.
-    fn leave(&self, id: &upstream::Id, heard: id::Time) {
+    // An entry vanishes when the instance has left or can't reach the store. The instance is
+    // treated as leaving: it may be healthy, but perhaps not for long.
+    fn mark_unlisted(&self, id: &upstream::Id, heard: id::Time) {
         self.leaving
             .borrow_mut()
             .entry(id.clone())
@@ -378,9 +385,10 @@
         });
     }
 
-    /// Forgets instances that are listed no more and, by their own silence, have ended, and those at whose
-    /// address another one answers, be they listed. Tells whose logs have gone with them: one that has started again at
-    /// its address has come back with its own.
+    /// Forgets instances that are no longer listed and no longer answer, and those at whose address
+    /// another process answers, even if they are listed. Returns the ids of those whose logs are
+    /// lost; a process that was replaced at its address isn't among them, since its successor comes
+    /// with the log.
     pub fn forget_ended(&self) -> Vec<upstream::Id> {
         let now = boot::now();
         let ended = |pool: &rc::Rc<pool::Pool>| {
@@ -392,7 +400,9 @@
         pools.retain(ended);
         for pool in &pools {
             if !self.is_unlisted(pool) {
-                self.ended.borrow_mut().insert((pool.id(), pool.born()));
+                self.ended_processes
+                    .borrow_mut()
+                    .insert((pool.id(), pool.born()));
             }
             self.forget(pool, now);
         }
@@ -403,9 +413,9 @@
     fn forget(&self, pool: &pool::Pool, now: id::Time) {
         let activity = pool.sign();
         self.remove(pool);
-        self.lost.set(Some(now));
+        self.last_lost.set(Some(now));
         self.forgotten.borrow_mut().insert(pool.id(), now);
-        self.watch_for_successor(pool, now);
+        self.search_successor(pool, now);
         tracing::info!(group = %self.group, instance = %pool.id(), closed = activity.closed,
             silent = ?now.saturating_sub(activity.answered), "instance forgotten");
     }
@@ -418,13 +428,13 @@
         pool.clear();
     }
 
-    /// All instances that may still be asked, leaving ones included.
+    /// All instances that may be probed, including leaving ones.
     #[must_use]
     pub fn pools(&self) -> Vec<rc::Rc<pool::Pool>> {
         self.pools.borrow().values().cloned().collect()
     }
 
-    /// The connections to an instance that may still be asked.
+    /// The connections to an instance that may be probed.
     #[must_use]
     pub fn find(&self, id: &upstream::Id) -> Option<rc::Rc<pool::Pool>> {
         self.pools.borrow().get(id).cloned()
@@ -436,17 +446,17 @@
         self.find(id).filter(|_| self.is_usable(id))
     }
 
-    /// Whether all instances that there are can be taken for known.
+    /// Whether all existing instances can be assumed to be known.
     ///
-    /// What is concluded from the answers of all of them is wrong where one is missing: a
-    /// read missed commits that only a replica had which this node had not heard of.
+    /// Conclusions from the answers of all instances are wrong if one is missing: a read missed
+    /// commits that only a replica unknown to this node had.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.settles_at()
             .is_some_and(|settles| boot::now() >= settles)
     }
 
-    /// When that is so; none before the first list.
+    /// When the list settles; `None` before the first list.
     #[must_use]
     pub fn settles_at(&self) -> Option<id::Time> {
         self.settling_since.get().map(|since| since + SETTLING_TIME)
@@ -458,21 +468,22 @@
         self.pools.borrow().is_empty()
     }
 
-    /// Whether the instance announced its end or is no longer listed.
+    /// Whether the instance has announced its end or is no longer listed.
     #[must_use]
     pub fn is_leaving(&self, id: &upstream::Id) -> bool {
         self.leaving.borrow().contains_key(id)
     }
 
-    /// Whether the instance may be sent callers' work: one that announced its end may for a
-    /// while, counted from the announcement.
+    /// Whether the instance may be sent callers' work. An instance that announced its end may for
+    /// [`MAX_LEAVING_USE`] from the announcement.
     #[must_use]
     pub fn is_usable(&self, id: &upstream::Id) -> bool {
         let until = self.leaving.borrow().get(id).copied();
         until.is_none_or(|until| boot::now() < until)
     }
 
-    /// Whether this node has reached none of the instances that callers' work may go to for a while.
+    /// Whether this node has for a while reached none of the instances that may be sent callers'
+    /// work.
     #[must_use]
     pub fn is_unreachable(&self) -> bool {
         let pools = self.pools.borrow();
@@ -480,19 +491,20 @@
         usable.peek().is_some() && usable.all(|(_, pool)| pool.is_lost())
     }
 
-    /// When an instance, and its log with it, was last lost to this node.
+    /// When an instance, and its log with it, was last lost.
     #[must_use]
     pub fn last_lost(&self) -> Option<id::Time> {
-        self.lost.get()
+        self.last_lost.get()
     }
 
-    /// When an instance was last added to the list, or started again.
+    /// When an instance was last added or restarted.
     #[must_use]
     pub fn last_added(&self) -> id::Time {
-        self.added.get()
+        self.last_added.get()
     }
 
-    /// The instances that were forgotten lately and are not known again, and when that was.
+    /// The recently forgotten instances that haven't been added again, with the times when they
+    /// were forgotten.
     #[must_use]
     pub fn forgotten(&self) -> Vec<(upstream::Id, id::Time)> {
         let oldest = boot::now().saturating_sub(FORGOTTEN_RETENTION);
--- a/desk/src/uncertainty.rs
+++ b/desk/src/uncertainty.rs
@@ -1,33 +1,33 @@
-//! Whether an order may yet take effect whose record the store has lost.
+//! Whether an order may still take effect whose record the store has lost.
 //!
-//! The load that this answers: the store comes back from older copies, seconds apart, while holders of
-//! the promoter's seat are killed and start again. Who forgets a doubt too early frees replicas of a
-//! promotion that is under way; who begins it anew with each return or start leaves a group without
-//! a primary for as long as they go on.
+//! The store may be reset to older copies several times, seconds apart, while promoters are killed
+//! and restarted. If the uncertainty ends too early, replicas of a promotion under way are
+//! released. If each reset or restart began it anew, a group would have no primary for as long as
+//! the resets go on.
 
 use std::time;
 
 use mangotray::id;
 use mangotray::store;
 
-/// An order that was sent before the store came back takes effect within this time, or never:
-/// the call takes 0.8 s at most and a promotion 0.6 s; the rest is for a platform that carries
-/// out late what it did not answer, and for an order that was confirmed just before.
+/// An order sent before a reset takes effect within this time or never. The call takes at most 0.8
+/// s and a promotion 0.6 s; the rest allows for a platform that carries out an unanswered call
+/// late, and for an order that was confirmed just before the reset.
 pub const MAX_ORDER_DELAY: time::Duration = time::Duration::from_millis(8200);
 
-/// What one process doubts.
+/// The uncertainty of one process about lost orders.
 ///
-/// Where the store never comes back from a copy, there is no era and no doubt.
+/// A store that was never reset has no era, and there is no uncertainty.
 ///
 /// ```
 /// use mangotray_desk::uncertainty;
 /// use std::time::Duration;
 /// let seconds = Duration::from_secs;
-/// // A process that has just started cannot tell when the store came back.
+/// // A process that has just started doesn't know when the store was reset.
 /// let uncertainty = uncertainty::Uncertainty::default().observe(2, seconds(5));
 /// assert!(uncertainty.is_open(seconds(6)));
 /// assert!(!uncertainty.is_open(seconds(14)));
-/// // The store tells that its last return is long past.
+/// // The store's entry says that the last reset was long ago.
 /// assert!(!uncertainty.settled(2).is_open(seconds(6)));
 /// assert!(!uncertainty::Uncertainty::default().observe(0, seconds(5)).is_open(seconds(6)));
 /// ```
@@ -36,20 +36,20 @@
     era: store::Era,
     /// When this process first saw the era.
     since: id::Time,
-    /// The era rose before the eyes of this process.
+    /// This process saw the era rise, rather than starting in it.
     saw_reset: bool,
-    /// By one: there was no other return in between.
+    /// The era rose by one, so there was no other reset in between.
     is_consecutive: bool,
-    /// This process held the seat when the store came back.
+    /// This process held the promoter's lease at the reset.
     held: bool,
-    /// Until then an order may take effect that this process knows nothing of.
+    /// Until then, an order unknown to this process may take effect.
     until: id::Time,
-    /// The same as it was before the last return.
+    /// The value of `until` before the last reset.
     until_before_reset: id::Time,
 }
 
 impl Uncertainty {
-    /// What is doubted once an answer of `era` has come.
+    /// The state after an answer of `era` was received at `now`.
     ///
     /// ```
     /// use mangotray_desk::uncertainty;
@@ -75,8 +75,9 @@
         }
     }
 
-    /// What is left of it where this process held the seat when the store came back: it knows its own
-    /// orders, and there were no others since it took the seat. What it doubted by then stays.
+    /// The state if this process held the promoter's lease at the reset: it knows its own orders,
+    /// and there have been no others since it obtained the lease. The uncertainty from before the
+    /// reset remains.
     ///
     /// ```
     /// use mangotray_desk::uncertainty;
@@ -97,7 +98,7 @@
         }
     }
 
-    /// What is left of it where the store tells that this era has lasted for long.
+    /// The state once the store says that `era` has settled.
     #[must_use]
     pub fn settled(self, era: store::Era) -> Self {
         let until = if era == self.era {
@@ -114,7 +115,7 @@
         self.era > 0 && now < self.until
     }
 
-    /// Whether this process has seen the era last for so long that all orders of before are over.
+    /// Whether this process has seen the era last long enough for all earlier orders to be over.
     ///
     /// ```
     /// use mangotray_desk::uncertainty;
@@ -134,7 +135,8 @@
         self.era
     }
 
-    /// Since when this process has known of a return that it has seen, and in which it did not hold the seat.
+    /// When this process saw the last reset, if it saw one and didn't hold the promoter's lease at
+    /// the time.
     ///
     /// ```
     /// use mangotray_desk::uncertainty;
--- a/desk/tests/absence.rs
+++ b/desk/tests/absence.rs
@@ -1,4 +1,4 @@
-//! Instances that live and are missing from the list.
+//! Running instances that are missing from the list.
 
 mod play;
 mod stage;
@@ -16,10 +16,11 @@
 use play::LONG;
 use play::play;
 
-/// Age of data that a read accepts: shorter than the wait before it.
+/// Age of data that a read accepts; shorter than the wait before the read.
 const AGE: time::Duration = time::Duration::from_millis(500);
 
-/// Guards against acknowledged commits that are lost as a living replica without an entry is not held.
+/// Guards against acknowledged commits that are lost because a running replica without an entry
+/// isn't held.
 #[test]
 fn a_replica_that_is_listed_no_more_is_held_as_long_as_it_lives() {
     for announced in [false, true] {
@@ -41,7 +42,7 @@
     }
 }
 
-/// Guards against a replaced primary that is never told, as its entry was gone before.
+/// Guards against a replaced primary that is never told because its entry was already gone.
 #[test]
 fn a_primary_that_is_listed_no_more_is_told_of_its_successor() {
     let play = play();
@@ -58,7 +59,7 @@
     assert_eq!(play.leader().len(), 1);
 }
 
-/// Guards against callers' work for an instance that the list has not had for seconds.
+/// Guards against callers' work for an instance that has been missing from the list for seconds.
 #[test]
 fn callers_leave_an_instance_that_is_listed_no_more() {
     let stage = stage::Stage::new();
@@ -71,7 +72,7 @@
     });
 }
 
-/// Guards against a group without a primary for as long as an instance that has ended is waited for.
+/// Guards against a group without a primary while a promotion waits for an instance that has ended.
 #[test]
 fn an_instance_that_ended_and_is_listed_no_more_holds_no_promotion_back() {
     let play = play();
@@ -86,8 +87,8 @@
     assert_eq!(play.leader(), ["b"]);
 }
 
-/// Guards against acknowledged commits that are lost as a replica that started again at its address, under an id
-/// that is in no list, is not held.
+/// Guards against acknowledged commits that are lost because a replica that restarted at its
+/// address, under an id that isn't listed, isn't held.
 #[test]
 fn a_replica_that_starts_again_under_an_unlisted_id_is_held() {
     let play = play();
@@ -97,7 +98,7 @@
         play.stage.unlist("c").await;
         {
             let mut world = play.stage.world.borrow_mut();
-            let mut successor = world.instances.remove("c").expect("it was on stage");
+            let mut successor = world.instances.remove("c").expect("the instance exists");
             successor.position = 12;
             world.instances.insert("d".into(), successor);
         }
@@ -125,7 +126,7 @@
     assert_eq!(play.leader(), ["d"]);
 }
 
-/// Guards against a group without a primary for as long as a process that has ended is still listed.
+/// Guards against a group without a primary while a process that has ended is still listed.
 #[test]
 fn a_listed_process_whose_address_another_has_is_waited_for_no_longer() {
     let play = play();
@@ -136,12 +137,12 @@
         let list = {
             let mut world = play.stage.world.borrow_mut();
             let list = world.list();
-            let successor = world.instances.remove("c").expect("it was on stage");
+            let successor = world.instances.remove("c").expect("the instance exists");
             world.instances.insert("d".into(), successor);
             world.at("a").up = false;
             list
         };
-        // The list goes on telling of the one that has ended.
+        // The list still has the process that has ended.
         play.stage.node.update(list, Some(boot::now()), boot::now());
         play.led(2).await;
         assert!(group.roster().pools().iter().all(|pool| pool.id() != "c"));
@@ -150,7 +151,8 @@
     assert_eq!(play.leader(), ["b"]);
 }
 
-/// Guards against a successor that is counted twice where the list names it before its predecessor is forgotten.
+/// Guards against a successor that is counted twice when it is listed before its predecessor is
+/// forgotten.
 #[test]
 fn a_successor_that_was_listed_first_is_counted_once() {
     let stage = stage::Stage::new();
@@ -160,7 +162,7 @@
         let (before, both) = {
             let mut world = stage.world.borrow_mut();
             let mut list = world.list();
-            let successor = world.instances.remove("c").expect("it was on stage");
+            let successor = world.instances.remove("c").expect("the instance exists");
             world.instances.insert("d".into(), successor);
             let after = world.list();
             list.extend(after.iter().filter(|instance| instance.id == "d").cloned());
@@ -187,7 +189,7 @@
     });
 }
 
-/// Guards against a successor of a successor that is never looked for.
+/// Guards against the successor of a successor that is never searched for.
 #[test]
 fn an_unlisted_successor_that_starts_again_is_counted_again() {
     let stage = stage::Stage::new();
@@ -201,7 +203,7 @@
         stage.unlist("c").await;
         let rename = |from: &str, to: &str| {
             let mut world = stage.world.borrow_mut();
-            let instance = world.instances.remove(from).expect("it was on stage");
+            let instance = world.instances.remove(from).expect("the instance exists");
             world.instances.insert(to.into(), instance);
         };
         rename("c", "d");
@@ -214,7 +216,8 @@
     });
 }
 
-/// Guards against a successor that is counted twice, and holds promotions back under a name that answers nothing.
+/// Guards against a successor that is counted twice and holds promotions back under an id that
+/// never answers.
 #[test]
 fn a_successor_that_is_listed_is_counted_once() {
     let stage = stage::Stage::new();
@@ -224,7 +227,7 @@
         stage.unlist("c").await;
         {
             let mut world = stage.world.borrow_mut();
-            let successor = world.instances.remove("c").expect("it was on stage");
+            let successor = world.instances.remove("c").expect("the instance exists");
             world.instances.insert("d".into(), successor);
         }
         let ids = || {
@@ -241,7 +244,7 @@
     });
 }
 
-/// Guards against reads that miss commits which only a replica without an entry has received.
+/// Guards against reads that miss commits received only by a replica without an entry.
 #[test]
 fn no_floor_is_made_without_a_replica_that_lives() {
     let stage = stage::Stage::new();
@@ -289,7 +292,8 @@
     assert!(absence.is_gone(activity(99, true), seconds(106)));
     assert!(!absence.is_gone(activity(99, false), seconds(106)));
     assert!(absence.is_gone(activity(99, false), seconds(109)));
-    // One refusal shortly after an answer is no end, however long it is missing.
+    // One refused connection shortly after an answer is no end, however long the instance is
+    // missing.
     assert!(!absence.is_gone(activity(999, true), seconds(1000)));
     // Another process has its address.
     let replaced = absence::Activity {
@@ -297,10 +301,10 @@
         ..activity(99, true)
     };
     assert!(absence.is_gone(replaced, seconds(101)));
-    // It lives.
+    // It is running.
     assert!(!absence.is_gone(activity(105, false), seconds(106)));
     assert!(!absence.is_gone(activity(998, false), seconds(1000)));
-    // It was not asked yet.
+    // It hasn't been probed yet.
     let announced = absence::Absence {
         announced: true,
         ..absence
--- a/desk/tests/election.rs
+++ b/desk/tests/election.rs
@@ -1,30 +1,30 @@
-//! Many nodes before an empty seat.
+//! Claims of a vacant lease by many nodes.
 
 use std::time;
 
 use mangotray_desk::election;
 
-/// Time after which the others hear of a claim.
+/// Time after which the other nodes hear of a claim.
 const PROPAGATION_DELAY: time::Duration = time::Duration::from_millis(200);
 
 const NODES: usize = 95;
 
-/// Nodes that ask the store for the seat, and when the first does, where each waits for a random part
-/// of `within`.
+/// Returns the number of nodes that ask the store for the lease, and when the first does, if each
+/// waits for a random part of `within`.
 fn claims(within: time::Duration, random: &mut fastrand::Rng) -> (usize, time::Duration) {
-    let turns: Vec<_> = (0..NODES).map(|_| within.mul_f64(random.f64())).collect();
-    let first = turns.iter().min().copied().unwrap_or_default();
-    let asking = turns
+    let delays: Vec<_> = (0..NODES).map(|_| within.mul_f64(random.f64())).collect();
+    let first = delays.iter().min().copied().unwrap_or_default();
+    let asking = delays
         .iter()
-        .filter(|turn| **turn <= first + PROPAGATION_DELAY)
+        .filter(|delay| **delay <= first + PROPAGATION_DELAY)
         .count();
     (asking, first)
 }
 
-/// The load: a fleet of 95 starts again, and all nodes see the seat empty at once. The rule before it gave
-/// them the time that does for eight.
+/// Guards against a crowd of claims when a fleet of 95 nodes restarts and all see the lease vacant
+/// at once: a fixed window suits only eight nodes.
 #[test]
-fn few_of_many_nodes_ask_for_an_empty_seat_and_the_first_as_soon() {
+fn few_of_many_nodes_ask_for_a_vacant_lease_and_the_first_as_early() {
     const ROUNDS: u32 = 200;
     let mut random = fastrand::Rng::with_seed(7);
     let mut waited = time::Duration::ZERO;
--- a/desk/tests/election_model.rs
+++ b/desk/tests/election_model.rs
@@ -1,20 +1,21 @@
-//! A search through every order of events around the promoter's seat: two nodes, leases that end, and a store
-//! that comes back from an older copy.
+//! Model check of the promoter's election: all orders of events with two nodes, expiring leases,
+//! and a store that is reset to an older copy.
 //!
-//! What is searched: a node takes the seat where it is empty; a lease ends, noticed or not; the store is copied, and
-//! comes back; an answer tells a node of the era; a holder records a promotion, and orders it if the answer
-//! is of the era of its seat. The order leaves with the answer: that it does so before another holder may act rests on the
-//! times of `lease`, not on this search.
+//! The events are: a node obtains a vacant lease; a lease expires, noticed or not; the store is
+//! copied, and reset to the copy; an answer tells a node the era; a holder records a promotion, and
+//! orders it if the answer is of the era of its lease. The model assumes that the order is sent
+//! with the answer; that this happens before another holder may act follows from the delays in
+//! `election`, not from this search.
 
 use std::collections;
 
 use mangotray_desk::era;
 
-/// What the store holds of the seat: whose it is, by which of its claims, at which revision.
+/// The lease in the store: its holder, the number of the holder's claim, and the revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Claim {
     holder: usize,
-    turn: u8,
+    number: u8,
     revision: u64,
 }
 
@@ -26,7 +27,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Node {
-    /// The seat that it believes to hold, and the era in which it took it.
+    /// The lease that the node assumes to hold, and the era in which it obtained it.
     held: Option<(Claim, u64)>,
     /// The era of the last answer.
     seen: u64,
@@ -39,20 +40,20 @@
     now: Content,
     copy: Content,
     nodes: [Node; 2],
-    /// The last order: its number, and by which claim.
+    /// The last order: its fencing token, holder and claim.
     ordered: Option<(u64, usize, u8)>,
     violation: Option<&'static str>,
 }
 
-/// The rules, or what becomes of one that is left out.
+/// The rules, and variants that lack one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Rules {
     All,
-    /// The number is the revision alone.
+    /// The fencing token is the revision alone.
     FenceWithoutEra,
-    /// A seat stays valid after a return.
+    /// A lease stays valid after a reset.
     LeaseSurvivesReset,
-    /// A record is guarded by the seat's revision alone.
+    /// A record is guarded by the revision of the lease alone.
     GuardWithoutHolder,
 }
 
@@ -106,7 +107,7 @@
     next.now.revision += 1;
     let claim = Claim {
         holder,
-        turn: node.claims,
+        number: node.claims,
         revision: next.now.revision,
     };
     next.now.lease = Some(claim);
@@ -126,8 +127,8 @@
 
 fn ordered(state: &State, node: usize, rules: Rules) -> Option<State> {
     let (claim, era) = state.nodes[node].held?;
-    let lasting = rules == Rules::LeaseSurvivesReset;
-    if !lasting && state.nodes[node].seen != era {
+    let survives_reset = rules == Rules::LeaseSurvivesReset;
+    if !survives_reset && state.nodes[node].seen != era {
         return None;
     }
     let lease = state.now.lease?;
@@ -140,28 +141,28 @@
     }
     let mut next = observed(state, node);
     if lease != claim {
-        next.violation = Some("a record in the term of another holder");
+        next.violation = Some("a record written under another holder's lease");
     }
-    if !lasting && state.era != era {
+    if !survives_reset && state.era != era {
         return Some(next);
     }
     let fence = match rules {
         Rules::FenceWithoutEra => claim.revision,
         _ => era::fence(era, claim.revision),
     };
-    if let Some((last, by, turn)) = state.ordered {
-        let same = (by, turn) == (claim.holder, claim.turn);
+    if let Some((last, by, number)) = state.ordered {
+        let is_same_claim = (by, number) == (claim.holder, claim.number);
         if fence < last {
-            next.violation = Some("a number that falls");
-        } else if fence == last && !same {
-            next.violation = Some("a number of two holders");
+            next.violation = Some("a fencing token that falls");
+        } else if fence == last && !is_same_claim {
+            next.violation = Some("a fencing token of two holders");
         }
     }
-    next.ordered = Some((fence, claim.holder, claim.turn));
+    next.ordered = Some((fence, claim.holder, claim.number));
     Some(next)
 }
 
-/// States visited, and what was found broken first.
+/// Returns the number of visited states and the first violation.
 fn search(rules: Rules) -> (usize, Option<&'static str>) {
     let start = State {
         era: 1,
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn numbers_rise_and_records_have_one_writer_through_every_return() {
+fn fencing_tokens_rise_and_records_have_one_writer_through_every_reset() {
     let (states, violation) = search(Rules::All);
     println!("{states} states");
     assert_eq!(violation, None);
--- a/desk/tests/era.rs
+++ b/desk/tests/era.rs
@@ -1,4 +1,4 @@
-//! What a promoter does when the store comes back from an older copy.
+//! The promoter when the store is reset to an older copy.
 
 mod play;
 mod stage;
@@ -18,17 +18,17 @@
 use play::SHORTEST;
 use play::play_with;
 
-/// Long enough for a lease of the stand-in to end, and for the seat to be taken then.
+/// Long enough for a lease of the fake store to expire and be obtained again.
 const LEASE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(6);
 
-/// A promoter before a store that has come back once before.
+/// A promoter with a store that has been reset once.
 fn play() -> Play {
     let store = play::Store::default();
     store.at().era = 1;
     play_with(stage::Stage::new(), store)
 }
 
-/// The same, long after that, as the store tells.
+/// The same, with a store that says that the reset was long ago.
 fn play_with_settled_era() -> Play {
     let store = play::Store::default();
     store.at().era = 1;
@@ -36,7 +36,7 @@
     play_with(stage::Stage::new(), store)
 }
 
-/// Both replicas are held for the next term, as by a promotion that is under way.
+/// Holds both replicas for the next term, as a promotion under way does.
 fn hold_replicas(play: &Play) {
     for id in ["b", "c"] {
         play.stage.world.borrow_mut().at(id).held = 2;
@@ -60,12 +60,12 @@
         .insert(election::SETTLED_ERA_KEY.to_owned(), entry);
 }
 
-/// Another node's seat of the same store, which it tries to take.
+/// Another node that takes part in the election in the same store.
 fn other(play: &Play) -> rc::Rc<election::Election> {
     let shared: rc::Rc<dyn store::Store> = rc::Rc::new(play.store.clone());
     let other = election::Election::new(shared, &"other".into(), SHORTEST);
-    let keep = rc::Rc::clone(&other).run();
-    play.stage.executor.spawn(keep).detach();
+    let run = rc::Rc::clone(&other).run();
+    play.stage.executor.spawn(run).detach();
     other
 }
 
@@ -85,7 +85,7 @@
     play.stage.settled().await;
 }
 
-/// The holder of the seat leaves, and the store comes back from before it held it.
+/// The holder of the lease resigns, and the store is reset to a copy from before the lease.
 async fn leave_and_reset(play: &Play, copy: &play::Entries) {
     play.led(1).await;
     settled(play).await;
@@ -93,12 +93,12 @@
     play.store.go_back(copy);
 }
 
-/// Symptom: promotions carry a lower number than one before them, or two holders the same.
-/// Events: a node takes the seat at some revision; the store comes back from before that; another
-/// takes the seat at a lower revision, or at the same.
-/// Cause: the number was the seat's revision, which the store gives out again.
+/// Guards against promotions with a lower fencing token than an earlier one, or two holders with
+/// the same token. A node obtains the lease, the store is reset to a copy from before that, and
+/// another node obtains it at a lower or the same revision. The token was the revision alone, which
+/// the store reuses.
 #[test]
-fn a_holders_number_rises_although_revisions_go_back() {
+fn fencing_tokens_rise_although_revisions_go_back() {
     let play = play();
     let copy = play.store.at().clone();
     play.store.at().revision = 40;
@@ -109,17 +109,16 @@
         let other = other(&play);
         other.note_vacant();
         let held = || play.election.held().or(other.held());
-        stage::until("the seat is taken", || held().is_some()).await;
+        stage::until("the lease is obtained", || held().is_some()).await;
         assert!(held().expect("held").fence > first);
     });
 }
 
-/// Symptom: two nodes promote in turns.
-/// Events: the store comes back from before a holder took the seat, and another takes it at the
-/// same revision; the first has not noticed, and a primary crashes.
-/// Cause: a holder believed in its lease, and in a revision, of a content that the store has lost.
+/// Guards against two nodes that promote in turn. The store is reset to a copy from before a holder
+/// obtained the lease, and another node obtains it at the same revision. The first hasn't noticed,
+/// relies on its lease and revision, and a primary crashes.
 #[test]
-fn a_holder_orders_nothing_after_a_return() {
+fn a_holder_orders_nothing_after_a_reset() {
     let play = play();
     let copy = play.store.at().clone();
     play.stage.run(async {
@@ -137,19 +136,18 @@
     assert!(play.duty.orders.borrow().is_empty());
 }
 
-/// Symptom: a holder's record is written in the term of another holder.
-/// Events: the store comes back from before a holder took the seat; another takes it at the
-/// same revision; the first records a promotion before any answer tells it of the return.
-/// Cause: the record's guard named a revision, and no holder.
+/// Guards against a holder's record that is written while another node holds the lease. The store
+/// is reset, another node obtains the lease at the same revision, and the first records a promotion
+/// before any answer tells it of the reset. The record's guard named a revision but no holder.
 #[test]
-fn a_record_is_refused_in_the_term_of_another_holder() {
+fn a_record_is_refused_under_the_lease_of_another_holder() {
     let play = play();
     let copy = play.store.at().clone();
     play.stage.run(async {
         play.led(1).await;
         let version = play.store.at().entry.as_ref().expect("held").version;
         play.store.go_back(&copy);
-        // No answer tells of the return.
+        // No answer tells of the reset.
         play.store.at().era = copy.era;
         let shared: rc::Rc<dyn store::Store> = rc::Rc::new(play.store.clone());
         let created =
@@ -165,10 +163,9 @@
     });
 }
 
-/// Symptom: a replaced primary goes on, and its writes are lost.
-/// Events: a promotion is recorded and ordered; the store comes back from before the record, and the
-/// holder is gone.
-/// Cause: the next holder found no record, although every node had heard of it.
+/// Guards against a replaced primary that goes on and whose writes are lost. A promotion is
+/// recorded and ordered, the store is reset to a copy from before the record, and the holder fails.
+/// The next holder found no record, although every node had been notified of it.
 #[test]
 fn the_next_holder_writes_a_lost_record_again() {
     let play = play();
@@ -180,7 +177,7 @@
         other.records().note(lost.clone());
         play.election.resign().await;
         other.note_vacant();
-        stage::until("the seat is taken", || other.held().is_some()).await;
+        stage::until("the lease is obtained", || other.held().is_some()).await;
         assert_eq!(other.intent(&stage::GROUP.into()), Some(lost.clone()));
         let found = play.store.at().others.get(&lost.key()).cloned();
         let found = found.and_then(|entry| intent::Intent::read(&entry));
@@ -188,10 +185,9 @@
     });
 }
 
-/// Symptom: a promotion that is long over is done once more, with an instance that lacks what was
-/// acknowledged since.
-/// Events: the store comes back from an older copy, with an older record of the group.
-/// Cause: the record that was read last counted, not the one that was written last.
+/// Guards against a completed promotion that is repeated with an instance that lacks what was
+/// acknowledged since. The store is reset to an older copy with an older record of the group. The
+/// record that was read last counted, instead of the one that was written last.
 #[test]
 fn an_older_record_from_the_copy_does_not_replace_a_later_one() {
     let play = play();
@@ -201,7 +197,7 @@
     play.election.records().note(later.clone());
     play.election.records().note(record(3, place(9, 1)));
     assert_eq!(play.election.intent(&group), Some(later));
-    // One that is known never to take effect does not come back either, whoever tells of it.
+    // A record that is known never to take effect doesn't come back either, whoever reports it.
     play.election.retract(&group);
     play.election.records().note(record(5, place(9, 2)));
     assert_eq!(play.election.intent(&group), None);
@@ -210,28 +206,29 @@
     assert_eq!(play.election.intent(&group), Some(next));
 }
 
-/// Symptom: acknowledged bookings are gone after a change of primary.
-/// Events: all replicas are held and one is ordered to lead; the store comes back from before the
-/// record, and the holder is gone. The next one finds held replicas, a primary that answers, and no
-/// record; it frees the replicas, which receive from the old primary again, or orders another.
-/// Cause: what is not recorded was taken for never ordered.
+/// Guards against acknowledged bookings that are lost after a change of primary. All replicas are
+/// held and one is ordered to lead; the store is reset to a copy from before the record, and the
+/// holder fails. The next holder finds held replicas, a primary that answers, and no record. It
+/// took the promotion for never ordered and released the replicas, which received from the old
+/// primary again, or ordered another candidate.
 #[test]
-fn replicas_that_are_found_held_after_a_return_stay_held() {
+fn replicas_that_are_found_held_after_a_reset_stay_held() {
     let play = play();
     let copy = play.store.at().clone();
     play.stage.run(async {
         leave_and_reset(&play, &copy).await;
         hold_replicas(&play);
-        // A node that never held the seat takes it, and knows nothing of what was ordered.
+        // A node that never held the lease obtains it and knows of no order.
         let second = successor(&play);
-        stage::until("the seat is taken", || second.election.held().is_some()).await;
+        stage::until("the lease is obtained", || second.election.held().is_some()).await;
         wait::sleep(2 * LONG).await;
         assert_eq!(holds(&second), [2, 2]);
         assert_eq!(*second.duty.orders.borrow(), []);
-        // The order takes effect late: its candidate is taken over, and the others are freed.
+        // The order takes effect late: the new holder accepts its candidate and releases the other
+        // replica.
         second.stage.world.borrow_mut().promote("b");
         stage::until("the old primary knows", || second.leader() == ["b"]).await;
-        stage::until("the other is freed", || {
+        stage::until("the other replica is released", || {
             second.stage.world.borrow_mut().at("c").held == 0
         })
         .await;
@@ -239,17 +236,17 @@
     });
 }
 
-/// Symptom: a group whose primary is lost after a return of the store waits eight seconds.
-/// Events: the store comes back; no replica is held; the primary crashes.
-/// Cause: any promotion was put off, also where no order can be under way.
+/// Guards against a group that waits eight seconds for a primary after a reset of the store. No
+/// replica is held when the primary crashes, so no order can be under way, but every promotion was
+/// put off.
 #[test]
-fn a_return_puts_no_promotion_off_where_no_replica_is_held() {
+fn a_reset_delays_no_promotion_if_no_replica_is_held() {
     let play = play();
     let copy = play.store.at().clone();
     play.stage.run(async {
         leave_and_reset(&play, &copy).await;
         let second = successor(&play);
-        stage::until("the seat is taken", || second.election.held().is_some()).await;
+        stage::until("the lease is obtained", || second.election.held().is_some()).await;
         second.stage.world.borrow_mut().at("a").up = false;
         wait::within(LEASE_TIMEOUT, second.led(2))
             .await
@@ -257,18 +254,21 @@
     });
 }
 
-/// Symptom: nobody promotes any more after a return.
-/// Events: the store comes back with the holder's own seat, under what is left of its lease.
-/// Cause: the holder gave its seat up and took the entry for somebody else's for ever.
+/// Guards against promotions that stop after a reset. The store is reset to a copy that has the
+/// holder's own key, under the rest of its lease. The holder gave up its lease and took the entry
+/// for another node's for ever.
 #[test]
-fn the_holder_takes_its_seat_again_when_its_old_lease_has_ended() {
+fn the_holder_obtains_the_lease_again_when_its_old_one_has_expired() {
     let play = play_with_settled_era();
     play.stage.run(async {
         play.led(1).await;
         let first = play.election.held().expect("held").fence;
         let copy = play.store.at().clone();
         play.store.go_back(&copy);
-        stage::until("the seat is void", || !play.election.is_last_known_holder()).await;
+        stage::until("the lease is void", || {
+            !play.election.is_last_known_holder()
+        })
+        .await;
         wait::sleep(SHORT).await;
         assert!(play.election.held().is_none());
         {
@@ -277,46 +277,46 @@
             entries.others.retain(|_, entry| entry.lease.is_none());
         }
         play.election.note_vacant();
-        stage::until("the seat is taken", || play.election.held().is_some()).await;
+        stage::until("the lease is obtained", || play.election.held().is_some()).await;
         assert!(play.election.held().expect("held").fence > first);
         assert!(!play.election.may_have_lost_order());
     });
 }
 
-/// Guards against replicas of a promotion that are freed while its order may yet take effect, as the store came back
-/// once more and its holder took that return for the only one.
+/// Guards against replicas that are released while an order may still take effect. The store is
+/// reset a second time, and its holder took that reset for the only one.
 #[test]
-fn a_second_return_does_not_free_what_the_first_left_in_doubt() {
+fn a_second_reset_releases_no_replica_that_the_first_left_held() {
     let play = play();
     let copy = play.store.at().clone();
     play.stage.run(async {
         leave_and_reset(&play, &copy).await;
         hold_replicas(&play);
         let second = successor(&play);
-        stage::until("the seat is taken", || second.election.held().is_some()).await;
+        stage::until("the lease is obtained", || second.election.held().is_some()).await;
         second.store.go_back(&copy);
-        stage::until("the seat is void", || {
+        stage::until("the lease is void", || {
             !second.election.is_last_known_holder()
         })
         .await;
         second.election.note_vacant();
-        stage::until("the seat is taken", || second.election.held().is_some()).await;
+        stage::until("the lease is obtained", || second.election.held().is_some()).await;
         wait::sleep(LONG).await;
         assert_eq!(holds(&second), [2, 2]);
         assert_eq!(*second.duty.orders.borrow(), []);
     });
 }
 
-/// Guards against a second order, or freed replicas, while the first order may yet take effect, as all replicas have
-/// started again since and are held no more.
+/// Guards against a second order, or released replicas, while the first order may still take
+/// effect. All replicas have restarted since and are no longer held.
 #[test]
-fn replicas_that_have_lost_their_holds_end_no_doubt() {
+fn replicas_that_have_lost_their_holds_end_no_uncertainty() {
     let play = play();
     let copy = play.store.at().clone();
     play.stage.run(async {
         leave_and_reset(&play, &copy).await;
         let second = successor(&play);
-        stage::until("the seat is taken", || second.election.held().is_some()).await;
+        stage::until("the lease is obtained", || second.election.held().is_some()).await;
         for id in ["b", "c"] {
             second.stage.world.borrow_mut().at(id).born = 2;
         }
@@ -327,54 +327,58 @@
     });
 }
 
-/// Guards against a group that waits for a primary with each holder that starts again, although the store has not
-/// come back for long.
+/// Guards against a group that waits for a primary after each restart of the promoter, although the
+/// last reset of the store was long ago.
 #[test]
-fn a_holder_that_starts_long_after_a_return_frees_held_replicas() {
+fn a_holder_that_starts_long_after_a_reset_releases_held_replicas() {
     let play = play_with_settled_era();
     hold_replicas(&play);
     play.stage.run(async {
-        stage::until("the seat is taken", || play.election.held().is_some()).await;
+        stage::until("the lease is obtained", || play.election.held().is_some()).await;
         assert!(!play.election.may_have_lost_order());
-        stage::until("the replicas are free", || holds(&play) == [0, 0]).await;
+        stage::until("the replicas are released", || holds(&play) == [0, 0]).await;
     });
 }
 
-/// Guards against holders that never tell how long the store has not come back, so that each later one waits.
+/// Guards against holders that never publish that the last reset was long ago, so that each later
+/// holder waits.
 #[test]
-fn a_holder_tells_once_that_the_last_return_is_long_past() {
+fn a_holder_publishes_once_that_the_era_has_settled() {
     let play = play();
     play.stage.run(async {
-        let told = || {
+        let published = || {
             play.store
                 .at()
                 .others
                 .get(election::SETTLED_ERA_KEY)
                 .cloned()
         };
-        let patience = std::time::Duration::from_mins(1);
-        let known = async { stage::until("it is told", || told().is_some()).await };
-        wait::within(patience, known).await.expect("it is told");
-        let entry = told().expect("an entry");
+        let time_limit = std::time::Duration::from_mins(1);
+        let known =
+            async { stage::until("the settled era is published", || published().is_some()).await };
+        wait::within(time_limit, known)
+            .await
+            .expect("the settled era is published");
+        let entry = published().expect("an entry");
         assert_eq!((entry.value.as_ref(), entry.lease), (&b"1"[..], None));
         let version = entry.version;
         wait::sleep(LONG).await;
-        assert_eq!(told().map(|entry| entry.version), Some(version));
+        assert_eq!(published().map(|entry| entry.version), Some(version));
     });
 }
 
-/// Another node before the same group, that takes the seat.
+/// Another node with the same group that takes part in the election.
 fn successor(play: &Play) -> Play {
     let shared: rc::Rc<dyn store::Store> = rc::Rc::new(play.store.clone());
     let election = election::Election::new(shared, &"heir".into(), SHORTEST);
     play::play_as(play.stage.another("heir"), play.store.clone(), election)
 }
 
-/// Symptom: six hundred acknowledged bookings are gone: the whole log.
-/// Events: the primary is cut off from its replicas, and both start again empty; a promoter that has
-/// just started finds a primary with records that no replica has. The record of the last promotion,
-/// which told how far the log reached, went with a return of the store.
-/// Cause: a replica without any record was promoted over a primary that answered.
+/// Guards against the loss of a whole log: six hundred acknowledged bookings. The primary is cut
+/// off from its replicas, and both restart empty. A promoter that has just started finds a primary
+/// with records that no replica has; the record of the last promotion, which said how far the log
+/// reached, was lost with a reset of the store. An empty replica was promoted over a primary that
+/// answered.
 #[test]
 fn no_empty_replica_replaces_a_primary_that_answers() {
     let stage = stage::Stage::new();
@@ -385,7 +389,7 @@
     }
     let play = play_with(stage, play::Store::default());
     play.stage.run(async {
-        stage::until("the seat is taken", || play.election.held().is_some()).await;
+        stage::until("the lease is obtained", || play.election.held().is_some()).await;
         settled(&play).await;
         wait::sleep(2 * LONG).await;
     });
--- a/desk/tests/log_loss.rs
+++ b/desk/tests/log_loss.rs
@@ -1,4 +1,4 @@
-//! A replica that starts again without its log right before the primary is lost.
+//! A replica that restarts without its log right before the primary fails.
 
 mod play;
 mod stage;
@@ -7,8 +7,8 @@
 use mangotray_desk::sampler;
 use mangotray_desk::wait;
 
-// The replica `c` alone has received and confirmed two records, and starts again without its log; the
-// primary is lost at once.
+// Only the replica `c` has received and confirmed two records. It restarts without its log, and the
+// primary fails at once.
 fn lose_log_and_primary(play: &play::Play) {
     {
         let mut world = play.stage.world.borrow_mut();
@@ -22,7 +22,8 @@
     play.stage.world.borrow_mut().at("a").up = false;
 }
 
-/// Guards against commits that a replica confirmed after it was last looked at, and lost as it started again.
+/// Guards against the loss of commits that a replica confirmed after its last probe, before it
+/// restarted without its log.
 #[test]
 fn a_replica_that_lost_its_log_holds_a_promotion_back_while_the_primary_may_return() {
     let play = play::play();
@@ -33,7 +34,7 @@
         wait::sleep(2 * play::LONG).await;
         assert!(play.duty.orders.borrow().is_empty());
         play.stage.world.borrow_mut().at("a").up = true;
-        stage::until("the primary finds free replicas", || {
+        stage::until("the replicas are released", || {
             let mut world = play.stage.world.borrow_mut();
             world.at("b").held == 0 && world.at("c").held == 0
         })
@@ -43,7 +44,8 @@
     assert_eq!(play.leader(), ["a"]);
 }
 
-/// Guards against a group without a primary for as long as records are missed that nobody has.
+/// Guards against a group that stays without a primary while it waits for records that no instance
+/// has.
 #[test]
 fn a_replica_that_lost_its_log_holds_nothing_back_once_the_primary_is_gone() {
     let play = play::play();
@@ -59,8 +61,8 @@
     assert_eq!(play.leader(), ["b"]);
 }
 
-/// Guards against a promotion that is held back although the other replica has all that the primary had
-/// after the loss.
+/// Guards against a promotion that is held back although the primary was probed after the loss and
+/// the other replica has everything that it had.
 #[test]
 fn a_replica_that_lost_its_log_holds_nothing_back_once_the_primary_was_seen_after_it() {
     let play = play::play();
--- a/desk/tests/relief.rs
+++ b/desk/tests/relief.rs
@@ -1,4 +1,4 @@
-//! When primary and replica change places.
+//! Changes of primary and replica because of lag.
 
 use std::time;
 
@@ -25,15 +25,15 @@
     }
 }
 
-/// Whether the same replicas, seen five times a second, ever call for a change.
+/// Whether the same replicas, observed five times a second, ever lead to a change.
 fn calls(replicas: &[relief::Replica]) -> bool {
     let mut relief = relief::Relief::default();
-    (0..20).any(|turn| relief.observe(&view(turn * 200, replicas.to_vec())))
+    (0..20).any(|step| relief.observe(&view(step * 200, replicas.to_vec())))
 }
 
-/// Symptom: for sixteen seconds a third of what a group is asked is late or refused.
-/// Events: both replicas receive a record that takes them many seconds to apply.
-/// Cause: the primary alone served all reads, while the replicas had received everything.
+/// Guards against a primary that alone serves all reads while both replicas have received
+/// everything and need many seconds to apply one record: for sixteen seconds a third of the group's
+/// requests were late or refused.
 #[test]
 fn a_primary_whose_replicas_are_stuck_changes_places() {
     assert!(calls(&[replica(90, 40, 9000), replica(90, 40, 14_000)]));
@@ -47,9 +47,8 @@
     assert!(!calls(&[replica(90, 40, 3000), replica(90, 40, 3000)]));
 }
 
-/// Symptom: an acknowledged booking is gone after a change of primary.
-/// Events: both replicas receive nothing; the primary changes places with one of them.
-/// Cause: a replica that lags was taken for one that has received everything.
+/// Guards against an acknowledged booking that is lost because a replica that receives nothing is
+/// taken for one that has received everything, and is promoted.
 #[test]
 fn only_a_replica_that_stays_and_has_received_all_takes_over() {
     assert!(!calls(&[replica(57, 57, 0), replica(57, 57, 0)]));
@@ -60,16 +59,15 @@
     assert!(!calls(&[leaving, replica(57, 57, 0)]));
 }
 
-/// Symptom: a group has a gap for writes every second.
-/// Events: a group changes primary for relief; the new primary's replicas are stuck as well.
-/// Cause: each change justified the next.
+/// Guards against a gap for writes every second: after a change for lag the new primary's replicas
+/// are stuck as well, and each change justified the next.
 #[test]
 fn a_change_is_not_followed_by_another_soon() {
     let stuck = vec![replica(90, 40, 20_000), replica(90, 40, 20_000)];
     let mut relief = relief::Relief::default();
     let mut changes = Vec::new();
-    for turn in 0..100 {
-        let now = turn * 200;
+    for step in 0..100 {
+        let now = step * 200;
         if relief.observe(&view(now, stuck.clone())) {
             relief.done(time::Duration::from_millis(now));
             changes.push(now);
@@ -81,14 +79,14 @@
     );
 }
 
-/// One answer that tells of a long lag, between two that do not, is no reason.
+/// A single answer with a long lag between two without is no reason for a change.
 #[test]
 fn the_reason_has_to_last() {
     let mut relief = relief::Relief::default();
     let stuck = vec![replica(90, 40, 9000), replica(90, 40, 9000)];
-    let well = vec![replica(90, 40, 9000), replica(90, 89, 40)];
-    for turn in 0..20 {
-        let replicas = if turn % 2 == 0 { &stuck } else { &well };
-        assert!(!relief.observe(&view(turn * 200, replicas.clone())));
+    let recovered = vec![replica(90, 40, 9000), replica(90, 89, 40)];
+    for step in 0..20 {
+        let replicas = if step % 2 == 0 { &stuck } else { &recovered };
+        assert!(!relief.observe(&view(step * 200, replicas.clone())));
     }
 }
