--- a/desk/src/delegate.rs
+++ b/desk/src/delegate.rs
@@ -1,9 +1,10 @@
-//! Floors that few nodes keep for the others of their failure domain.
+//! Delegates: nodes that determine floors on behalf of their failure domain.
 //!
-//! The load that this answers: a hundred nodes before twenty groups, so that a node has one read of a
-//! group in two seconds. Each read then needs a floor of its own: two questions to instances, and a
-//! position as new as the read, which no replica has applied yet. One node of the failure domain
-//! that keeps the group's floors asks once for all, and gives each the lowest that will do.
+//! With a hundred nodes in front of twenty groups, a node has one read of a group in two seconds.
+//! If each node determined floors by itself, each read would need a new one: status queries to two
+//! instances, and a position as new as the read, which no replica has applied yet. Instead, one
+//! node of the failure domain queries the instances for all of its nodes, and gives each the lowest
+//! floor that suffices.
 
 use std::time;
 
@@ -13,35 +14,35 @@
 use crate::member;
 use crate::serving;
 
-/// A keeper waits this long for a floor of its own; whoever asks has given up by then.
+/// How long a delegate waits for a floor; the requesting node has given up by then.
 pub const TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
-/// A question for a floor.
+/// A request for a floor.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Request {
-    /// The group.
+    /// The group to read from.
     pub group: id::Group,
-    /// The floor has to cover all commits that were acknowledged longer ago than this.
+    /// The floor has to cover all commits acknowledged longer ago than this.
     ///
-    /// An age, as no clock is shared: what the question takes on its way makes the keeper's
-    /// moment a later one, and the floor cover more than needed.
+    /// An age, as nodes share no clock: the transit time of the request makes the cutoff at the
+    /// delegate later, so that the floor covers more than needed.
     pub within: time::Duration,
 }
 
-/// A floor, as a keeper tells it.
+/// A delegate's answer to a [`Request`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Response {
-    /// Term of the primary that led then.
+    /// Term of the primary at that moment.
     pub term: id::Term,
-    /// Position that holds all commits acknowledged up to that moment.
+    /// Position that covers all commits acknowledged up to that moment.
     pub stamp: stamp::Stamp,
-    /// How long the moment was over when the question arrived; none where it came later.
+    /// Age of that moment when the request arrived; zero if the moment is later than that.
     pub ago: time::Duration,
 }
 
 impl Response {
-    /// The floor's moment on the clock of the node that sent the question at `sent`: no later than
-    /// the true one, as the question arrived after it was sent.
+    /// The moment up to which the floor covers commits, on the clock of the node that sent the
+    /// request at `sent`: no later than the true moment, as the request arrived after it was sent.
     ///
     /// ```
     /// use mangotray::stamp::Stamp;
@@ -56,8 +57,8 @@
     }
 }
 
-/// The node that keeps a group's floors for the failure domain of `own`; none where that is `own`
-/// itself, or nobody else is there.
+/// The delegate for a group in the failure domain of `own`: the first node in the group's serving
+/// order that `may_ask` permits. `None` if that is `own` itself or no such node exists.
 ///
 /// ```
 /// use mangotray_desk::{delegate, member};
--- a/desk/src/floor.rs
+++ b/desk/src/floor.rs
@@ -1,4 +1,5 @@
-//! How far a log must reach to hold all commits acknowledged before a moment.
+//! Floors: the log positions that an instance must have applied to hold all commits acknowledged
+//! before a moment.
 
 use std::collections;
 use std::time;
@@ -6,20 +7,20 @@
 use mangotray::id;
 use mangotray::stamp;
 
-/// Floors closer together than this are not kept apart: 3 s of them stay under 100 entries.
+/// Floors closer together than this are merged, so that 3 s of floors take fewer than 100 entries.
 const SPACING: time::Duration = time::Duration::from_millis(40);
 
-/// The primary's answers are remembered for this long beside the floors that follow from them.
+/// How long the primary's recent positions are kept, apart from the floors derived from them.
 const RECENT_RETENTION: time::Duration = time::Duration::from_secs(1);
 
-/// Floors older than this are of no use to any read; above the largest usual age bound.
+/// Floors older than this are dropped; above the largest usual staleness bound of a read.
 const RETENTION: time::Duration = time::Duration::from_secs(10);
 
-/// Evidence from the instances of one term, and the floors that follow from it.
+/// Evidence from the instances of one term, and the floors derived from it.
 ///
-/// The primary's position answers "which commits are there", a look at a replica answers
-/// "does that primary still lead". Only both together give a floor, for the earlier of the
-/// two moments: a replaced primary keeps answering, but knows nothing of later commits.
+/// The primary's position tells which commits exist; a replica's status tells that this primary
+/// still leads. Only both together give a floor, valid for the earlier of the two moments: a
+/// replaced primary keeps answering but doesn't know of later commits.
 ///
 /// ```
 /// use mangotray::stamp;
@@ -34,22 +35,27 @@
 #[derive(Clone, Debug, Default)]
 pub struct Floors {
     term: id::Term,
+    /// When the primary was last proven to lead.
     proven_at: Option<id::Time>,
+    /// The primary's positions that are not yet covered by a proof, with the time at which each was
+    /// requested.
     positions: collections::VecDeque<(id::Time, stamp::Stamp)>,
+    /// The floors, with the moment up to which each covers commits, in order of time.
     known: collections::VecDeque<(id::Time, stamp::Stamp)>,
-    /// When the first answer of this term's primary was asked for.
+    /// When the first answered command was sent to this term's primary.
     first_sent: Option<id::Time>,
-    /// When a replica was last found to have lost its log, and where the primary's stood thereafter.
+    /// When a replica was last found to have lost its log, and the primary's first known position
+    /// after that.
     loss: Option<(id::Time, Option<stamp::Stamp>)>,
-    /// The primary's last answers: when they were asked for, and where its log stood.
+    /// The primary's recent positions, with the time at which each was requested.
     recent: collections::VecDeque<(id::Time, stamp::Stamp)>,
-    /// When a floor was last made without the primary's word.
+    /// When a floor was last derived from replicas alone.
     replica_only_at: Option<id::Time>,
 }
 
 impl Floors {
-    /// Notes that the primary of `term` was still leading at `started`, when the look at
-    /// its replicas began.
+    /// Records that the primary of `term` was still leading at `started`, when the query to its
+    /// replicas was sent.
     pub fn record_leading(&mut self, term: id::Term, started: id::Time) {
         if !self.enter_term(term) {
             return;
@@ -66,7 +72,7 @@
         self.positions.retain(|(sent, _)| *sent > started);
     }
 
-    /// Notes the primary's position in the answer to a command sent at `sent`.
+    /// Records the primary's position in the answer to a command sent at `sent`.
     pub fn record_position(&mut self, term: id::Term, sent: id::Time, stamp: stamp::Stamp) {
         if !self.enter_term(term) {
             return;
@@ -93,11 +99,12 @@
         self.lowest(moment).map(|(_, stamp)| stamp)
     }
 
-    /// The same with the moment up to which it covers commits, and the term of its primary, for
-    /// another node; none while a floor without the primary's word may be among them.
+    /// Like [`since`](Self::since), with the floor's term and the moment up to which it covers
+    /// commits, for use by another node. `None` if one of the floors since `moment` may derive from
+    /// replicas alone.
     ///
-    /// Such a floor tells of all commits only if no instance was lost, and the other node may know
-    /// of a loss that this one does not.
+    /// Such a floor covers all commits only if no instance was lost, and the other node may know of
+    /// a loss that this node doesn't know of.
     #[must_use]
     pub fn attested_since(&self, moment: id::Time) -> Option<(id::Term, id::Time, stamp::Stamp)> {
         let (time, stamp) = self.lowest(moment)?;
@@ -111,8 +118,8 @@
         self.known.iter().find(|(time, _)| *time >= moment).copied()
     }
 
-    /// Takes over a floor that another node has told of: the primary of `term` led at `time`, and its
-    /// log held all commits acknowledged up to then at `stamp`.
+    /// Adds a floor reported by another node: the primary of `term` led at `time`, and `stamp`
+    /// covers all commits acknowledged up to then.
     ///
     /// ```
     /// use mangotray::stamp::Stamp;
@@ -122,7 +129,7 @@
     /// floors.adopt(2, Duration::from_millis(10), Stamp::new(2, 7));
     /// assert_eq!(floors.since(Duration::from_millis(10)), Some(Stamp::new(2, 7)));
     /// assert_eq!(floors.since(Duration::from_millis(11)), None);
-    /// // One of an earlier term tells nothing of this one.
+    /// // A floor of an earlier term is ignored.
     /// floors.adopt(1, Duration::from_millis(90), Stamp::new(1, 9));
     /// assert_eq!(floors.since(Duration::from_millis(11)), None);
     /// ```
@@ -139,7 +146,7 @@
         self.prune(time);
     }
 
-    /// Notes that a floor was made without the primary's word at `now`.
+    /// Records that a floor was derived from replicas alone at `now`.
     pub const fn note_replica_only(&mut self, now: id::Time) {
         self.replica_only_at = Some(now);
     }
@@ -153,8 +160,8 @@
             .retain(|(time, _)| *time + RECENT_RETENTION >= sent);
     }
 
-    /// Where the log of the primary of `term` stood at `moment`, by an answer that was asked for then
-    /// or up to a second before.
+    /// The position of the primary of `term` at `moment`, from an answer requested at that time or
+    /// up to a second before.
     ///
     /// ```
     /// use mangotray::stamp::Stamp;
@@ -178,15 +185,16 @@
         found.map(|(_, stamp)| *stamp)
     }
 
-    /// Notes that a replica of the known primary has lost its log, as was learnt at `now`.
+    /// Records that, as found at `now`, a replica of the known primary has lost its log.
     pub const fn note_loss(&mut self, now: id::Time) {
         if self.first_sent.is_some() {
             self.loss = Some((now, None));
         }
     }
 
-    /// Where a replica has lost its log under the primary of `term`: the position of that primary's log
-    /// thereafter, if it was heard of. What the replica may have confirmed before is no further.
+    /// If a replica has lost its log under the primary of `term`: the primary's first known
+    /// position after that, or `Some(None)` while none is known. The replica can't have confirmed
+    /// anything beyond that position.
     ///
     /// ```
     /// use mangotray::stamp::Stamp;
@@ -201,7 +209,7 @@
     /// floors.record_position(2, Duration::from_millis(300), Stamp::new(2, 9));
     /// floors.record_position(2, Duration::from_millis(400), Stamp::new(2, 11));
     /// assert_eq!(floors.loss(2), Some(Some(Stamp::new(2, 9))));
-    /// // Nothing of it matters to a later primary.
+    /// // The loss is irrelevant to a later primary.
     /// floors.record_position(3, Duration::from_millis(500), Stamp::new(3, 12));
     /// assert_eq!(floors.loss(3), None);
     /// ```
@@ -219,7 +227,7 @@
         }
     }
 
-    /// Whether a position of the primary asked for at `moment` or later is known.
+    /// Whether a position of the primary requested at `moment` or later is known.
     #[must_use]
     pub fn has_position_since(&self, moment: id::Time) -> bool {
         self.positions
@@ -227,19 +235,19 @@
             .is_some_and(|(sent, _)| *sent >= moment)
     }
 
-    /// When the newest floor was true.
+    /// The moment up to which the newest floor covers commits.
     #[must_use]
     pub fn newest(&self) -> Option<id::Time> {
         self.known.back().map(|(time, _)| *time)
     }
 
-    /// The furthest position that is known to hold all commits of its time.
+    /// The position of the newest floor.
     #[must_use]
     pub fn furthest(&self) -> Option<stamp::Stamp> {
         self.known.back().map(|(_, stamp)| *stamp)
     }
 
-    /// Last moment at which the primary of `term` was proven to lead.
+    /// The last moment at which the primary of `term` was proven to lead.
     #[must_use]
     pub fn last_proven(&self, term: id::Term) -> Option<id::Time> {
         self.proven_at.filter(|_| term == self.term)
@@ -259,7 +267,7 @@
         let dense = self.is_dense();
         match self.known.back_mut() {
             Some((last, _)) if time < *last => {}
-            // The same moment: the lower position covers it as well.
+            // For the same moment, the lower position covers all commits as well.
             Some((last, kept)) if time == *last => *kept = (*kept).min(stamp),
             Some(last) if dense => *last = (time, stamp),
             _ => self.known.push_back((time, stamp)),
--- a/desk/src/group.rs
+++ b/desk/src/group.rs
@@ -1,4 +1,9 @@
-//! One database group: its instances, who leads, and how fresh each of them is.
+//! One database group: its instances, its primary, and which instances are fresh enough for a read.
+//!
+//! A read may go to an instance only on evidence. For reads of current data, the primary is proven
+//! to lead after the read arrived (see [`proof`]). For reads that accept some staleness, a floor is
+//! determined: a log position that covers all commits acknowledged before the read's cutoff (see
+//! [`crate::floor`]); any replica that has applied the floor may then serve the read.
 
 use std::cell;
 use std::rc;
@@ -22,39 +27,44 @@
 use crate::wait;
 use crate::witness;
 
-/// Reads ask for a floor this much younger than their bound, for the way of the request
-/// and the grain of timers.
+/// Floors are requested this much younger than the staleness bound of a read, to allow for the
+/// transit of the request and for timer granularity.
 const STALENESS_MARGIN: time::Duration = time::Duration::from_millis(60);
 
-/// A floor is renewed once it has used up this part of a read's bound. The rest is what a
-/// replica may lag behind; looks at instances are priced, and a shorter part costs more.
+/// A floor is renewed once its age reaches this percentage of a read's staleness bound. The rest is
+/// the time that a replica may lag behind; status queries load the instances, and a lower
+/// percentage needs more of them.
 const RENEWAL_PERCENT: u32 = 70;
 
-/// Least time between two attempts to renew a floor.
+/// Minimum interval between two attempts to renew a floor.
 const REFRESH_PAUSE: time::Duration = time::Duration::from_millis(60);
 
-/// Pause between looks for a primary; a gap of one second then costs about ten looks.
+/// Maximum interval between rounds of the search for a primary; a gap of one second then costs
+/// about ten status queries per instance.
 const SEARCH_INTERVAL: time::Duration = time::Duration::from_millis(120);
 
-/// A position of the primary that is older than this is asked for anew with a floor.
+/// A primary's position older than this is queried again together with a new floor.
 const MAX_POSITION_AGE: time::Duration = time::Duration::from_millis(200);
 
-/// Looks in a row at an instance that is missing from the list: the first may meet a connection that has ended
-/// with the instance, the next a new one that is refused.
+/// Status queries in a row to an instance that is missing from the list: the first may use a
+/// connection that broke when the instance ended, the next opens a new one, which is refused.
 const ABSENT_ATTEMPTS: u32 = 3;
 
-/// Longest wait for one of them: a node that lends connections may need this long to find that it has none.
+/// Timeout of each of these queries: a node that lends connections may need this long to find that
+/// it has none to the instance.
 const ABSENT_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
-/// A group as this node sees it.
+/// The state of a group as known to this node.
 pub struct Group {
-    /// Its name.
+    /// The name of the group.
     pub name: id::Group,
+    /// Failure domain of this node.
     domain: id::Domain,
     dialer: rc::Rc<dyn upstream::Dialer>,
     executor: rc::Rc<async_executor::LocalExecutor<'static>>,
     roster: roster::Roster,
     leadership: cell::RefCell<leadership::Leadership>,
+    /// Notified when a primary or a floor becomes known.
     changed: event_listener::Event,
     searching: cell::Cell<bool>,
     refreshing: cell::Cell<bool>,
@@ -64,7 +74,7 @@
 }
 
 impl Group {
-    /// A group without instances.
+    /// Creates a group without instances.
     #[must_use]
     pub fn new(
         name: id::Group,
@@ -93,15 +103,15 @@
         })
     }
 
-    /// Takes the group's part of a new list of instances.
+    /// Applies the group's part of a new list of instances.
     ///
-    /// What it says anew may have been so since `since`: after an outage of the list, an
-    /// instance that is found leaving may have announced it long ago, and would be sent
-    /// work after its time if its announcement were taken for fresh.
-    /// A node that has just started knows no such time: an announcement that it finds may be
-    /// of any age.
+    /// Changes in the list are dated back to `since`, the time of the previous list: after an
+    /// outage of the list, an instance that is found leaving may have announced it long ago. Were
+    /// its announcement taken for fresh, the instance would be sent work after it has stopped. A
+    /// node that has just started passes `None`: an announcement in its first list may be of any
+    /// age.
     ///
-    /// The list is as it was at `heard`: it may have taken long to come.
+    /// The list's content is as of `heard`; its transfer may have taken long.
     pub fn update(
         self: &rc::Rc<Self>,
         instances: Vec<catalog::Instance>,
@@ -129,19 +139,19 @@
             .as_ref()
             .filter(|leader| restarted.contains(&leader.id))
         {
-            self.suspect(leader.term, "the primary has started again");
+            self.suspect(leader.term, "the primary has restarted");
         } else if leader.is_some() && (unexpected || !restarted.is_empty()) {
-            // What a replica that has started again had confirmed, the primary's answer tells.
+            // The primary's answer bounds what the restarted replica had confirmed.
             self.search();
         } else if unexpected {
             self.search_after_jitter();
         }
     }
 
-    // Looks for the primary at a moment of this node's own, unless a caller asks for it before.
+    // Searches for the primary after a random delay, unless a request triggers the search earlier.
     //
-    // All nodes of a fleet start together and hear of all groups at once; were each to look at all
-    // instances then, the nodes that lend connections would answer none in time.
+    // All nodes of a fleet start together and learn of all groups at once. If each queried all
+    // instances at that moment, the nodes that lend connections could not answer in time.
     fn search_after_jitter(self: &rc::Rc<Self>) {
         let group = rc::Rc::clone(self);
         let delay = election::claim_window(self.dialer.node_count()).mul_f64(fastrand::f64());
@@ -154,16 +164,16 @@
         self.executor.spawn(search).detach();
     }
 
-    /// Drops what has ended, gives spare connections back, and asks those that are missing from the list
-    /// whether they live; called about once a second.
+    /// Removes instances that have ended, closes spare connections, and queries instances that are
+    /// missing from the list; called about once a second.
     pub fn tidy(self: &rc::Rc<Self>, listed: impl Fn(&upstream::Id) -> bool) {
         self.roster.tidy(listed);
         self.forget_ended();
         self.query_absent();
     }
 
-    // Asks instances that are missing from the list for their status: one that answers receives, and
-    // lets commits be acknowledged.
+    // Queries instances that are missing from the list: an instance that still answers also
+    // receives records, and commits may be acknowledged because of it.
     fn query_absent(self: &rc::Rc<Self>) {
         let none = self.roster.absent().is_empty() && self.roster.successor_candidates().is_empty();
         if none || self.querying_absent.replace(true) {
@@ -186,8 +196,8 @@
         self.executor.spawn(query).detach();
     }
 
-    /// Forgets instances that have ended. What a replica confirmed shortly before, and nobody has seen, the primary's
-    /// next answer tells.
+    /// Removes instances that have ended. Records that a removed replica confirmed shortly before,
+    /// unseen by this node, are bounded by the primary's next answer.
     pub fn forget_ended(self: &rc::Rc<Self>) {
         let forgotten = self.roster.forget_ended();
         let leader = self.leader();
@@ -200,7 +210,8 @@
         }
     }
 
-    /// Asks whoever listens where an instance has ended whether it belongs to the group, and counts it if so.
+    /// Queries whatever listens at the address of an instance that has ended, and adds it to the
+    /// roster if it belongs to the group.
     pub async fn query_successors(self: &rc::Rc<Self>, limit: time::Duration) {
         let vacated = self.roster.successor_candidates();
         for report in self.query_status(&vacated, limit).await {
@@ -208,8 +219,8 @@
         }
     }
 
-    // What a replica has applied in the present term it has received, and it goes with the pool
-    // of a process that has ended.
+    // Records that a replica has applied in the present term count as received. This is saved here
+    // because the pool, which holds the applied position, is dropped with its process.
     fn note_applied(&self, now: id::Time) {
         let Some(leader) = self.leader() else { return };
         let pools = self.others(&leader.id);
@@ -222,7 +233,7 @@
         }
     }
 
-    /// Asks instances for their status and takes note of the terms and positions that they tell.
+    /// Queries the status of instances and records the terms and positions that they report.
     pub async fn query_status(
         self: &rc::Rc<Self>,
         pools: &[rc::Rc<pool::Pool>],
@@ -234,7 +245,7 @@
         reports
     }
 
-    /// Takes note of the terms and positions that instances told, asked at `started`.
+    /// Records the terms and positions in status reports whose queries were sent at `started`.
     pub fn record_reports(&self, reports: &[status::Report], started: id::Time) {
         let lost = self
             .leadership
@@ -242,57 +253,57 @@
             .record_reports(reports, started, boot::now());
         for id in lost {
             tracing::warn!(group = %self.name, instance = %id,
-                "replica has less than it had received: it has started again");
+                "replica reports fewer records than it had received: it has restarted without its log");
             self.roster.note_lost_log(&id);
             self.leadership.borrow_mut().note_loss(boot::now());
         }
     }
 
-    /// Takes note of a record that, as others have found, a replica has received.
+    /// Records that, according to another node, a replica has received `received`.
     pub fn note_received(&self, received: stamp::Stamp) {
         let mut leadership = self.leadership.borrow_mut();
         leadership.progress().record_received(received, boot::now());
     }
 
-    /// Furthest record that a replica was seen to have received, in what is known of the
-    /// present primary's log.
+    /// The furthest record that any replica is known to have received, limited to what is known of
+    /// the present primary's log.
     #[must_use]
     pub fn furthest(&self) -> Option<stamp::Stamp> {
         self.note_applied(boot::now());
         self.vacancy().received.map(|(received, _)| received)
     }
 
-    /// The instances.
+    /// The instances known to this node.
     #[must_use]
     pub const fn roster(&self) -> &roster::Roster {
         &self.roster
     }
 
-    /// Border to the instances.
+    /// Opens connections to the instances.
     #[must_use]
     pub fn dialer(&self) -> &dyn upstream::Dialer {
         &*self.dialer
     }
 
-    /// Who leads, as far as this node knows.
+    /// The primary and its term, if known to this node.
     #[must_use]
     pub fn leader(&self) -> Option<status::Leader> {
         self.leadership.borrow().leader().cloned()
     }
 
-    /// What this node has seen of the group while it knew no primary.
+    /// Since when no primary is known, and the furthest record received.
     #[must_use]
     pub fn vacancy(&self) -> detector::Vacancy {
         self.leadership.borrow().vacancy()
     }
 
-    /// Highest term that this node has heard of.
+    /// The highest term that this node knows of.
     #[must_use]
     pub fn term(&self) -> id::Term {
         self.leadership.borrow().term()
     }
 
-    /// The primary's connections, awaiting a primary until `deadline`.
+    /// The primary's connection pool and term; waits for a primary until `deadline`.
     pub async fn wait_for_primary(
         self: &rc::Rc<Self>,
         deadline: id::Time,
@@ -305,7 +316,8 @@
                 return Some((pool, leader.term));
             }
             if self.leader().is_some() {
-                // Looks find the same one again at once, which callers' work may not go to.
+                // The search would find the same primary again at once, but callers' statements may
+                // not be sent to it.
                 wait::until(deadline, wait::sleep(SEARCH_INTERVAL)).await?;
             }
             self.search();
@@ -313,10 +325,10 @@
         }
     }
 
-    /// Takes note of the primary's answer to a command sent at `sent`.
+    /// Records the position in the primary's answer to a command sent at `sent`.
     ///
-    /// A log with a record of a later term is that of an instance that was replaced since, and follows
-    /// another.
+    /// If the log contains a record of a later term, the instance was replaced and follows another
+    /// primary.
     pub fn record_position(
         self: &rc::Rc<Self>,
         term: id::Term,
@@ -325,7 +337,7 @@
     ) {
         let Some(stamp) = stamp else { return };
         if stamp.term > term {
-            self.suspect(term, "its log is of a later term");
+            self.suspect(term, "its log contains a later term");
         } else {
             self.leadership
                 .borrow_mut()
@@ -333,17 +345,17 @@
         }
     }
 
-    /// Gives up the belief in a primary of `term` and looks for the present one.
+    /// Discards the known primary if its term is `term` or earlier, and starts a search.
     pub fn suspect(self: &rc::Rc<Self>, term: id::Term, reason: &str) {
-        let doubted = self.leadership.borrow_mut().clear_leader(term, boot::now());
-        if let Some(leader) = doubted {
+        let suspected = self.leadership.borrow_mut().clear_leader(term, boot::now());
+        if let Some(leader) = suspected {
             tracing::info!(group = %self.name, primary = %leader.id, term = leader.term, reason,
                 "primary in doubt");
         }
         self.search();
     }
 
-    /// Looks for the primary in the background until one is found.
+    /// Searches for the primary in the background until it is found.
     pub fn search(self: &rc::Rc<Self>) {
         if self.searching.replace(true) {
             return;
@@ -379,15 +391,13 @@
         true
     }
 
-    // Turns answers to looks that began at `started` into evidence.
+    // Derives evidence of leadership and positions from reports whose queries were sent at
+    // `started`.
     fn apply_reports(self: &rc::Rc<Self>, started: id::Time, reports: &[status::Report]) {
         let Some(leader) = status::find_leader(reports) else {
             return;
         };
-        if self
-            .leader()
-            .is_some_and(|believed| believed.term < leader.term)
-        {
+        if self.leader().is_some_and(|known| known.term < leader.term) {
             self.suspect(leader.term - 1, "another instance leads a later term");
         }
         let attested =
@@ -401,29 +411,29 @@
         }
     }
 
-    /// Proves that a primary leads at some moment after this call began; tells which.
+    /// Proves that a primary led at some moment after this call began, and returns it.
     pub async fn prove(self: &rc::Rc<Self>, deadline: id::Time) -> Option<status::Leader> {
         self.prover.prove(self, deadline).await
     }
 
-    /// Proves that the primary leads.
+    /// Proves leadership on behalf of all concurrent requests.
     #[must_use]
     pub const fn prover(&self) -> &proof::Prover {
         &self.prover
     }
 
-    /// Notes that the primary of `term` still led at `started`.
+    /// Records that the primary of `term` still led at `started`.
     pub fn record_leading(&self, term: id::Term, started: id::Time) {
         self.leadership.borrow_mut().record_leading(term, started);
     }
 
-    /// Executor of this node's tasks.
+    /// The executor of this node's tasks.
     #[must_use]
     pub const fn executor(&self) -> &rc::Rc<async_executor::LocalExecutor<'static>> {
         &self.executor
     }
 
-    /// Asks the group's witnesses something.
+    /// Evaluates `inspect` on the group's witnesses.
     pub fn with_witnesses<T>(&self, inspect: impl FnOnce(&witness::Witnesses<'_>) -> T) -> T {
         inspect(&witness::Witnesses {
             roster: &self.roster,
@@ -432,13 +442,13 @@
         })
     }
 
-    /// All instances other than the primary, the nearest that answers first.
+    /// All instances other than the primary, in order of preference for queries.
     #[must_use]
     pub fn others(&self, primary: &upstream::Id) -> Vec<rc::Rc<pool::Pool>> {
         self.with_witnesses(|witnesses| witnesses.others(primary))
     }
 
-    // Makes a floor for reads that accept some age.
+    // Determines a floor for reads that accept some staleness.
     async fn refresh(self: &rc::Rc<Self>) {
         let Some(leader) = self.leader() else {
             self.search();
@@ -468,14 +478,14 @@
         }
     }
 
-    // Only the instance that was last seen to lead need not answer: if any other is silent,
-    // it may be the one that leads by now.
+    // Determines a floor from the replicas alone. Only the last known primary may be silent: any
+    // other silent instance may be the primary by now.
     async fn refresh_without_primary(self: &rc::Rc<Self>) {
         let last = self.leadership.borrow().last().cloned();
         let mut pools = self.roster.pools();
         pools.retain(|pool| Some(pool.id()) != last);
         let term = self.term();
-        // One that is not listed yet may be the only replica with a commit.
+        // An instance that is not listed yet may be the only replica with a commit.
         if !self.roster.is_settled() {
             return;
         }
@@ -490,8 +500,8 @@
         }
     }
 
-    // Gets a floor that covers all commits acknowledged longer ago than `within`: from the node
-    // that keeps them, or by looks of this node's own.
+    // Obtains a floor that covers all commits acknowledged longer ago than `within`: from the
+    // delegate of the failure domain, or else by status queries of this node.
     fn refresh_soon(self: &rc::Rc<Self>, within: time::Duration) {
         if self.refreshing.replace(true) {
             return;
@@ -508,7 +518,7 @@
             .detach();
     }
 
-    // Makes a floor by looks of this node's own.
+    // Determines a floor by status queries of this node.
     fn refresh_locally_soon(self: &rc::Rc<Self>) {
         if self.refreshing_locally.replace(true) {
             return;
@@ -526,8 +536,8 @@
     async fn refresh_and_pause(self: &rc::Rc<Self>) {
         self.refresh().await;
         self.changed.notify(usize::MAX);
-        // Whoever still lacks a floor asks again at once: without a pause, a group whose
-        // primary alone answers is looked at hundreds of times a second.
+        // Tasks that still lack a floor retry at once: without a pause, a group in which only the
+        // primary answers is queried hundreds of times a second.
         wait::sleep(REFRESH_PAUSE).await;
     }
 
@@ -541,12 +551,12 @@
             return false;
         };
         let moment = response.moment(sent);
-        // A keeper that tells of less than was asked for is of no use, be it honest or slow.
+        // A response that is older than requested, or of an earlier term, is discarded.
         let serves = moment >= sent.saturating_sub(within) && response.term >= self.term();
         if serves {
             let leader = self.leader();
             if leader.is_some_and(|leader| leader.term < response.term) {
-                self.suspect(response.term - 1, "a keeper knows a later term");
+                self.suspect(response.term - 1, "a delegate reported a later term");
             }
             let mut leadership = self.leadership.borrow_mut();
             leadership.adopt(response.term, moment, response.stamp);
@@ -554,11 +564,11 @@
         serves
     }
 
-    /// A floor for another node that asked for one which covers all commits acknowledged longer ago
-    /// than `within`, made by looks of this node's own where none is known.
+    /// A floor for another node that requested one which covers all commits acknowledged longer ago
+    /// than `within`; determined by status queries of this node if none is known.
     ///
-    /// The next one is made once this has used up a part of its age, so that those that ask find
-    /// one that replicas have applied already.
+    /// The floor is renewed in the background before it expires, so that later requests get a floor
+    /// that replicas have already applied.
     pub async fn floor_for_peer(
         self: &rc::Rc<Self>,
         within: time::Duration,
@@ -585,9 +595,10 @@
         }
     }
 
-    /// An instance to read from, other than those already `tried`.
+    /// Selects an instance to read from, other than those in `tried`.
     ///
-    /// `None` when no instance is provably fresh enough before the need's deadline.
+    /// Returns `None` if no instance is proven to be fresh enough before the deadline of the
+    /// request.
     pub async fn source(
         self: &rc::Rc<Self>,
         request: &source::Requirements,
@@ -615,7 +626,7 @@
         moment: id::Time,
         floor: stamp::Stamp,
     ) -> Option<source::Source> {
-        let choice = source::Selector {
+        let selector = source::Selector {
             roster: &self.roster,
             leadership: &self.leadership.borrow(),
             domain: &self.domain,
@@ -625,9 +636,9 @@
             floor,
         };
         if request.writes {
-            choice.primary(tried)
+            selector.primary(tried)
         } else {
-            choice.best(tried)
+            selector.best(tried)
         }
     }
 
--- a/desk/src/leadership.rs
+++ b/desk/src/leadership.rs
@@ -1,4 +1,4 @@
-//! What a node believes of who leads a group, and on what evidence.
+//! Leadership of a group as known to this node: the primary, its term, and the evidence for both.
 
 use mangotray::id;
 use mangotray::role;
@@ -10,7 +10,7 @@
 use crate::status;
 use crate::upstream;
 
-/// What a node believes of who leads a group, and on what evidence.
+/// The known primary of a group, and the evidence for it.
 ///
 /// ```
 /// use mangotray_desk::{leadership, status};
@@ -24,34 +24,35 @@
 #[derive(Clone, Debug, Default)]
 pub struct Leadership {
     leader: Option<status::Leader>,
+    /// The instance that was last known to lead; kept when `leader` is cleared.
     last: Option<upstream::Id>,
     term: id::Term,
-    /// Since when no primary is known; none while one is.
+    /// Since when no primary is known; `None` while one is known.
     vacant_since: Option<id::Time>,
     progress: progress::Progress,
     floors: floor::Floors,
 }
 
 impl Leadership {
-    /// Who leads, as far as is known.
+    /// The known primary.
     #[must_use]
     pub const fn leader(&self) -> Option<&status::Leader> {
         self.leader.as_ref()
     }
 
-    /// The instance that was last seen to lead.
+    /// The instance that was last known to lead.
     #[must_use]
     pub const fn last(&self) -> Option<&upstream::Id> {
         self.last.as_ref()
     }
 
-    /// Highest term that was heard of.
+    /// The highest term known.
     #[must_use]
     pub const fn term(&self) -> id::Term {
         self.term
     }
 
-    /// What was seen while no primary was known.
+    /// Since when no primary is known, and the furthest record received.
     #[must_use]
     pub const fn vacancy(&self) -> detector::Vacancy {
         detector::Vacancy {
@@ -60,35 +61,35 @@
         }
     }
 
-    /// What replicas were seen to have received.
+    /// The records that replicas are known to have received.
     pub const fn progress(&mut self) -> &mut progress::Progress {
         &mut self.progress
     }
 
-    /// How far a log must reach.
+    /// The floors derived from the evidence of the present term.
     #[must_use]
     pub const fn floors(&self) -> &floor::Floors {
         &self.floors
     }
 
-    /// Gives up the belief in a primary of `term` or an earlier one; tells in whom.
+    /// Discards the known primary if its term is `term` or earlier, and returns it.
     pub fn clear_leader(&mut self, term: id::Term, now: id::Time) -> Option<status::Leader> {
-        let doubted = self.leader.take_if(|leader| leader.term <= term)?;
+        let cleared = self.leader.take_if(|leader| leader.term <= term)?;
         self.vacant_since = Some(now);
-        Some(doubted)
+        Some(cleared)
     }
 
-    /// Takes note of who leads; `true` where that is news.
+    /// Sets the known primary; returns whether it has changed.
     pub fn set_leader(&mut self, leader: &status::Leader) -> bool {
-        let news = self.leader.as_ref() != Some(leader);
+        let changed = self.leader.as_ref() != Some(leader);
         self.last = Some(leader.id.clone());
         self.leader = Some(leader.clone());
         self.vacant_since = None;
-        news
+        changed
     }
 
-    /// Takes note of the terms and positions that instances told at `now`, asked at `started`; tells
-    /// which replicas have lost their logs.
+    /// Records the terms and positions in reports that arrived at `now` in answer to queries sent
+    /// at `started`. Returns the replicas that have lost their logs.
     pub fn record_reports(
         &mut self,
         reports: &[status::Report],
@@ -105,57 +106,59 @@
             } else if self.last.as_ref() != Some(&report.id)
                 && self.progress.record(report, started, now)
             {
-                // The one that led last has records that no replica has received.
+                // The last primary is excluded: its log may shrink without a loss, as it has records
+                // that no replica has received.
                 lost.push(report.id.clone());
             }
         }
         lost
     }
 
-    /// Notes that a replica has lost its log, as was learnt at `now`.
+    /// Records that, as found at `now`, a replica has lost its log.
     pub const fn note_loss(&mut self, now: id::Time) {
         self.floors.note_loss(now);
     }
 
-    /// Takes note of the primary's answer to a command sent at `sent`.
+    /// Records the primary's position in the answer to a command sent at `sent`.
     pub fn record_position(&mut self, term: id::Term, sent: id::Time, stamp: stamp::Stamp) {
         self.floors.record_position(term, sent, stamp);
     }
 
-    /// Takes over a floor that another node has told of.
+    /// Adds a floor reported by another node.
     pub fn adopt(&mut self, term: id::Term, time: id::Time, stamp: stamp::Stamp) {
         self.term = self.term.max(term);
         self.floors.adopt(term, time, stamp);
     }
 
-    /// Takes a position that all instances but the primary have received, at `started`, for a
-    /// floor.
+    /// Adds a floor derived from replicas alone: `stamp` covers all commits acknowledged before
+    /// `started`.
     pub fn record_replica_only_floor(&mut self, started: id::Time, stamp: stamp::Stamp) {
         self.floors.record_position(self.term, started, stamp);
         self.floors.record_leading(self.term, started);
         self.floors.note_replica_only(started);
     }
 
-    /// Notes that the primary of `term` still led at `started`.
+    /// Records that the primary of `term` still led at `started`.
     pub fn record_leading(&mut self, term: id::Term, started: id::Time) {
         self.floors.record_leading(term, started);
     }
 
-    /// Position that holds every acknowledged commit, where all replicas together have received
-    /// `received`, and an instance was last lost at `lost`.
+    /// A position that covers every acknowledged commit, from replicas alone: `received` is the
+    /// furthest record that the remaining replicas have received, `lost` is when an instance was
+    /// last lost.
     ///
-    /// A commit is acknowledged once one replica has it. What a lost one alone had is with the
-    /// primary only, and not among what those that are left have received: they tell of all
-    /// commits only if a floor with the primary's word was proven after the loss. Where
-    /// one of two replicas is gone for good, and the other has received nothing for seconds, reads
-    /// on it would miss what only the lost one had.
+    /// A commit is acknowledged once one replica has received it. If that replica is lost, only the
+    /// primary has the commit, and the remaining replicas' positions don't cover it. They cover all
+    /// commits only if a floor based on the primary's own position was proven after the loss.
+    /// Otherwise, with one of two replicas gone for good and the other receiving nothing for
+    /// seconds, reads on the other replica would miss the commits that only the lost replica had
+    /// received.
     #[must_use]
     pub fn covering_position(
         &self,
         received: stamp::Stamp,
         lost: Option<id::Time>,
     ) -> Option<stamp::Stamp> {
-        // Evidence of an earlier term covers no commit of this one.
         self.floors.last_proven(self.term)?;
         let proven = self.floors.newest()?;
         let known = self.floors.furthest().unwrap_or_default();
@@ -163,16 +166,16 @@
             .then_some(received.max(known))
     }
 
-    /// Whether a replica that is known to have started again at `reborn` vouches for a
-    /// primary by itself.
+    /// Whether a replica that restarted at `restarted`, if it did, can prove by its report alone
+    /// that the primary of `term` leads.
     ///
-    /// It has lost its hold, and what it knew of later terms: asked alone, it would vouch for a
-    /// primary that was replaced meanwhile. It counts by itself once the primary was proven to
-    /// lead after its start, and otherwise only together with all others, one of which
-    /// would lead.
+    /// A restarted replica has lost its hold, and doesn't know of later terms: on its own, it would
+    /// confirm a primary that has been replaced. Its report suffices alone once the primary was
+    /// proven to lead after the restart; before that, it counts only together with the reports of
+    /// all others, as a new primary would be among them.
     #[must_use]
-    pub fn trusts_restarted(&self, reborn: Option<id::Time>, term: id::Term) -> bool {
+    pub fn trusts_restarted(&self, restarted: Option<id::Time>, term: id::Term) -> bool {
         let proven = self.floors.last_proven(term);
-        reborn.is_none_or(|reborn| proven > Some(reborn))
+        restarted.is_none_or(|restarted| proven > Some(restarted))
     }
 }
--- a/desk/src/member.rs
+++ b/desk/src/member.rs
@@ -1,20 +1,20 @@
-//! The other nodes of the fleet.
+//! Nodes of the fleet, as registered in the platform's store.
 
 use std::net;
 
 use mangotray::id;
 
-/// Keys of members in the platform's store begin so; the VM's name follows.
+/// Prefix of the members' keys in the platform's store; the name of the VM follows.
 pub const PREFIX: &str = "mangotray/vm/";
 
-/// A node as the others know it.
+/// A registered node.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Member {
     /// Name of its VM.
     pub name: id::Vm,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Where it serves the other nodes.
+    /// Address at which it serves the other nodes.
     pub address: net::SocketAddr,
 }
 
--- a/desk/src/progress.rs
+++ b/desk/src/progress.rs
@@ -1,4 +1,4 @@
-//! What replicas were seen to have received.
+//! Replication progress: the records that replicas are known to have received.
 
 use std::collections;
 
@@ -8,23 +8,22 @@
 use crate::status;
 use crate::upstream;
 
-/// What one replica said last.
+/// The last report of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Reported {
-    /// Newest term that it knew.
+    /// Newest term known to the replica.
     term: id::Term,
     /// Last record received.
     received: stamp::Stamp,
-    /// When its answer came.
-    heard: id::Time,
+    /// When the report arrived.
+    arrived: id::Time,
 }
 
-/// What replicas were seen to have received, each by itself and all together.
+/// The records that replicas are known to have received, for each replica and in total.
 ///
-/// A commit is acknowledged once one replica has received it. Whoever promotes, or reads
-/// without the primary's word, needs the furthest record that any replica ever had, and has to
-/// notice when a replica lost its log: it may start again empty before the list of
-/// instances tells so.
+/// A commit is acknowledged once one replica has received it. A promotion, and a read without the
+/// primary's answer, need the furthest record that any replica ever had, and need to detect when a
+/// replica lost its log: a replica may restart empty before the list of instances shows it.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -38,12 +37,12 @@
 /// let mut progress = progress::Progress::default();
 /// let [first, second, third] = [1, 2, 3].map(Duration::from_millis);
 /// assert!(!progress.record(&report(3, 462), first, third));
-/// // This answer may be older than the one before.
+/// // This report may be older than the previous one.
 /// assert!(!progress.record(&report(3, 461), second, third));
-/// // It answers with less than it had: it has started again.
+/// // It reports less than it had: it has restarted.
 /// assert!(progress.record(&report(1, 0), third, third));
 /// assert_eq!(progress.furthest().map(|(stamp, _)| stamp), Some(Stamp::new(3, 462)));
-/// // A primary of a later term has all that was ever acknowledged before.
+/// // The primary of a later term has every record acknowledged before.
 /// progress.record_primary(4, Stamp::new(3, 455));
 /// assert_eq!(progress.furthest().map(|(stamp, _)| stamp), Some(Stamp::new(3, 455)));
 /// ```
@@ -54,32 +53,32 @@
 }
 
 impl Progress {
-    /// Takes note of what a replica said at `now`, asked at `started`; `true` where it has lost
-    /// its log.
+    /// Records a replica's report, which arrived at `now` in answer to a query sent at `started`.
+    /// Returns whether the replica has lost its log.
     ///
-    /// One that goes over to a later term may drop records that its primary never had; within
-    /// a term a log only grows, and no process forgets a term. Answers may overtake each other:
-    /// only one that was asked for after the last one had come tells of a loss.
+    /// A replica that moves to a later term may drop records that its new primary never had; within
+    /// a term a log only grows, and a process never forgets a term. Reports may arrive out of
+    /// order: only a report that was requested after the previous one had arrived can show a loss.
     pub fn record(&mut self, report: &status::Report, started: id::Time, now: id::Time) -> bool {
         let status = report.status;
         self.record_received(status.received, now);
         let before = self.seen.get(&report.id).copied();
-        if before.is_some_and(|before| started < before.heard) {
+        if before.is_some_and(|before| started < before.arrived) {
             return false;
         }
-        let news = Reported {
+        let current = Reported {
             term: status.term,
             received: status.received,
-            heard: now,
+            arrived: now,
         };
-        self.seen.insert(report.id.clone(), news);
+        self.seen.insert(report.id.clone(), current);
         before.is_some_and(|before| {
-            let shorter = news.term == before.term && news.received < before.received;
-            news.term < before.term || shorter
+            let shorter = current.term == before.term && current.received < before.received;
+            current.term < before.term || shorter
         })
     }
 
-    /// Takes note of a record that some replica has received.
+    /// Records that some replica has received `received`.
     pub fn record_received(&mut self, received: stamp::Stamp, now: id::Time) {
         if self
             .furthest
@@ -89,8 +88,8 @@
         }
     }
 
-    /// Takes note of where the log of the primary of `term` stands. Records of earlier terms
-    /// beyond it were never acknowledged, or are lost for good: nobody has to wait for them.
+    /// Records the log position of the primary of `term`. Records of earlier terms beyond it were
+    /// never acknowledged or are lost for good, so a promotion need not wait for them.
     pub fn record_primary(&mut self, term: id::Term, position: stamp::Stamp) {
         if let Some((furthest, _)) = &mut self.furthest
             && furthest.term < term
@@ -99,12 +98,12 @@
         }
     }
 
-    /// Forgets what an earlier process of an instance had said of itself.
+    /// Drops the last report of an instance's earlier process.
     pub fn forget(&mut self, id: &upstream::Id) {
         self.seen.remove(id);
     }
 
-    /// Furthest record that any replica was seen to have, and when that last moved.
+    /// The furthest record that any replica is known to have received, and when it last advanced.
     #[must_use]
     pub const fn furthest(&self) -> Option<(stamp::Stamp, id::Time)> {
         self.furthest
--- a/desk/src/proof.rs
+++ b/desk/src/proof.rs
@@ -1,4 +1,4 @@
-//! Proofs that a primary leads, shared by all that wait for one.
+//! Proofs that a primary leads, shared by all concurrent requests.
 
 use std::cell;
 use std::rc;
@@ -12,11 +12,11 @@
 use crate::wait;
 use crate::witness;
 
-/// Witnesses that are asked one after the other before all are asked at once: each that does not
-/// answer costs the reads that wait for the proof 160 ms.
+/// Witnesses that are queried one after the other before all are queried at once: each that doesn't
+/// answer delays the waiting reads by 160 ms.
 const MAX_SINGLE_QUERIES: usize = 2;
 
-/// The primary that was proven to lead, if one was.
+/// The primary that was proven to lead, or `None` without a proof.
 type Proof = Option<status::Leader>;
 
 /// Proves that the primary of one group leads.
@@ -27,9 +27,9 @@
 }
 
 impl Prover {
-    /// Proves that a primary leads at some moment after this call began.
+    /// Proves that a primary led at some moment after this call began, and returns it.
     ///
-    /// Calls that wait at the same time share one look at a replica.
+    /// Concurrent calls share one round of status queries.
     pub async fn prove(&self, group: &rc::Rc<group::Group>, deadline: id::Time) -> Proof {
         let (sender, receiver) = async_channel::bounded(1);
         self.waiting.borrow_mut().push(sender);
@@ -52,14 +52,15 @@
             }
             let proof = self.try_prove(group).await;
             for waiter in waiting {
-                // Whoever no longer waits has no use for the proof.
+                // The send fails if the caller has stopped waiting.
                 let _ = waiter.try_send(proof.clone());
             }
         }
     }
 
-    /// One proof: of a witness alone where one may vouch alone, else of all of them; once more where
-    /// it was only not known yet where the primary's log stands, as on a node that has just started.
+    /// Makes one proof: from a single witness if one suffices, else from all instances. Tries again
+    /// after [`witness::REPLICATION_DELAY`] if the first attempt failed for lack of a known
+    /// position of the primary, as on a node that has just started.
     pub async fn try_prove(&self, group: &rc::Rc<group::Group>) -> Proof {
         let first = self.attempt(group).await;
         let Some(leader) = group.leader().filter(|_| first.is_none()) else {
@@ -78,43 +79,41 @@
             group.search();
             return None;
         };
-        let witnesses = group.others(&leader.id);
-        let mut reliable = witnesses.clone();
+        let others = group.others(&leader.id);
+        let mut reliable = others.clone();
         let now = boot::now();
-        group.with_witnesses(|witnesses| {
-            reliable.retain(|pool| witnesses.suffices_alone(pool, leader.term, now));
-        });
-        // One that was found deaf is heard again with all others.
+        group.with_witnesses(|set| reliable.retain(|pool| set.suffices(pool, leader.term, now)));
+        // Witnesses that lag behind in receiving records are only queried together with all others.
         reliable.retain(|pool| !pool.has_receive_lag());
-        let mut heard = reliable.len() < witnesses.len();
+        let mut answered = reliable.len() < others.len();
         for pool in reliable.iter().take(MAX_SINGLE_QUERIES) {
             let started = boot::now();
             let pools = std::slice::from_ref(pool);
             let reports = group.query_status(pools, status::TIMEOUT).await;
-            heard |= !reports.is_empty();
+            answered |= !reports.is_empty();
             let proof = judge(group, &leader, started, &reports);
             if proof.is_some() || group.leader().as_ref() != Some(&leader) {
                 return proof;
             }
         }
-        // Where none answered by itself, all of them will not either.
-        if !heard {
+        // If no witness answered a single query, a query to all of them would get no answer either.
+        if !answered {
             return None;
         }
         let started = boot::now();
-        let mut asked = witnesses;
-        // The primary's own word is needed where the others' may not do, and where its log stands
-        // tells next time whether one of them follows it.
+        let mut queried = others;
+        // The primary's own answer is needed where the other instances' answers may not suffice.
+        // Its position shows in the next attempt whether a witness follows it.
         let informed = group
             .with_witnesses(|witnesses| witnesses.knows_primary_position(leader.term, started));
-        let gap = !group.roster().is_settled() || asked.iter().any(|pool| pool.is_closed());
+        let gap = !group.roster().is_settled() || queried.iter().any(|pool| pool.is_closed());
         if gap || !informed {
-            asked.extend(group.roster().pool(&leader.id));
+            queried.extend(group.roster().pool(&leader.id));
         }
-        let reports = group.query_status(&asked, status::TIMEOUT).await;
+        let reports = group.query_status(&queried, status::TIMEOUT).await;
         if let Some(own) = reports.iter().find(|report| report.id == leader.id) {
             if own.status.role == role::Role::Replica {
-                group.suspect(leader.term, "the primary leads no more");
+                group.suspect(leader.term, "the instance is no longer primary");
                 return None;
             }
             group.record_position(leader.term, started, Some(own.status.received));
@@ -123,7 +122,7 @@
     }
 }
 
-// What looks at other instances that began at `started` say of the primary.
+// Decides from reports, whose queries were sent at `started`, whether `leader` is proven to lead.
 fn judge(
     group: &rc::Rc<group::Group>,
     leader: &status::Leader,
--- a/desk/src/serving.rs
+++ b/desk/src/serving.rs
@@ -1,8 +1,9 @@
 //! Which nodes hold the connections to an instance.
 //!
-//! Where an instance takes enough connections, every node has its own. Where the fleet is
-//! larger than that, a few nodes in the instance's failure domain hold them all and serve
-//! the others; a change of the fleet moves few instances.
+//! If an instance accepts enough connections, every node has its own. In a larger fleet, a few
+//! serving nodes in the instance's failure domain hold all connections and lend them to the other
+//! nodes. Serving nodes are chosen by rendezvous hashing, so a change of the fleet reassigns few
+//! instances.
 
 use std::hash;
 use std::hash::Hash;
@@ -13,45 +14,44 @@
 use crate::member;
 use crate::upstream;
 
-/// Part of an instance's connections that is used; the rest is for those of nodes that
-/// died, which an instance drops only after some seconds, and for the promoter.
+/// Percentage of an instance's connections that is used. The rest is reserved for the promoter and
+/// for connections of nodes that failed, which an instance drops only after some seconds.
 const USABLE_PERCENT: usize = 75;
 
-/// The same where connections belong to one organisation each: after a loss of power the new ones need
-/// as much room as the old ones take.
+/// Percentage used where each connection belongs to one organisation: after a power loss, the new
+/// connections need as much room as the old ones still occupy.
 const PER_ORGANISATION_PERCENT: usize = 50;
 
-/// Connections for each node below which a node is better served by another. After a loss
-/// of power an instance keeps the old connections for three seconds while every node opens
-/// a new one: with fewer than two for each, the fleet would lock itself out.
+/// Minimum number of connections per node for direct connections. After a power loss, an instance
+/// keeps the old connections for three seconds while every node opens a new one: with fewer than
+/// two per node, the fleet would lock itself out.
 const MIN_DIRECT_CONNECTIONS: usize = 2;
 
-/// Connections of a serving node, where the instance takes so many; more would only lie idle
-/// and linger after a loss. As few nodes as that allows serve an instance: what waits for it
-/// waits in one order, where the urgent go first, and not in one for each serving node and
-/// then in the instance's own queue.
+/// Maximum number of connections of a serving node; more would stay idle, and linger after a loss.
+/// As few nodes as this allows serve an instance, so that statements wait in one queue ordered by
+/// urgency, instead of one queue per serving node followed by the instance's own.
 const MAX_CONNECTIONS_PER_NODE: usize = 12;
 
-/// Serving nodes where the instance takes many connections. One that is lost or paused
-/// takes a fifth of the instance's work with it for a moment.
+/// Maximum number of serving nodes, for instances that accept many connections. With five, a node
+/// that is lost or paused interrupts a fifth of the instance's work for a moment.
 const MAX_SERVING_NODES: usize = 5;
 
-/// How an instance is reached.
+/// How nodes connect to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     /// Every node has its own connections.
     Direct,
-    /// This many nodes hold this many connections each.
+    /// Serving nodes hold the connections and lend them to the others.
     Shared {
-        /// Serving nodes.
+        /// Number of serving nodes.
         nodes: usize,
-        /// Connections of each.
+        /// Number of connections of each.
         each: usize,
     },
 }
 
-/// How an instance that takes `connections` is reached from a fleet of `nodes` that serves so many
-/// `organisations`.
+/// How a fleet of `nodes`, which serves so many `organisations`, connects to an instance that
+/// accepts so many `connections`.
 ///
 /// ```
 /// use mangotray_desk::serving;
@@ -69,7 +69,8 @@
     }
     let serving = clamp(used / MAX_CONNECTIONS_PER_NODE, 1, MAX_SERVING_NODES);
     let each = if organisations > 1 {
-        // Each serves one organisation only, so that no number is enough and all would lie open.
+        // Each connection serves one organisation, so no maximum per node suffices, and all would
+        // stay open.
         connections * PER_ORGANISATION_PERCENT / 100 / serving
     } else {
         clamp(used / serving, 1, MAX_CONNECTIONS_PER_NODE)
@@ -80,11 +81,12 @@
     }
 }
 
-/// Statements that one serving node lets an instance of so many slots work on at once.
+/// Maximum number of statements that one serving node has in execution at an instance with so many
+/// `slots`.
 ///
-/// One more than the slots: the next statement is there when one is done. The instance serves its
-/// own queue in order of arrival, so that with five, the bids that are due in 120 ms waited for
-/// 70 ms behind reports. Serving nodes may be cut off, so that each alone keeps the slots full.
+/// One more than the slots, so that the next statement is there when one completes. The instance
+/// serves its own queue in order of arrival: with a limit of five, bids due within 120 ms waited 70
+/// ms behind reports. Each serving node alone keeps the slots full, as the others may be cut off.
 ///
 /// ```
 /// use mangotray_desk::serving;
@@ -107,8 +109,8 @@
     }
 }
 
-/// The members in the order in which they serve an instance: those of its failure domain
-/// first, and among them an order that depends on both names.
+/// The members in the order in which they serve an instance: those in its failure domain first,
+/// then by a hash of member and instance.
 ///
 /// ```
 /// use mangotray_desk::{member, serving};
@@ -132,7 +134,7 @@
     order
 }
 
-/// The members in an order that depends on their names and on a word, the same on all nodes.
+/// The members ordered by a hash of their name and `key`; the same on all nodes.
 ///
 /// ```
 /// use mangotray_desk::{member, serving};
@@ -156,10 +158,10 @@
     affinity(&member.name, key)
 }
 
-/// How much a name and a word belong together; the same on all nodes.
+/// Rendezvous hash of a name and a key; the same on all nodes.
 #[must_use]
 pub fn affinity(name: &str, key: &str) -> u64 {
-    // Keys are fixed, so that all nodes compute the same order.
+    // The hasher's keys are fixed, so that all nodes compute the same order.
     let mut hasher = hash::DefaultHasher::new();
     (name, key).hash(&mut hasher);
     hasher.finish()
--- a/desk/src/source.rs
+++ b/desk/src/source.rs
@@ -1,4 +1,4 @@
-//! Which instance a read goes to.
+//! Selects the instance that serves a read.
 
 use std::rc;
 use std::time;
@@ -16,72 +16,73 @@
 use crate::serving;
 use crate::upstream;
 
-/// A replica that refused a read for being behind is left alone for this long, unless it
-/// is seen to have caught up.
+/// A replica that refused a read for being behind is avoided for this long, unless it is seen to
+/// have caught up.
 const BEHIND_RETRY_PAUSE: time::Duration = time::Duration::from_millis(150);
 
-/// What one request needs of the instance that reads for it.
+/// What a request requires of the instance that serves its read.
 #[derive(Clone, Debug)]
 pub struct Requirements {
-    /// When the request, or its transaction's first statement, arrived.
+    /// Arrival time of the request, or of its transaction's first statement.
     pub arrived: id::Time,
-    /// What its route accepts.
+    /// The staleness that its route accepts.
     pub freshness: catalog::Freshness,
-    /// Only the primary will do, as it may write.
+    /// Whether only the primary can serve it, as it may write.
     pub writes: bool,
-    /// The session's own last commit.
+    /// Position of the session's own last commit.
     pub own: Option<stamp::Stamp>,
-    /// For whom it runs.
+    /// The organisation that it is executed for.
     pub organisation: organisation::Name,
-    /// No use to try after this.
+    /// Deadline of the request.
     pub deadline: id::Time,
 }
 
-/// An instance to read from, and the position that its log must hold.
+/// An instance to read from, and the position that its log must contain.
 pub struct Source {
-    /// Its connections.
+    /// The instance's connection pool.
     pub pool: rc::Rc<pool::Pool>,
-    /// Position that the instance must check; none at a proven primary.
+    /// Position that the instance must check before it executes the read; `None` for a proven
+    /// primary.
     pub after: Option<stamp::Stamp>,
-    /// The primary's term, where it is the primary.
+    /// The primary's term, if the instance is the primary.
     pub leads: Option<id::Term>,
 }
 
-/// What a read of some age is chosen an instance for.
+/// Selects the instance for a read that accepts some staleness.
 pub struct Selector<'a> {
-    /// The instances.
+    /// The instances known to this node.
     pub roster: &'a roster::Roster,
-    /// Who leads.
+    /// The known primary, and the evidence for it.
     pub leadership: &'a leadership::Leadership,
     /// Failure domain of this node.
     pub domain: &'a id::Domain,
-    /// The session's own last commit.
+    /// Position of the session's own last commit.
     pub own: Option<stamp::Stamp>,
-    /// For whom it runs.
+    /// The organisation that it is executed for.
     pub organisation: &'a organisation::Name,
-    /// The primary serves it too if it was proven to lead since then.
+    /// The read's cutoff: the primary may serve the read if it was proven to lead since then.
     pub moment: id::Time,
-    /// Position that a replica must hold.
+    /// The floor: position that a replica's log must contain.
     pub floor: stamp::Stamp,
 }
 
 impl Selector<'_> {
-    /// The instance that serves it best, other than those already `tried`.
+    /// The usable instance with the lowest cost, other than those in `tried`.
     #[must_use]
     pub fn best(&self, tried: &[upstream::Id]) -> Option<Source> {
         let leads = self.proven();
         let pools = self.roster.pools().into_iter().filter(|pool| {
             let id = pool.id();
-            let believed = self
+            let is_leader = self
                 .leadership
                 .leader()
                 .is_some_and(|leader| leader.id == id);
-            let unproven = believed && leads.is_none();
+            let unproven = is_leader && leads.is_none();
             !tried.contains(&id) && self.roster.is_usable(&id) && !unproven
         });
         let preferred = self.preferred();
         let sources = pools.map(|pool| {
-            let leads = leads.filter(|_| self.is_lead(&pool.id()));
+            let leads = leads.filter(|_| self.is_leader(&pool.id()));
             Source {
                 after: leads.is_none().then_some(self.floor),
                 pool,
@@ -91,24 +92,24 @@
         sources.min_by_key(|source| self.candidate(source, preferred.as_ref()).cost())
     }
 
-    // The replica that reads of the organisation go to as a rule: its connections are there. None where
-    // connections belong to nobody.
+    // The replica that serves the organisation's reads by default, as the organisation's
+    // connections are to that replica. `None` if connections are not bound to an organisation.
     fn preferred(&self) -> Option<upstream::Id> {
         if *self.organisation == organisation::OWN {
             return None;
         }
         let ids = self.roster.pools().into_iter().map(|pool| pool.id());
-        let replicas = ids.filter(|id| !self.is_lead(id) && self.roster.is_usable(id));
+        let replicas = ids.filter(|id| !self.is_leader(id) && self.roster.is_usable(id));
         replicas.max_by_key(|id| serving::affinity(id, self.organisation))
     }
 
-    fn is_lead(&self, id: &upstream::Id) -> bool {
+    fn is_leader(&self, id: &upstream::Id) -> bool {
         self.leadership
             .leader()
             .is_some_and(|leader| leader.id == *id)
     }
 
-    /// The primary, if it may serve this read.
+    /// The primary, if it may serve the read.
     #[must_use]
     pub fn primary(&self, tried: &[upstream::Id]) -> Option<Source> {
         let leads = self.proven()?;
@@ -121,9 +122,10 @@
         })
     }
 
-    // Term of the primary, if it may serve this read.
+    // The primary's term, if the primary may serve the read.
     //
-    // Evidence of a later term says nothing for this primary, rather the contrary.
+    // Evidence of a later term doesn't prove that this primary leads; it shows rather that it was
+    // replaced.
     fn proven(&self) -> Option<id::Term> {
         let leader = self.leadership.leader()?;
         let proven = self.leadership.floors().last_proven(leader.term);
--- a/desk/src/status.rs
+++ b/desk/src/status.rs
@@ -1,4 +1,4 @@
-//! Looks at the instances of a group: who leads, and is that still so.
+//! Status queries to the instances of a group, and what their reports say about its primary.
 
 use std::rc;
 use std::time;
@@ -18,11 +18,12 @@
 use crate::urgency;
 use crate::wait;
 
-/// Longest wait for one look: four times the 41 ms that 99 of 100 looks take under load. A
-/// shorter one is repeated while the first is still at work, and doubles the load.
+/// Timeout of one status query: four times the 41 ms within which 99 of 100 queries are answered
+/// under load. A shorter timeout would repeat a query while the first is still being processed,
+/// which doubles the load.
 pub const TIMEOUT: time::Duration = time::Duration::from_millis(160);
 
-/// The instance that leads, and in which term.
+/// A primary and the term in which it leads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Leader {
     /// Id of the primary.
@@ -31,19 +32,19 @@
     pub term: id::Term,
 }
 
-/// What one instance said.
+/// An instance's answer to a status query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The instance.
+    /// Id of the instance.
     pub id: upstream::Id,
-    /// What it said.
+    /// The status row.
     pub status: upstream::Status,
-    /// Last record that it had applied.
+    /// Last record applied.
     pub applied: Option<stamp::Stamp>,
 }
 
 impl Report {
-    /// What an instance's answer to a command for its status says.
+    /// Parses the reply to [`upstream::Command::Status`]; `None` if it is not a status row.
     #[must_use]
     pub fn parse(
         id: upstream::Id,
@@ -57,7 +58,7 @@
         })
     }
 
-    /// The instance as one that leads.
+    /// The reporting instance and its term, as a primary.
     #[must_use]
     pub fn leader(&self) -> Leader {
         Leader {
@@ -67,7 +68,8 @@
     }
 }
 
-/// The one that leads the latest term, of those that say that they lead the term `least` or a later one.
+/// The primary of the latest term, among instances that report being primary in term `least` or
+/// later.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -90,7 +92,7 @@
         .map(Report::leader)
 }
 
-/// A connection for a command of this node's own, before all statements of callers.
+/// Borrows a connection for a command of this node itself, ahead of callers' statements.
 pub async fn connection(
     pool: &rc::Rc<pool::Pool>,
     deadline: id::Time,
@@ -103,7 +105,7 @@
     lent.ok()
 }
 
-/// Asks one instance for its status.
+/// Queries the status of one instance; `None` if it doesn't answer within `limit`.
 pub async fn query(
     pool: &rc::Rc<pool::Pool>,
     dialer: &dyn upstream::Dialer,
@@ -121,24 +123,24 @@
     Some(report)
 }
 
-/// Asks several instances at once; those that do not answer in time are left out.
+/// Queries several instances concurrently; those that don't answer within `limit` are left out.
 pub async fn query_all(
     pools: &[rc::Rc<pool::Pool>],
     dialer: &dyn upstream::Dialer,
     limit: time::Duration,
 ) -> Vec<Report> {
-    let reports = pools.iter().map(|pool| query(pool, dialer, limit));
-    future::join_all(reports)
+    let queries = pools.iter().map(|pool| query(pool, dialer, limit));
+    future::join_all(queries)
         .await
         .into_iter()
         .flatten()
         .collect()
 }
 
-/// Who leads, as far as these answers tell.
+/// The primary according to these reports.
 ///
-/// Nobody, while any instance is held for a later term: a promotion is under way then and
-/// may be over before the next statement arrives.
+/// `None` while any instance is held for a later term: a promotion is in progress then, and may
+/// complete before the next statement arrives.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -156,7 +158,8 @@
     (!replaced).then_some(found)
 }
 
-/// Whether an instance's answer shows that a primary of `term` is, or soon may be, replaced.
+/// Whether a status shows that the primary of `term` has been replaced, or that a promotion to
+/// replace it has begun.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -169,11 +172,11 @@
     status.term > term || status.held > term
 }
 
-/// Whether an instance's answer shows that it knows of the primary of `term`, or was held for
-/// its promotion.
+/// Whether a status shows that the instance knows of the primary of `term`, or was held for its
+/// promotion.
 ///
-/// One that does not may have lost its log, and with it the hold of a promotion that came
-/// after: its word alone says nothing.
+/// An instance that doesn't know the term may have lost its log, and with it the hold of a later
+/// promotion, so its report alone proves nothing.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -187,11 +190,11 @@
     status.term >= term || status.held >= term
 }
 
-/// Position that holds every acknowledged commit, from the replicas alone.
+/// A position that covers every acknowledged commit, from the replicas' reports alone.
 ///
-/// A commit is acknowledged once one replica has received it. As long as every instance
-/// but the primary is still a replica of this term or an earlier one, no promotion has
-/// finished, and the furthest of them has received every acknowledged commit.
+/// A commit is acknowledged once one replica has received it. As long as every instance but the
+/// primary (`others` instances) is still a replica of `term` or an earlier one, no promotion has
+/// completed, and the replica with the furthest log has received every acknowledged commit.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -215,7 +218,7 @@
     positions.into_iter().max().filter(|_| whole)
 }
 
-/// Waits a little longer after each fruitless look, up to `ceiling`.
+/// Waits after a round without success: 30 ms more for each round, up to `ceiling`.
 pub async fn back_off(round: u32, ceiling: time::Duration) {
     let step = time::Duration::from_millis(30) * (round + 1).min(20);
     wait::sleep(step.min(ceiling)).await;
--- a/desk/src/upstream.rs
+++ b/desk/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Border to the instances of a group.
+//! Interface to the instances of a group: commands, status, and connections.
 
 use std::cell;
 use std::net;
@@ -17,153 +17,153 @@
 use crate::statement;
 use crate::urgency;
 
-/// Id of an instance; a replacement at the same address has another one.
+/// Id of an instance; a replacement at the same address has a different id.
 pub type Id = CompactString;
 
-/// When an instance's process started, in Unix milliseconds; 0 where that is not told. One
-/// that starts again under its id holds and knows nothing of before.
+/// Start time of an instance's process in Unix milliseconds; 0 if unknown. An instance that
+/// restarts under the same id has lost its hold and its knowledge of terms.
 pub type StartTime = u64;
 
-/// Where and whom to call.
+/// The instance that a connection is opened to.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Target {
     /// Address of the instance.
     pub address: net::SocketAddr,
-    /// Its group.
+    /// Group of the instance.
     pub group: id::Group,
-    /// Its id, so that a newcomer at a used address refuses the connection.
+    /// Id of the instance, so that a different instance at the same address refuses the connection.
     pub id: Id,
-    /// When its process started.
+    /// Start time of its process.
     pub born: StartTime,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub domain: id::Domain,
-    /// Statements that it works on at once.
+    /// Number of statements that it executes concurrently.
     pub slots: usize,
-    /// In whose name the connection is opened; it serves nobody else.
+    /// The organisation that the connection is opened for; it serves no other.
     pub organisation: organisation::Name,
-    /// Any instance of the group at this address is meant: one that has ended listened there, and the id of
-    /// its successor is not known.
+    /// Whether any instance of the group at this address is accepted: used after an instance at the
+    /// address has ended and the id of its successor is not known.
     pub any: bool,
 }
 
-/// One command to an instance.
+/// A command to an instance.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Command {
-    /// A caller's statement, unchanged, optionally only at or after a position.
+    /// A caller's statement, unchanged; optionally executed only at or after a position.
     Run {
-        /// The caller's id.
+        /// Statement id given by the caller.
         id: statement::Id,
-        /// The caller's words.
+        /// Text of the statement.
         text: CompactString,
-        /// Position that the instance's log must hold.
+        /// Position that the instance's log must contain.
         after: Option<stamp::Stamp>,
     },
-    /// A caller's prepared statement under the name that it has on this connection.
+    /// A caller's prepared statement, by its name on this connection.
     Execute {
-        /// The caller's id.
+        /// Statement id given by the caller.
         id: statement::Id,
         /// Name on the connection.
         handle: CompactString,
-        /// Item, and data where it writes.
+        /// The item, and the data for a write.
         arguments: CompactString,
-        /// Position that the instance's log must hold.
+        /// Position that the instance's log must contain.
         after: Option<stamp::Stamp>,
     },
-    /// Opens a transaction, as its caller asked for.
+    /// Begins a transaction for a caller.
     Begin {
-        /// The caller's id.
+        /// Statement id given by the caller.
         id: statement::Id,
-        /// It only reads.
+        /// Whether it only reads.
         read_only: bool,
-        /// Position that the instance's log must hold.
+        /// Position that the instance's log must contain.
         after: Option<stamp::Stamp>,
     },
-    /// Drops the open transaction.
+    /// Rolls back the open transaction.
     Rollback {
-        /// The caller's id, where it was the caller that asked.
+        /// Statement id given by the caller, if the caller requested the rollback.
         id: Option<statement::Id>,
     },
-    /// Sets a value.
+    /// Sets a session value.
     Set {
-        /// Its name.
+        /// Name of the session value.
         name: statement::Name,
         /// The value.
         value: CompactString,
     },
-    /// Prepares a shape under a name of the connection.
+    /// Prepares a statement under a name on the connection.
     Prepare {
         /// Name on the connection.
         handle: CompactString,
-        /// What it does.
+        /// The statement.
         shape: statement::Shape,
     },
-    /// Clears values and prepared statements.
+    /// Clears session values and prepared statements.
     Reset,
     /// Asks for the instance's [`Status`].
     Status,
-    /// Stops a replica from receiving records of terms below this one.
+    /// Holds a replica: it stops receiving records of terms below this one.
     Hold(id::Term),
-    /// Ends a hold.
+    /// Ends the hold.
     Resume,
-    /// Turns a primary of a lower term into a replica.
+    /// Demotes a primary of a lower term to replica.
     Demote(id::Term),
 }
 
-/// What an instance tells about itself.
+/// The status that an instance reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Role as it sees itself.
+    /// Role, by the instance's own account.
     pub role: role::Role,
-    /// Newest term that it knows.
+    /// Newest term that the instance knows of.
     pub term: id::Term,
     /// Last record received, applied or not.
     pub received: stamp::Stamp,
     /// Term of the hold, 0 without one.
     pub held: id::Term,
-    /// How much it has to do.
+    /// Load of the instance.
     pub load: Load,
 }
 
-/// How much an instance has to do.
+/// The load of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Time after which it will have applied what it has received, as it reckons: it grows at
-    /// once when a record will take long, and counts down.
+    /// Estimated time until the instance has applied what it has received: rises at once when a
+    /// record is expected to take long, then counts down.
     pub lag: time::Duration,
 }
 
-/// Why an exchange gave no whole answer.
+/// Why commands got no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Failure {
-    /// Some byte of the commands may have arrived.
+    /// Whether any byte of the commands may have reached the instance.
     pub sent: bool,
-    /// They waited behind others until their time to begin was over.
+    /// Whether they waited in a queue until their start deadline had passed.
     pub crowded: bool,
-    /// For a human.
+    /// Description for logs.
     pub detail: CompactString,
 }
 
-/// Why no connection came about.
+/// Why a connection could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Refusal {
-    /// All connections of the instance are taken.
+    /// All connections of the instance are in use.
     Full,
-    /// Another instance is there now.
+    /// A different instance listens at the address.
     Wrong,
-    /// Nobody answers, or not in time.
+    /// No answer, or not in time.
     Silent(CompactString),
-    /// The address refuses connections: the process is not there.
+    /// The address refuses connections: the process is not running.
     Closed,
 }
 
 /// An open connection to an instance.
 pub trait Connection {
-    /// Sends all commands in one write and awaits all answers. The urgency matters where
-    /// another node runs the commands and has a queue of its own; the organisation where it lends
-    /// connections of several.
+    /// Sends all commands in one write and waits for all answers. The urgency matters if another
+    /// node executes the commands and queues them itself; the organisation, if that node lends
+    /// connections of several organisations.
     ///
     /// # Errors
-    /// When the connection broke before the last answer was whole.
+    /// Returns a [`Failure`] if the connection broke before the last answer was complete.
     fn run<'a>(
         &'a mut self,
         commands: &'a [Command],
@@ -171,66 +171,70 @@
         organisation: &'a organisation::Name,
     ) -> future::LocalBoxFuture<'a, Result<Vec<reply::Reply>, Failure>>;
 
-    /// Whether the far end is still there, as far as a look without waiting can tell.
+    /// Whether the peer is still connected, as far as a non-blocking check can tell.
     fn alive(&mut self) -> bool;
 
-    /// Whether commands that set values cannot fail on their own.
+    /// Whether [`Command::Set`] can't fail on its own.
     fn set_always_succeeds(&self) -> bool {
         false
     }
 
-    /// Whether it serves any organisation, as it leads to a node that lends connections of each.
+    /// Whether the connection serves every organisation, as it leads to a node that lends
+    /// connections of each.
     fn serves_any_organisation(&self) -> bool {
         false
     }
 
-    /// How long the instance may answer nothing before it is suspected.
+    /// How long the instance may stay silent before it is suspected to have failed.
     fn silence_timeout(&self) -> time::Duration;
 
-    /// When the far end last told that it is at work on what was sent, if it tells such a thing.
+    /// Time of the last heartbeat that the peer sent while it was processing commands; `None` if
+    /// the peer sends no heartbeats.
     fn heartbeat(&self) -> Option<Heartbeat> {
         None
     }
 }
 
-/// The time of a connection's last heartbeat, to be read while commands run on it.
+/// The time of a connection's last heartbeat, shared so that it can be read while commands run on
+/// the connection.
 pub type Heartbeat = rc::Rc<cell::Cell<id::Time>>;
 
-/// Held while a connection is being opened.
+/// A permit to open a connection; held while the connection is being opened.
 pub type Permit = async_lock::SemaphoreGuardArc;
 
-/// A fresh connection and where the instance's log stood.
+/// A new connection, and the position of the instance's log.
 pub type Dialled = (Box<dyn Connection>, Option<stamp::Stamp>);
 
 /// Opens connections.
 pub trait Dialer {
-    /// Connects and names the instance that is meant.
+    /// Connects to the instance given by `target`.
     ///
     /// # Errors
-    /// When there is no connection to that very instance.
+    /// Returns a [`Refusal`] if no connection to that very instance can be opened.
     fn dial<'a>(
         &'a self,
         target: &'a Target,
     ) -> future::LocalBoxFuture<'a, Result<Dialled, Refusal>>;
 
-    /// The right to open one more connection now: a node that opens many at once takes the time of those
-    /// that are to answer.
+    /// Waits for a permit to open one more connection: a node that opens many at once slows down
+    /// those that have to answer. `None` if connections are not limited.
     fn permit(&self) -> future::LocalBoxFuture<'_, Option<Permit>> {
         Box::pin(future::ready(None))
     }
 
-    /// Nodes that share the instances with this one, itself included.
+    /// Number of nodes that share the instances, including this one.
     fn node_count(&self) -> usize {
         1
     }
 
-    /// Whether a connection of this node's own is a last resort, which others may need more: it is closed
-    /// once it has served.
+    /// Whether this node's own connections to `target` are a last resort, to be closed after use,
+    /// as other nodes may need them more.
     fn is_last_resort(&self, _target: &Target) -> bool {
         false
     }
 
-    /// Asks the node that keeps a group's floors for one; none where this node has to look itself.
+    /// Requests a floor from the delegate of this node's failure domain; `None` if this node has to
+    /// query the instances itself.
     fn request_floor<'a>(
         &'a self,
         _ask: &'a delegate::Request,
@@ -238,6 +242,6 @@
         Box::pin(future::ready(None))
     }
 
-    /// Reads the row that answers [`Command::Status`], [`Command::Hold`] and [`Command::Demote`].
+    /// Parses the row that answers [`Command::Status`], [`Command::Hold`] and [`Command::Demote`].
     fn status(&self, reply: &reply::Reply) -> Option<Status>;
 }
--- a/desk/src/witness.rs
+++ b/desk/src/witness.rs
@@ -1,10 +1,13 @@
-//! Which instances' answers prove that a primary leads.
+//! Witnesses: which instances' reports prove that a primary leads.
 //!
-//! A promotion holds all instances that its promoter lists before it orders anything. So one that
-//! is not held, and knows of the primary, proves that nobody had replaced the primary when it was
-//! asked, provided that every promoter lists it and that it has not lost its hold. A promotion ends
-//! the holds of all replicas as it takes effect: one that receives nothing is free then, and has heard of
-//! no later term. So a witness has to follow the primary.
+//! A promotion holds all instances that the promoter lists before it orders the change. So an
+//! instance that isn't held, and knows of the primary, proves that the primary had not been
+//! replaced when the instance was queried, provided that every promoter lists the instance and that
+//! it has not lost its hold.
+//!
+//! When a promotion takes effect, it ends the holds of all replicas. A replica that receives no
+//! records is not held then, and doesn't know of the later term. So a witness also has to follow
+//! the primary: it must have received what the primary had [`REPLICATION_DELAY`] ago.
 
 use std::rc;
 use std::time;
@@ -20,22 +23,23 @@
 use crate::status;
 use crate::upstream;
 
-/// A replica that follows a primary has received what the primary had this long ago: records take a
-/// way across the network, whatever a replica needs to apply them.
+/// A replica that follows a primary has received what the primary's log held this long ago. Allows
+/// for the transit of records across the network; the time to apply them doesn't count.
 pub const REPLICATION_DELAY: time::Duration = time::Duration::from_millis(250);
 
-/// The instances of a group beside its primary, as witnesses.
+/// The instances of a group other than its primary, as witnesses.
 pub struct Witnesses<'a> {
-    /// The instances.
+    /// The instances known to this node.
     pub roster: &'a roster::Roster,
-    /// Who leads, and what was seen of the others.
+    /// The known primary, and the evidence for it.
     pub leadership: &'a leadership::Leadership,
     /// Failure domain of this node.
     pub domain: &'a id::Domain,
 }
 
 impl Witnesses<'_> {
-    /// All instances other than the primary, the nearest that answers first.
+    /// All instances other than the primary, in order of preference: reachable ones, then those in
+    /// this node's failure domain, then the least loaded.
     #[must_use]
     pub fn others(&self, primary: &upstream::Id) -> Vec<rc::Rc<pool::Pool>> {
         let mut pools = self.roster.pools();
@@ -47,41 +51,45 @@
         pools
     }
 
-    /// Whether an instance that is asked at `started` may prove by itself that the primary of `term`
-    /// leads.
+    /// Whether a report of this instance alone, queried at `started`, can prove that the primary of
+    /// `term` leads.
     ///
-    /// A promoter lists an instance until it has been missing from the list for 5.5 s. One that
-    /// this node lists, but would not if it had had word of the list, may have been passed over:
-    /// its word alone is not taken. Nor is that of one that has started again since the primary was
-    /// last proven to lead, nor that of any while nobody knows where the primary's log stands.
+    /// A promoter lists an instance until it has been missing from the list for 5.5 s. An instance
+    /// that is in this node's list only because the list is out of date may have been left out of a
+    /// promotion, so its report alone doesn't suffice. Nor does a report of an instance that
+    /// restarted after the primary was last proven to lead, nor any report while the position of
+    /// the primary's log is unknown.
     #[must_use]
-    pub fn suffices_alone(&self, pool: &pool::Pool, term: id::Term, started: id::Time) -> bool {
+    pub fn suffices(&self, pool: &pool::Pool, term: id::Term, started: id::Time) -> bool {
         let listed = self.roster.is_fresh(boot::now()) && !self.roster.is_unlisted(pool);
         listed
             && self.knows_primary_position(term, started)
             && self.leadership.trusts_restarted(pool.restarted_at(), term)
     }
 
-    /// Whether this node knows where the log of the primary of `term` stood a moment before `started`,
-    /// which a witness that vouches alone must have received.
+    /// Whether this node knows the primary's position shortly before `started`, which a single
+    /// witness must have received.
     #[must_use]
     pub fn knows_primary_position(&self, term: id::Term, started: id::Time) -> bool {
         self.primary_position(term, started).is_some()
     }
 
-    // Where the log of the primary stood a moment before `started`.
+    // The position of the primary [`REPLICATION_DELAY`] before `started`.
     fn primary_position(&self, term: id::Term, started: id::Time) -> Option<stamp::Stamp> {
         let moment = started.saturating_sub(REPLICATION_DELAY);
         self.leadership.floors().position_at(term, moment)
     }
 
-    /// Whether these answers to looks that began at `started` prove that `leader` leads.
+    /// Whether these reports, whose queries were sent at `started`, prove that `leader` leads.
+    ///
+    /// They do if one of them suffices alone, or if all other instances have answered: a new
+    /// primary would be among them. In two cases an instance need not have answered, provided that
+    /// the primary itself reports that it leads, as a promotion would have notified it, and that
+    /// none of the instances that answered has restarted:
     ///
-    /// They do if one vouches by itself, or if all others have answered: one of them would lead. Two
-    /// gaps count as answers only where the primary itself says that it leads, as it would have been
-    /// told, and where none of the others has started again. An instance may be missing
-    /// from a list that is not settled; and one whose process is gone may have led, but then it has
-    /// acknowledged nothing, as none of those that answer has heard of it.
+    /// - The instance may be missing from the list, which is not settled yet.
+    /// - The instance's process is gone. It may have been promoted before, but then it has
+    ///   acknowledged nothing, as none of the instances that answered knows of its term.
     #[must_use]
     pub fn prove_leadership(
         &self,
@@ -93,17 +101,17 @@
         let answer =
             |pool: &rc::Rc<pool::Pool>| reports.iter().find(|report| report.id == pool.id());
         let primary_position = self.primary_position(leader.term, started);
-        let vouches = |pool: &rc::Rc<pool::Pool>| {
+        let proves = |pool: &rc::Rc<pool::Pool>| {
             let Some(report) = answer(pool) else {
                 return false;
             };
-            let deaf = Some(report.status.received) < primary_position;
-            pool.note_receive_lag(deaf);
-            !deaf
+            let lagging = Some(report.status.received) < primary_position;
+            pool.note_receive_lag(lagging);
+            !lagging
                 && status::knows_term(&report.status, leader.term)
-                && self.suffices_alone(pool, leader.term, started)
+                && self.suffices(pool, leader.term, started)
         };
-        if others.iter().any(vouches) {
+        if others.iter().any(proves) {
             return true;
         }
         let (answered, silent): (Vec<_>, Vec<_>) =
@@ -112,14 +120,14 @@
         if answered.is_empty() || !silent.iter().all(|pool| settled && pool.is_closed()) {
             return false;
         }
-        let says_so = reports
+        let claims_leadership = reports
             .iter()
             .any(|report| report.id == leader.id && report.status.role == role::Role::Primary);
-        let lasting = |pool: &&rc::Rc<pool::Pool>| {
+        let trusted = |pool: &&rc::Rc<pool::Pool>| {
             self.leadership
                 .trusts_restarted(pool.restarted_at(), leader.term)
         };
         let whole = settled && silent.is_empty();
-        whole || (says_so && answered.iter().all(lasting))
+        whole || (claims_leadership && answered.iter().all(trusted))
     }
 }
--- a/desk/tests/delegate.rs
+++ b/desk/tests/delegate.rs
@@ -1,4 +1,4 @@
-//! Floors that one node of a failure domain keeps for the others.
+//! Floors that a delegate determines for its failure domain.
 
 mod stage;
 
@@ -27,7 +27,8 @@
 const AGE: time::Duration = time::Duration::from_millis(1500);
 const LONG: time::Duration = time::Duration::from_secs(5);
 
-/// Reaches the instances on stage, and a keeper that says what the test wants.
+/// A dialer that reaches the instances of the stage, with a delegate that answers as set by the
+/// test.
 struct FakeDialer {
     direct: stage::Dialer,
     response: cell::Cell<Option<delegate::Response>>,
@@ -113,36 +114,35 @@
     }
 }
 
-/// Time after which the floor that comes with the search for a primary is of no use.
-async fn outlive_own_floor() {
+/// Waits until the floor found by the search for a primary has expired.
+async fn wait_until_own_floor_expires() {
     wait::sleep(AGE).await;
 }
 
 #[test]
-fn a_floor_that_a_keeper_tells_needs_no_look() {
+fn a_floor_from_a_delegate_needs_no_status_query() {
     let scene = Scene::new();
     scene.stage.run(async {
         scene.led().await;
-        outlive_own_floor().await;
-        let looks = scene.stage.world.borrow().looks;
+        wait_until_own_floor_expires().await;
+        let queries = scene.stage.world.borrow().looks;
         let known = response(1, 9, time::Duration::from_millis(600));
         scene.dialer.response.set(Some(known));
         let source = scene.read().await.expect("a source");
         assert!(source.after.is_none_or(|after| after == known.stamp));
-        assert_eq!(scene.stage.world.borrow().looks, looks);
+        assert_eq!(scene.stage.world.borrow().looks, queries);
     });
 }
 
-/// Symptom: a read of data at most 1.5 s old lacks a commit that was acknowledged two seconds before.
-/// Events: a keeper was paused, or its clock stood still, and tells a floor that is older than what
-/// was asked for.
-/// Cause: whatever a keeper tells was taken for what was asked.
+/// Guards against a read with a staleness bound of 1.5 s that misses a commit acknowledged two
+/// seconds before. A delegate was paused, or its clock stood still, and responds with a floor that
+/// is older than requested. The response was used without a check of its age.
 #[test]
-fn a_floor_older_than_was_asked_for_is_of_no_use() {
+fn a_floor_older_than_requested_is_discarded() {
     let scene = Scene::new();
     scene.stage.run(async {
         scene.led().await;
-        outlive_own_floor().await;
+        wait_until_own_floor_expires().await;
         scene.dialer.response.set(Some(response(1, 2, 2 * AGE)));
         let source = scene.read().await.expect("a source");
         assert!(scene.dialer.asked.get() > 0);
@@ -151,12 +151,11 @@
     });
 }
 
-/// Symptom: reads run on a log that ends a term earlier.
-/// Events: a promotion comes between a keeper's look and the use of its floor; the node that asks knows
-/// of the later term already.
-/// Cause: evidence of an earlier term was taken for one of the present.
+/// Guards against reads on a log that ends a term earlier. A promotion completes between a
+/// delegate's query and the use of its floor, and the requesting node already knows of the later
+/// term. Evidence of the earlier term was used for the present one.
 #[test]
-fn a_floor_of_an_earlier_term_is_of_no_use() {
+fn a_floor_of_an_earlier_term_is_discarded() {
     let scene = Scene::new();
     scene.stage.run(async {
         scene.led().await;
@@ -164,7 +163,7 @@
         scene.group.suspect(1, "test");
         let led = || scene.group.leader().is_some_and(|leader| leader.term == 2);
         stage::until("the later primary is found", led).await;
-        outlive_own_floor().await;
+        wait_until_own_floor_expires().await;
         scene
             .dialer
             .response
@@ -174,15 +173,14 @@
     });
 }
 
-/// Symptom: reads go to a primary that was replaced.
-/// Events: a keeper tells a floor of a later term than this node knows.
-/// Cause: the node went on believing in the primary of the earlier term.
+/// Guards against reads at a replaced primary. A delegate responds with a floor of a later term
+/// than this node knows. The node kept the primary of the earlier term.
 #[test]
-fn a_floor_of_a_later_term_ends_the_belief_in_a_primary() {
+fn a_floor_of_a_later_term_discards_the_known_primary() {
     let scene = Scene::new();
     scene.stage.run(async {
         scene.led().await;
-        outlive_own_floor().await;
+        wait_until_own_floor_expires().await;
         scene.stage.world.borrow_mut().promote("b");
         scene
             .dialer
@@ -195,12 +193,11 @@
     });
 }
 
-/// Symptom: a read lacks commits that only a lost replica had.
-/// Events: the primary does not answer a keeper, which makes its floor of what all others have received;
-/// another node knows of a lost log that the keeper has not heard of.
-/// Cause: a floor without the primary's word was passed on.
+/// Guards against a read that misses commits that only a lost replica had. The primary doesn't
+/// answer a delegate, which derives its floor from the replicas alone; another node knows of a lost
+/// log that the delegate doesn't know of. The floor was passed on to that node.
 #[test]
-fn a_floor_without_the_primarys_word_is_not_told() {
+fn a_floor_derived_from_replicas_alone_is_not_passed_on() {
     let scene = Scene::new();
     scene.stage.run(async {
         scene.led().await;
@@ -208,16 +205,16 @@
         stage::until("the list is settled", settled).await;
         assert!(scene.group.floor_for_peer(AGE).await.is_some());
         scene.stage.world.borrow_mut().at("a").up = false;
-        outlive_own_floor().await;
+        wait_until_own_floor_expires().await;
         assert_eq!(scene.group.floor_for_peer(AGE).await, None);
-        // Its own reads go on.
+        // The delegate's own reads still use the floor.
         assert!(scene.read().await.is_some());
         assert_eq!(scene.group.floor_for_peer(AGE).await, None);
     });
 }
 
 #[test]
-fn a_told_floor_is_as_old_as_it_says() {
+fn a_reported_floor_states_its_age() {
     let scene = Scene::new();
     scene.stage.run(async {
         scene.led().await;
@@ -232,7 +229,7 @@
     });
 }
 
-/// A port that was free a moment ago.
+/// An address with a port that was free a moment ago.
 fn address() -> net::SocketAddr {
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address")
@@ -246,25 +243,25 @@
     }
 }
 
-/// Symptom: reads of a whole failure domain wait for seconds.
-/// Events: the node that keeps the floors is paused: its system accepts connections, and nobody answers.
-/// Cause: a node waited for its keeper as long as its caller did, and asked it again with each read.
+/// Guards against reads of a whole failure domain that wait for seconds. The delegate is paused:
+/// its system accepts connections, but nothing answers. A node waited for the delegate as long as
+/// its caller did, and sent a request again with each read.
 #[test]
-fn a_keeper_that_does_not_answer_is_not_asked_again_at_once() {
+fn a_delegate_that_does_not_answer_is_not_asked_again_at_once() {
     let silent = net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let keeper = member("silent", silent.local_addr().expect("an address"));
+    let delegate = member("silent", silent.local_addr().expect("an address"));
     let client = peers::Peers::default();
     let ask = delegate::Request {
         group: stage::GROUP.into(),
         within: AGE,
     };
     async_io::block_on(async {
-        assert!(client.may_ask(&keeper.name));
+        assert!(client.may_ask(&delegate.name));
         let question = question::Question::Floor(ask.clone());
-        assert_eq!(client.ask(&keeper, &question).await, None);
-        assert!(!client.may_ask(&keeper.name));
+        assert_eq!(client.ask(&delegate, &question).await, None);
+        assert!(!client.may_ask(&delegate.name));
     });
-    let members = [keeper, member("next", address())];
+    let members = [delegate, member("next", address())];
     let asked = |own: &str| {
         delegate::choose(&members, &ask.group, &own.into(), |name| {
             client.may_ask(name)
@@ -272,13 +269,14 @@
     };
     assert_eq!(asked("next"), None);
     assert_eq!(
-        asked("silent").map(|keeper| keeper.name),
+        asked("silent").map(|delegate| delegate.name),
         asked("silent").map(|_| "next".into())
     );
 }
 
-/// Nodes of one failure domain before the same instances, with or without keepers.
-fn looks_of_a_domain(keepers: bool) -> usize {
+/// Counts the status queries of the nodes of one failure domain for one read each, with or without
+/// delegates.
+fn status_queries_of_a_domain(delegates: bool) -> usize {
     let stage = stage::Stage::new();
     let nodes: Vec<_> = (0..8)
         .map(|number| stage.another(&format!("vm-{number}")))
@@ -308,7 +306,7 @@
             stage.executor.spawn(serve).detach();
             members.push(member(&format!("vm-{number}"), address));
         }
-        if keepers {
+        if delegates {
             for one in &nodes {
                 one.node.router().set_members(members.clone());
             }
@@ -317,7 +315,7 @@
             let group = one.node.group(&stage::GROUP.into());
             stage::until("a primary is found", || group.leader().is_some()).await;
         }
-        outlive_own_floor().await;
+        wait_until_own_floor_expires().await;
         let before = stage.world.borrow().looks;
         for one in &nodes {
             let group = one.node.group(&stage::GROUP.into());
@@ -327,12 +325,12 @@
     })
 }
 
-/// The load: eight nodes of one failure domain, each with one read of a group in two seconds. The rule
-/// before it let each node look for itself.
+/// Eight nodes of one failure domain, each with one read of a group in two seconds. Guards against
+/// each node querying the instances by itself.
 #[test]
-fn a_failure_domain_looks_once_for_all_its_nodes() {
-    let alone = looks_of_a_domain(false);
-    let kept = looks_of_a_domain(true);
+fn one_delegate_queries_for_its_failure_domain() {
+    let alone = status_queries_of_a_domain(false);
+    let delegated = status_queries_of_a_domain(true);
     assert!(alone >= 2 * 8, "{alone}");
-    assert!(kept <= alone / 3, "{kept} of {alone}");
+    assert!(delegated <= alone / 3, "{delegated} of {alone}");
 }
--- a/desk/tests/group.rs
+++ b/desk/tests/group.rs
@@ -1,4 +1,4 @@
-//! What a group is asked for, and what it must never give.
+//! Selection of an instance for a read, and the cases in which none may be selected.
 
 mod stage;
 
@@ -29,7 +29,7 @@
     }
 }
 
-// The same for a caller that does not wait for long.
+// Like [`need`], with a short deadline.
 fn soon(freshness: catalog::Freshness) -> source::Requirements {
     let need = need(freshness);
     source::Requirements {
@@ -50,10 +50,10 @@
     });
 }
 
-/// Symptom: a request reached an instance 7,004 ms after it had announced its end.
-/// Events: the store turns this node away; an instance announces its end; the store takes
-/// the node back two seconds later; the node reads the announcement from the list.
-/// Cause: the announcement was taken for as old as the reading of it.
+/// Guards against work for an instance after it has stopped. The store refuses this node, an
+/// instance announces its end, and two seconds later the node reads the list again. The
+/// announcement was dated at the time of reading, and a request reached the instance 7,004 ms after
+/// the announcement.
 #[test]
 fn an_announcement_found_after_an_outage_is_as_old_as_the_outage() {
     let stage = stage::Stage::new();
@@ -66,14 +66,17 @@
         stage.node.update(list, Some(long_ago), boot::now());
         let bounded = need(catalog::Freshness::Bounded(AGE));
         let source = group.source(&bounded, &["a".into()]).await;
-        assert!(source.is_none(), "both replicas are past their time");
+        assert!(
+            source.is_none(),
+            "both replicas have passed their leaving deadline"
+        );
     });
 }
 
-/// Guards against work for an instance after its time, where the answer with its announcement, or
-/// with its absence, took seconds to come.
+/// Guards against work for an instance after it has stopped, where the answer that shows its
+/// announcement, or its absence, took seconds to arrive.
 #[test]
-fn what_a_list_tells_is_as_old_as_its_beginning() {
+fn a_list_is_dated_at_the_start_of_its_request() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = stage.node.group(&stage::GROUP.into());
@@ -84,14 +87,16 @@
         stage.node.update(list, Some(boot::now()), begun);
         let bounded = need(catalog::Freshness::Bounded(AGE));
         let source = group.source(&bounded, &["a".into()]).await;
-        assert!(source.is_none(), "both replicas are past their time");
+        assert!(
+            source.is_none(),
+            "both replicas have passed their leaving deadline"
+        );
     });
 }
 
-/// Symptom: a read at the old primary misses a commit acknowledged by the new one.
-/// Events: a replica is promoted elsewhere; the old primary has not heard of it and goes
-/// on answering; a read that needs all commits arrives.
-/// Cause: the old primary's own word was taken for proof that it leads.
+/// Guards against a read at a replaced primary that misses a commit of the new one. A replica is
+/// promoted elsewhere, and the old primary keeps answering. Its own answer was taken for proof that
+/// it leads.
 #[test]
 fn a_read_of_all_commits_never_goes_to_a_replaced_primary() {
     let stage = stage::Stage::new();
@@ -109,10 +114,9 @@
     });
 }
 
-/// Symptom: while a promotion is under way a read is answered from the primary that is
-/// about to be replaced, after its successor has taken commits.
-/// Events: all replicas are held for the next term; a read arrives.
-/// Cause: a hold was not taken for the beginning of a promotion.
+/// Guards against a read at a primary that is being replaced, after its successor has accepted
+/// commits. All replicas are held for the next term. A hold was not taken for the beginning of a
+/// promotion.
 #[test]
 fn a_held_replica_proves_nothing_for_the_old_term() {
     let stage = stage::Stage::new();
@@ -128,9 +132,9 @@
     });
 }
 
-/// Symptom: reads that accept some age fail while there is no primary.
-/// Events: the primary is gone, no successor leads yet; both replicas answer.
-/// Cause: floors were made only from the primary's word.
+/// Guards against failing reads that accept some staleness while there is no primary. The primary
+/// is gone, no successor leads yet, and both replicas answer. Floors were derived only from the
+/// primary's own position.
 #[test]
 fn bounded_reads_go_on_without_a_primary() {
     let stage = stage::Stage::new();
@@ -145,10 +149,10 @@
     });
 }
 
-/// Symptom: a read that accepts some age runs on the log of a replaced primary.
-/// Events: this node reaches only the old primary; then also the new one, and looks at
-/// both to renew its floor; a read arrives before the node has changed its mind.
-/// Cause: the new primary's evidence was taken for proof that the old one leads.
+/// Guards against a read on the log of a replaced primary. This node reaches only the old primary,
+/// then also the new one, and queries both to renew its floor; the read arrives before the node has
+/// changed the known primary. The new primary's evidence was taken for proof that the old one
+/// leads.
 #[test]
 fn evidence_of_a_later_term_proves_nothing_for_the_old_primary() {
     let stage = stage::Stage::new();
@@ -168,12 +172,11 @@
     });
 }
 
-/// Symptom: as before.
-/// Events: no primary is known; the old one, demoted, and one replica answer; the third,
-/// which leads by now, is out of reach.
-/// Cause: any two of three were taken for all that could hold a commit.
+/// Guards against a read on the log of a replaced primary. No primary is known; the old one,
+/// demoted, and one replica answer; the third instance, which leads by now, is unreachable. Any two
+/// of three instances were assumed to hold all commits.
 #[test]
-fn a_silent_instance_may_be_the_one_that_leads() {
+fn no_floor_is_derived_while_a_possible_primary_is_silent() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = stage.node.group(&stage::GROUP.into());
@@ -187,12 +190,11 @@
     });
 }
 
-/// Symptom: reads are sent to a replica that refuses them, and kept from one that is well.
-/// Events: a replica that had announced its end, with a long log, starts again under its
-/// id with an empty one.
-/// Cause: its applied position, its announcement and its connections were kept by id.
+/// Guards against reads sent to a replica that refuses them, and withheld from one that is well. A
+/// replica with a long log that had announced its end restarts under the same id with an empty log.
+/// Its applied position, its announcement and its connections were kept by id.
 #[test]
-fn nothing_seen_of_an_instance_outlives_its_process() {
+fn state_of_an_instance_is_reset_when_its_process_restarts() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = stage.node.group(&stage::GROUP.into());
@@ -235,12 +237,12 @@
     });
 }
 
-/// Symptom: a read of all commits misses one that the new primary has acknowledged.
-/// Events: a promotion holds both replicas and one of them takes over; the other starts
-/// again, and this node reaches just that one and the old primary.
-/// Cause: a replica that had lost its hold with its process vouched for the old primary.
+/// Guards against a read of current data that misses a commit of the new primary. A promotion holds
+/// both replicas and one of them takes over; the other restarts, and this node reaches only that
+/// one and the old primary. The restarted replica had lost its hold and was accepted as proof that
+/// the old primary leads.
 #[test]
-fn a_replica_that_started_again_proves_nothing_by_itself() {
+fn a_restarted_replica_proves_nothing_alone() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = stage.node.group(&stage::GROUP.into());
@@ -262,11 +264,11 @@
     });
 }
 
-/// Symptom: a group serves nothing that needs all commits, though all its instances are well.
-/// Events: both replicas start again, one after the other.
-/// Cause: none, if all that do not lead are asked together.
+/// Guards against a group that serves no read of current data although all its instances are well.
+/// Both replicas restart, one after the other. Their reports have to count when all instances other
+/// than the primary are queried together.
 #[test]
-fn replicas_that_all_started_again_prove_together() {
+fn restarted_replicas_prove_leadership_together() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = stage.node.group(&stage::GROUP.into());
@@ -281,13 +283,11 @@
     });
 }
 
-/// Symptom: a read that accepts some age misses a commit that is older than that.
-/// Events: the primary is out of reach; the replica that alone had received the commit
-/// starts again; a floor is made of what the replicas have received.
-/// Cause: "the furthest of all replicas has every acknowledged commit" was believed of a
-/// replica with an empty log.
+/// Guards against a read that misses a commit older than its staleness bound. The primary is
+/// unreachable, and the only replica that had received the commit restarts. A floor was derived
+/// from the replicas' received positions, although one log was empty.
 #[test]
-fn no_floor_is_made_of_a_log_that_began_anew() {
+fn no_floor_is_derived_from_a_log_that_was_reset() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = stage.node.group(&stage::GROUP.into());
@@ -301,20 +301,20 @@
             world.at("c").position = 9;
         }
         stage.relist();
-        // Well after the floors of before, of which nothing may be left.
+        // Earlier floors have expired by then.
         wait::sleep(SHORT).await;
         let bounded = soon(catalog::Freshness::Bounded(SHORT / 2));
         assert!(group.source(&bounded, &[]).await.is_none());
     });
 }
 
-/// Symptom: a read that accepts some age misses a commit that is 1.6 s old.
-/// Events: the store comes back from an outage in which all entries ended; a node starts and
-/// lists the instances while one of two replicas is not listed again; the other receives
-/// nothing; the primary is too busy to answer.
-/// Cause: "all others have answered" was believed of a list that was not whole yet.
+/// Guards against a read that accepts some staleness and misses a commit that is 1.6 s old. The
+/// store returns from an outage in which all entries expired, and a node starts and lists the
+/// instances while one of two replicas is not listed again. The other replica receives nothing, and
+/// the primary is too busy to answer. A floor was derived from all replicas of a list that was
+/// still incomplete.
 #[test]
-fn a_node_that_has_just_started_makes_no_floor_of_all_replicas() {
+fn a_node_that_has_just_started_derives_no_floor_from_replicas() {
     let world = stage::world();
     let missing = world.borrow_mut().instances.remove("c");
     for id in ["a", "b"] {
@@ -327,12 +327,12 @@
         assert!(group.source(&current, &[]).await.is_some());
         stage.world.borrow_mut().at("a").position = 10;
         stage.world.borrow_mut().at("a").up = false;
-        // Well after the floors of before, of which nothing may be left.
+        // Earlier floors have expired by then.
         wait::sleep(SHORT).await;
         let bounded = soon(catalog::Freshness::Bounded(SHORT / 2));
         assert!(group.source(&bounded, &[]).await.is_none());
-        // Once the list is whole, the replicas tell together what was acknowledged.
-        let missing = missing.expect("it was on stage");
+        // Once the list is complete, the replicas together cover all acknowledged commits.
+        let missing = missing.expect("instance c was in the world");
         stage
             .world
             .borrow_mut()
@@ -346,12 +346,11 @@
     });
 }
 
-/// Symptom: reads that accept some age miss fifty commits.
-/// Events: one of two replicas receives nothing; commits are acknowledged with the receipt
-/// of the other, which is then gone for good; the primary is out of this node's reach.
-/// Cause: "all replicas" were those that were left.
+/// Guards against reads that accept some staleness and miss fifty commits. One of two replicas
+/// receives nothing; commits are acknowledged by the other, which is then gone for good; the
+/// primary is unreachable. A floor was derived from the remaining replica alone.
 #[test]
-fn a_lost_replica_takes_its_receipts_with_it() {
+fn no_floor_is_derived_from_replicas_after_one_is_lost() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = stage.settled().await;
@@ -373,7 +372,7 @@
             group.roster().last_lost().is_some()
         })
         .await;
-        // Well after the floors of before, of which nothing may be left.
+        // Earlier floors have expired by then.
         wait::sleep(SHORT).await;
         let bounded = soon(catalog::Freshness::Bounded(SHORT / 2));
         assert!(group.source(&bounded, &[]).await.is_none());
--- a/desk/tests/witness.rs
+++ b/desk/tests/witness.rs
@@ -1,4 +1,5 @@
-//! What instances' answers prove, where the list of instances does not tell all.
+//! Proofs of leadership from instances' reports where the list of instances is incomplete or out of
+//! date.
 
 mod stage;
 
@@ -12,10 +13,10 @@
 use mangotray_desk::source;
 use mangotray_desk::wait;
 
-/// More than a floor of before is good for.
+/// Longer than floors determined before remain usable.
 const SHORT: time::Duration = time::Duration::from_millis(600);
 
-/// Longer than a node takes its list of instances for known without a word of it.
+/// Longer than a node considers its list of instances up to date without an update.
 const LIST_EXPIRY: time::Duration = time::Duration::from_millis(4200);
 
 async fn settled(stage: &stage::Stage) -> std::rc::Rc<group::Group> {
@@ -25,13 +26,12 @@
     group
 }
 
-/// Symptom: reads that accept some age miss ten commits.
-/// Events: one of two replicas receives nothing; commits are acknowledged with the receipt of the
-/// other, which starts again without its log; no list tells so yet, and the primary is out
-/// of this node's reach.
-/// Cause: a replica that had less than it was seen to have counted as one that has all.
+/// Guards against reads that accept some staleness and miss ten commits. One of two replicas
+/// receives nothing; commits are acknowledged by the other, which restarts without its log before
+/// any list shows it; the primary is unreachable. A replica that reports less than it had received
+/// before was counted as complete.
 #[test]
-fn a_replica_that_lost_its_log_unlisted_takes_its_receipts_with_it() {
+fn no_floor_is_derived_from_replicas_after_an_unlisted_one_lost_its_log() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = settled(&stage).await;
@@ -62,10 +62,10 @@
     });
 }
 
-/// Symptom: a read of all commits runs at a primary that was replaced.
-/// Events: both replicas are held for a promotion; the one that this node asks starts again,
-/// without its hold and without knowing any term; no list tells so yet.
-/// Cause: an answer that knew nothing of the primary proved that it leads.
+/// Guards against a read of current data at a replaced primary. Both replicas are held for a
+/// promotion; the one that this node queries restarts without its hold and without knowledge of any
+/// term, before any list shows it. A report that didn't know of the primary was taken for proof
+/// that it leads.
 #[test]
 fn a_replica_that_does_not_know_the_primary_proves_nothing_alone() {
     let stage = stage::Stage::new();
@@ -74,28 +74,27 @@
             stage.world.borrow_mut().at(id).term = 5;
         }
         let group = settled(&stage).await;
-        for (forgetful, held) in [("b", "c"), ("c", "b")] {
+        for (restarted, held) in [("b", "c"), ("c", "b")] {
             {
                 let mut world = stage.world.borrow_mut();
-                world.at(forgetful).term = 1;
-                world.at(forgetful).held = 0;
+                world.at(restarted).term = 1;
+                world.at(restarted).held = 0;
                 world.at(held).term = 5;
                 world.at(held).held = 6;
             }
             assert!(group.prove(boot::now() + SHORT).await.is_none());
             group.suspect(5, "test");
             stage.world.borrow_mut().at(held).held = 0;
-            stage.world.borrow_mut().at(forgetful).term = 5;
+            stage.world.borrow_mut().at(restarted).term = 5;
             stage::until("the primary is found again", || group.leader().is_some()).await;
         }
     });
 }
 
-/// Symptom: a read of all commits runs at a primary that was replaced.
-/// Events: this node is cut off from the list of instances; a replica that cannot reach the list
-/// either is listed no more, and a promoter that has forgotten it holds the other one
-/// only. This node asks the one that was passed over.
-/// Cause: one instance of an old list proved that the primary leads.
+/// Guards against a read of current data at a replaced primary. This node and a replica can't reach
+/// the list of instances; the replica is no longer listed, and a promoter holds only the other one.
+/// This node queries the replica that was left out. A single instance of an old list was taken for
+/// proof that the primary leads.
 #[test]
 fn one_instance_of_an_old_list_proves_nothing_alone() {
     for held in ["b", "c"] {
@@ -110,10 +109,11 @@
     }
 }
 
-/// Symptom: none; with too strict a rule no read of all commits is served while the store is away.
-/// Events: this node is cut off from the list of instances; one replica's process is gone.
+/// Guards against too strict a rule, by which no read of current data is served while the store is
+/// unreachable: this node can't reach the list of instances, and the process of one replica is
+/// gone.
 #[test]
-fn an_old_list_does_not_stop_reads_where_all_that_live_answer() {
+fn an_old_list_does_not_stop_reads_if_all_live_instances_answer() {
     let stage = stage::Stage::new();
     stage.run(async {
         let group = settled(&stage).await;
@@ -131,16 +131,17 @@
     });
 }
 
-/// Symptom: a read of all commits runs at a primary that was replaced 160 ms before, and misses one.
-/// Events: one replica receives nothing; the other takes over, and the primary is told. A
-/// promotion ends all holds, so that the first one is not held any more, and knows of no later term.
-/// A node that has had nothing to do with the group since asks it.
-/// Cause: a replica that is not held, and knows no later term, proved that the primary leads,
-/// whether it follows it or not. Seen: `received: 1/18` of one replica in `replicas are behind`, with
+/// Guards against a read of current data at a primary that was replaced 160 ms before, which misses
+/// a commit. One replica receives nothing; the other takes over. The promotion ends all holds, so
+/// the first replica is no longer held, and it doesn't know of the later term. A node that has not
+/// used the group since queries that replica. A replica that isn't held and knows of no later term
+/// was taken for proof that the primary leads, whether or not it follows the primary.
+///
+/// The fault was seen with one replica at `received: 1/18` in the message `replicas are behind`,
 /// the primary at 1/93, and a read at 1/93 right after the promotion that lacked 2/95.
 #[test]
 fn a_replica_that_receives_nothing_proves_nothing_alone() {
-    for (deaf, successor) in [("b", "c"), ("c", "b")] {
+    for (lagging, successor) in [("b", "c"), ("c", "b")] {
         let stage = stage::Stage::new();
         stage.run(async {
             let group = settled(&stage).await;
@@ -148,7 +149,7 @@
                 let mut world = stage.world.borrow_mut();
                 world.at("a").position = 20;
                 world.at(successor).position = 20;
-                world.at(deaf).position = 15;
+                world.at(lagging).position = 15;
             }
             group.suspect(1, "test");
             stage::until("the primary is found again", || group.leader().is_some()).await;
