--- a/desk/tests/organisations.rs
+++ b/desk/tests/organisations.rs
@@ -1,6 +1,6 @@
 //! Connections, keys and limits of organisations.
 
-mod stage;
+mod cluster;
 
 use std::collections;
 use std::rc;
@@ -8,19 +8,18 @@
 
 use assert_matches::assert_matches;
 use mangotray::id;
+use mangotray_desk::access;
 use mangotray_desk::boot;
 use mangotray_desk::bucket;
+use mangotray_desk::buckets;
 use mangotray_desk::catalog;
 use mangotray_desk::connection;
-use mangotray_desk::currency;
-use mangotray_desk::gate;
+use mangotray_desk::guarantees;
 use mangotray_desk::key;
-use mangotray_desk::ledger;
 use mangotray_desk::node;
 use mangotray_desk::organisation;
 use mangotray_desk::organisations;
 use mangotray_desk::pool;
-use mangotray_desk::promises;
 use mangotray_desk::question;
 use mangotray_desk::quota;
 use mangotray_desk::relay;
@@ -30,6 +29,7 @@
 use mangotray_desk::tolerance;
 use mangotray_desk::upstream;
 use mangotray_desk::urgency;
+use mangotray_desk::validity;
 use mangotray_desk::wait;
 
 const LIMIT: time::Duration = time::Duration::from_secs(5);
@@ -50,7 +50,7 @@
     let values = connection::Values::new();
     let lent = pool.lend(urgency, &name.into(), &values, deadline).await;
     let mut lent = lent.expect("a connection");
-    lent.run(&stage::read(name), deadline)
+    lent.run(&cluster::read(name), deadline)
         .await
         .expect("an answer");
 }
@@ -58,15 +58,15 @@
 /// Guards against a statement that runs on a connection of another organisation; the stage asserts it.
 #[test]
 fn a_connection_serves_one_organisation_and_makes_room_for_others() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(2, 2);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(2, 2);
+    cluster.run(async {
         for name in ["dome", "hall", "school", "dome", "hall"] {
             run_for(&pool, name).await;
         }
     });
     // Two are open at most, so that each change of organisation but the first two closes one.
-    let world = stage.world.borrow();
+    let world = cluster.world.borrow();
     let used: collections::BTreeSet<_> = world.ran.iter().map(|ran| ran.connection).collect();
     assert_eq!(used.len(), 5);
 }
@@ -75,9 +75,9 @@
 /// questions at once.
 #[test]
 fn connections_for_questions_make_room_but_for_one() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(3, 3);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(3, 3);
+    cluster.run(async {
         let deadline = boot::now() + LIMIT;
         let urgency = urgency::Urgency::immediate(deadline);
         let values = connection::Values::new();
@@ -96,16 +96,16 @@
 /// Guards against an organisation that waits for ever while idle connections of others fill the pool.
 #[test]
 fn waiting_for_a_connection_ends_when_another_organisation_gives_one_back() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(1, 1);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(1, 1);
+    cluster.run(async {
         let deadline = boot::now() + LIMIT;
         let urgency = urgency::Urgency::immediate(deadline);
         let values = connection::Values::new();
         let held = pool.lend(urgency, &"dome".into(), &values, deadline).await;
         let waiting = {
             let pool = rc::Rc::clone(&pool);
-            stage
+            cluster
                 .executor
                 .spawn(async move { run_for(&pool, "hall").await })
         };
@@ -118,9 +118,9 @@
 /// Guards against session values of one organisation on a statement of another, by a lending node.
 #[test]
 fn what_was_set_for_one_organisation_is_nothing_to_another() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(3, 3);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(3, 3);
+    cluster.run(async {
         let mut lender = relay::Session::new(pool, "dome".into());
         let urgency = urgency::Urgency::immediate(boot::now() + LIMIT);
         let set = [upstream::Command::Set {
@@ -130,11 +130,11 @@
         let noted = lender.run(&set, urgency, &"dome".into()).await;
         noted.expect("noted");
         let ran = lender
-            .run(&stage::read("other"), urgency, &"hall".into())
+            .run(&cluster::read("other"), urgency, &"hall".into())
             .await;
         ran.expect("an answer");
     });
-    let world = stage.world.borrow();
+    let world = cluster.world.borrow();
     let ran = world.ran.iter().find(|ran| ran.id == "other");
     assert!(ran.expect("it ran").values.is_empty());
 }
@@ -142,9 +142,9 @@
 /// Guards against a transaction of one organisation that goes on with another's statement.
 #[test]
 fn an_open_transaction_is_nobody_elses() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(3, 3);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(3, 3);
+    cluster.run(async {
         let mut lender = relay::Session::new(pool, "dome".into());
         let urgency = urgency::Urgency::immediate(boot::now() + LIMIT);
         let begin = [upstream::Command::Begin {
@@ -155,13 +155,13 @@
         let opened = lender.run(&begin, urgency, &"dome".into()).await;
         opened.expect("opened");
         let other = lender
-            .run(&stage::read("other"), urgency, &"hall".into())
+            .run(&cluster::read("other"), urgency, &"hall".into())
             .await;
         assert!(!other.expect_err("refused").sent);
     });
 }
 
-fn named(name: &str, keys: &[&str]) -> organisation::Organisation {
+fn organisation(name: &str, keys: &[&str]) -> organisation::Organisation {
     organisation::Organisation {
         name: name.into(),
         keys: keys.iter().map(|key| key::Key::new(key)).collect(),
@@ -173,7 +173,7 @@
     catalog::Catalog {
         version,
         organisations: Some(organisations::Organisations::new(all).expect("no contradiction")),
-        ..stage::catalog()
+        ..cluster::catalog()
     }
 }
 
@@ -181,16 +181,16 @@
 #[test]
 fn organisations_that_contradict_each_other_make_no_configuration() {
     let faults = [
-        vec![named("dome", &["k"]), named("hall", &["k"])],
-        vec![named("dome", &["k"]), named("dome", &["l"])],
-        vec![named("two words", &["k"])],
-        vec![named(organisation::OWN.as_str(), &["k"])],
+        vec![organisation("dome", &["k"]), organisation("hall", &["k"])],
+        vec![organisation("dome", &["k"]), organisation("dome", &["l"])],
+        vec![organisation("two words", &["k"])],
+        vec![organisation(organisation::OWN.as_str(), &["k"])],
         vec![organisation::Organisation {
             quota: Some(quota::Quota {
                 rate: -1.0,
                 burst: 1.0,
             }),
-            ..named("dome", &["k"])
+            ..organisation("dome", &["k"])
         }],
     ];
     for all in faults {
@@ -202,11 +202,11 @@
 /// Guards against a key that is shown by a debug form of anything that holds it.
 #[test]
 fn a_key_is_shown_nowhere() {
-    let shown = format!("{:?}", catalog(1, vec![named("dome", &["s3cret"])]));
+    let shown = format!("{:?}", catalog(1, vec![organisation("dome", &["s3cret"])]));
     assert!(!shown.contains("s3cret"), "{shown}");
     let fault = organisations::Organisations::new(vec![
-        named("dome", &["s3cret"]),
-        named("hall", &["s3cret"]),
+        organisation("dome", &["s3cret"]),
+        organisation("hall", &["s3cret"]),
     ]);
     assert!(!format!("{fault:?} {}", fault.clone().expect_err("a fault")).contains("s3cret"));
 }
@@ -214,94 +214,101 @@
 /// Guards against callers without a valid key, and against public routes that ask for one.
 #[test]
 fn a_caller_is_served_for_the_organisation_that_holds_its_key() {
-    let catalog = catalog(2, vec![named("dome", &["k1", "k2"])]);
-    let identify = |public, key, standing| {
-        gate::identify(&catalog, public, &key::Key::new(key), standing)
+    let catalog = catalog(2, vec![organisation("dome", &["k1", "k2"])]);
+    let identify = |public, key, key_validity| {
+        access::identify(&catalog, public, &key::Key::new(key), key_validity)
             .map(|caller| caller.organisation)
     };
-    let good = currency::Standing::Good;
+    let good = validity::State::Valid;
     assert_eq!(identify(false, "k2", good), Ok("dome".into()));
     assert_eq!(
         identify(false, "other", good),
-        Err(gate::Refusal::UnknownKey)
+        Err(access::Refusal::UnknownKey)
     );
-    assert_eq!(identify(false, "", good), Err(gate::Refusal::UnknownKey));
+    assert_eq!(identify(false, "", good), Err(access::Refusal::UnknownKey));
     assert_eq!(identify(true, "other", good), Ok(organisation::OWN));
-    let expired = currency::Standing::Expired;
-    assert_eq!(identify(false, "k2", expired), Err(gate::Refusal::Unproven));
+    let expired = validity::State::Expired;
+    assert_eq!(
+        identify(false, "k2", expired),
+        Err(access::Refusal::ConfigurationUnproven)
+    );
     assert_eq!(identify(true, "k2", expired), Ok(organisation::OWN));
 }
 
-fn strict(stage: &stage::Stage) -> rc::Rc<node::Node> {
-    let dialer = rc::Rc::new(stage::Dialer(rc::Rc::clone(&stage.world)));
-    let executor = rc::Rc::clone(&stage.executor);
+fn node_with_bound(cluster: &cluster::Cluster) -> rc::Rc<node::Node> {
+    let dialer = rc::Rc::new(cluster::Dialer(rc::Rc::clone(&cluster.world)));
+    let executor = rc::Rc::clone(&cluster.executor);
     let router = router::Router::new("strict".into(), dialer, rc::Rc::clone(&executor));
-    let promises = promises::Promises {
+    let guarantees = guarantees::Guarantees {
         revocation: Some(BOUND),
         tolerance: TOLERANCE,
     };
-    let node = node::Node::new("strict".into(), "here".into(), router, executor, promises);
-    node.apply(catalog(1, vec![named("dome", &["k"])]));
-    node.update(stage.world.borrow().list(), Some(boot::now()), boot::now());
+    let node = node::Node::new("strict".into(), "here".into(), router, executor, guarantees);
+    node.apply(catalog(1, vec![organisation("dome", &["k"])]));
+    node.update(
+        cluster.world.borrow().list(),
+        Some(boot::now()),
+        boot::now(),
+    );
     node
 }
 
 /// Guards against a key that is served after it was taken away, in an open transaction too: nothing of it is kept.
 #[test]
 fn a_key_that_is_taken_away_ends_its_transaction() {
-    let stage = stage::Stage::new();
-    let node = strict(&stage);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let node = node_with_bound(&cluster);
+    cluster.run(async {
         node.confirm(boot::now());
         let key = key::Key::new("k");
         let mut session = session::Session::new(rc::Rc::clone(&node), "current".into(), key);
         for text in ["BEGIN", "WRITE x 1"] {
-            let reply = session.handle(&stage::request(text)).await;
+            let reply = session.handle(&cluster::request(text)).await;
             assert!(reply.is_done(), "{reply:?}");
         }
-        node.apply(catalog(2, vec![named("dome", &["new"])]));
-        let reply = session.handle(&stage::request("COMMIT")).await;
+        node.apply(catalog(2, vec![organisation("dome", &["new"])]));
+        let reply = session.handle(&cluster::request("COMMIT")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Aborted));
         assert!(session.is_revoked());
-        let reply = session.handle(&stage::request("READ x")).await;
+        let reply = session.handle(&cluster::request("READ x")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Unauthorised));
     });
-    let texts = stage.world.borrow().texts("a");
+    let texts = cluster.world.borrow().texts("a");
     assert!(texts.iter().all(|text| text != "COMMIT"), "{texts:?}");
 }
 
 /// Guards against a node that serves keys by a configuration that nobody has confirmed for too long.
 #[test]
 fn a_node_without_evidence_refuses_keys_as_not_run() {
-    let stage = stage::Stage::new();
-    let node = strict(&stage);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let node = node_with_bound(&cluster);
+    cluster.run(async {
         let key = key::Key::new("k");
         let mut session = session::Session::new(rc::Rc::clone(&node), "current".into(), key);
-        let reply = session.handle(&stage::request("WRITE x 1")).await;
+        let reply = session.handle(&cluster::request("WRITE x 1")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Busy));
         node.confirm(boot::now().saturating_sub(BOUND));
-        let reply = session.handle(&stage::request("WRITE x 1")).await;
+        let reply = session.handle(&cluster::request("WRITE x 1")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Busy));
         assert!(!session.is_revoked());
         node.confirm(boot::now());
-        let reply = session.handle(&stage::request("WRITE x 1")).await;
+        let reply = session.handle(&cluster::request("WRITE x 1")).await;
         assert!(reply.is_done(), "{reply:?}");
     });
-    assert_eq!(stage.world.borrow().texts("a").len(), 1);
+    assert_eq!(cluster.world.borrow().texts("a").len(), 1);
 }
 
 /// Guards against keys that are served by an old configuration because the newest was not understood.
 #[test]
 fn a_configuration_that_is_not_understood_confirms_no_key() {
-    let stage = stage::Stage::new();
-    let node = strict(&stage);
+    let cluster = cluster::Cluster::new();
+    let node = node_with_bound(&cluster);
     node.note_unreadable();
     node.confirm(boot::now());
-    assert_eq!(node.standing(), currency::Standing::Expired);
-    node.apply(catalog(3, vec![named("dome", &["k"])]));
+    assert_eq!(node.key_validity(), validity::State::Expired);
+    node.apply(catalog(3, vec![organisation("dome", &["k"])]));
     node.confirm(boot::now());
-    assert_eq!(node.standing(), currency::Standing::Good);
+    assert_eq!(node.key_validity(), validity::State::Valid);
 }
 
 /// Guards against evidence that looks younger than it is, whatever the way of a chain of nodes, pauses and late
@@ -313,18 +320,18 @@
         // The true moment of the first node's question to the store, on one clock for all.
         let mut now = millis(10_000);
         let asked = now;
-        let mut believed = asked;
+        let mut evidence = asked;
         for _ in 0..random.usize(1..6) {
             now += millis(random.u64(0..3000));
             let sent = now;
             now += millis(random.u64(0..3000));
             let told = question::Newest {
                 version: 1,
-                ago: now.saturating_sub(believed),
+                ago: now.saturating_sub(evidence),
             };
             now += millis(random.u64(0..3000));
-            believed = told.moment(sent);
-            assert!(believed <= asked);
+            evidence = told.moment(sent);
+            assert!(evidence <= asked);
         }
     }
 }
@@ -333,28 +340,28 @@
 /// again.
 #[test]
 fn a_store_that_came_back_proves_nothing_for_a_while() {
-    let currency = currency::Currency::new(BOUND);
+    let validity = validity::Validity::new(BOUND);
     let at = |seconds: u64| time::Duration::from_secs(100 + seconds);
-    currency.confirm(at(0), at(0));
-    currency.note_return(at(1));
-    currency.confirm(at(2), at(2));
-    assert_eq!(currency.age(at(2)), Some(time::Duration::from_secs(2)));
-    currency.confirm(at(4), at(4));
-    assert_eq!(currency.age(at(4)), Some(time::Duration::ZERO));
+    validity.confirm(at(0), at(0));
+    validity.note_store_reset(at(1));
+    validity.confirm(at(2), at(2));
+    assert_eq!(validity.age(at(2)), Some(time::Duration::from_secs(2)));
+    validity.confirm(at(4), at(4));
+    assert_eq!(validity.age(at(4)), Some(time::Duration::ZERO));
     // What another node tells rests on a store that it trusts.
-    let started = currency::Currency::new(BOUND);
-    started.note_return(at(0));
+    let started = validity::Validity::new(BOUND);
+    started.note_store_reset(at(0));
     started.confirm(at(1), at(1));
-    assert_eq!(started.standing(at(1)), currency::Standing::Expired);
-    started.confirm_as_told(at(1), at(1));
-    assert_eq!(started.standing(at(1)), currency::Standing::Good);
+    assert_eq!(started.state(at(1)), validity::State::Expired);
+    started.confirm_from_peer(at(1), at(1));
+    assert_eq!(started.state(at(1)), validity::State::Valid);
     // Older evidence that comes late is no news.
-    currency.confirm(at(3), at(5));
-    assert_eq!(currency.age(at(5)), Some(time::Duration::from_secs(1)));
+    validity.confirm(at(3), at(5));
+    assert_eq!(validity.age(at(5)), Some(time::Duration::from_secs(1)));
 }
 
-fn ask(quota: quota::Quota, turn: ledger::Turn) -> ledger::Ask {
-    ledger::Ask {
+fn request(quota: quota::Quota, turn: buckets::Reason) -> buckets::Request {
+    buckets::Request {
         organisation: "dome".into(),
         quota,
         version: 1,
@@ -363,7 +370,7 @@
 }
 
 /// Most operations within any window of the tolerance.
-fn most_in_a_window(granted: &[id::Time]) -> usize {
+fn max_in_a_window(granted: &[id::Time]) -> usize {
     let mut most = 0;
     let mut first = 0;
     for (last, time) in granted.iter().enumerate() {
@@ -380,7 +387,7 @@
 }
 
 fn bound(quota: &quota::Quota) -> f64 {
-    quota.within(TOLERANCE.window) + TOLERANCE.above(quota)
+    quota.within(TOLERANCE.window) + TOLERANCE.excess_operations(quota)
 }
 
 /// Guards against an organisation that exceeds its limit in some window while the nodes that count are killed, cut off from
@@ -394,7 +401,7 @@
             rate: random.f64() * 200.0 + 1.0,
             burst: random.f64() * 200.0 + 1.0,
         };
-        let fresh = || ledger::Ledger::new(TOLERANCE, BOUND);
+        let fresh = || buckets::Buckets::new(TOLERANCE, BOUND);
         let (mut counting, mut deputy) = (fresh(), fresh());
         // Some nodes find the counting node silent from here on, and it serves none of its own
         // callers after the bound.
@@ -409,19 +416,19 @@
                 restarted = true;
                 counting = fresh();
             }
-            let far = now > cut && random.bool();
-            let decision = if far {
-                deputy.decide(&ask(quota, ledger::Turn::Silent), now)
+            let cut_off = now > cut && random.bool();
+            let decision = if cut_off {
+                deputy.decide(&request(quota, buckets::Reason::Silent), now)
             } else if now < cut + BOUND {
-                counting.decide(&ask(quota, ledger::Turn::Counting), now)
+                counting.decide(&request(quota, buckets::Reason::Counting), now)
             } else {
                 continue;
             };
-            if decision == ledger::Decision::Granted {
+            if decision == buckets::Decision::Granted {
                 granted.push(now);
             }
         }
-        let most = most_in_a_window(&granted);
+        let most = max_in_a_window(&granted);
         let allowed = bound(&quota);
         assert!(number(most) <= allowed, "seed {seed}: {most} of {allowed}");
     }
@@ -434,14 +441,14 @@
         rate: 20.0,
         burst: 20.0,
     };
-    let mut ledger = ledger::Ledger::new(TOLERANCE, BOUND);
+    let mut buckets = buckets::Buckets::new(TOLERANCE, BOUND);
     let mut refused = 0;
     // Four fifths of the rate, two operations at a time.
     for step in 0..200_u64 {
         let now = millis(2000 + step * 125);
         for _ in 0..2 {
-            let decision = ledger.decide(&ask(quota, ledger::Turn::Counting), now);
-            refused += usize::from(decision != ledger::Decision::Granted);
+            let decision = buckets.decide(&request(quota, buckets::Reason::Counting), now);
+            refused += usize::from(decision != buckets::Decision::Granted);
         }
     }
     assert_eq!(refused, 0);
@@ -454,19 +461,19 @@
         rate: 10.0,
         burst: 10.0,
     };
-    let mut ledger = ledger::Ledger::new(TOLERANCE, BOUND);
+    let mut buckets = buckets::Buckets::new(TOLERANCE, BOUND);
     let mut granted = collections::BTreeMap::<&str, usize>::new();
     for step in 0..10_000_u64 {
         let now = millis(step);
-        let flood = ask(quota, ledger::Turn::Counting);
-        let calm = ledger::Ask {
+        let flood = request(quota, buckets::Reason::Counting);
+        let calm = buckets::Request {
             organisation: "hall".into(),
             ..flood.clone()
         };
-        if ledger.decide(&flood, now) == ledger::Decision::Granted {
+        if buckets.decide(&flood, now) == buckets::Decision::Granted {
             *granted.entry("flood").or_default() += 1;
         }
-        if step % 200 == 0 && ledger.decide(&calm, now) == ledger::Decision::Granted {
+        if step % 200 == 0 && buckets.decide(&calm, now) == buckets::Decision::Granted {
             *granted.entry("calm").or_default() += 1;
         }
     }
@@ -498,20 +505,24 @@
         rate: 20.0,
         burst: 20.0,
     };
-    let mut ledger = ledger::Ledger::new(TOLERANCE, BOUND);
-    let silent = ask(quota, ledger::Turn::Silent);
+    let mut buckets = buckets::Buckets::new(TOLERANCE, BOUND);
+    let silent = request(quota, buckets::Reason::Silent);
     let mut count = |from: u64, to: u64| {
         let times = (from..to).step_by(10).map(millis);
-        let granted = times.filter(|now| ledger.decide(&silent, *now) == ledger::Decision::Granted);
+        let granted =
+            times.filter(|now| buckets.decide(&silent, *now) == buckets::Decision::Granted);
         granted.count()
     };
     let before = count(0, 5000);
     let after = count(5000, 15_000);
-    assert!(number(before) <= TOLERANCE.above(&quota), "{before}");
+    assert!(
+        number(before) <= TOLERANCE.excess_operations(&quota),
+        "{before}"
+    );
     assert!((198..=200).contains(&after), "{after}");
-    let mut gone = ledger::Ledger::new(TOLERANCE, BOUND);
+    let mut gone = buckets::Buckets::new(TOLERANCE, BOUND);
     let at_once = (0..5000_u64).step_by(10).map(millis).filter(|now| {
-        gone.decide(&ask(quota, ledger::Turn::Gone), *now) == ledger::Decision::Granted
+        gone.decide(&request(quota, buckets::Reason::Gone), *now) == buckets::Decision::Granted
     });
     assert!((98..=100).contains(&at_once.count()));
 }
@@ -524,18 +535,18 @@
         rate: 20.0,
         burst: 20.0,
     };
-    let mut ledger = ledger::Ledger::new(TOLERANCE, BOUND);
-    let silent = ask(quota, ledger::Turn::Silent);
+    let mut buckets = buckets::Buckets::new(TOLERANCE, BOUND);
+    let silent = request(quota, buckets::Reason::Silent);
     let mut last = |from: u64, to: u64| {
         let times = (from..to).step_by(5).map(millis);
-        let decisions = times.map(|now| ledger.decide(&silent, now));
-        let refused = decisions.filter(|decision| *decision != ledger::Decision::Granted);
+        let decisions = times.map(|now| buckets.decide(&silent, now));
+        let refused = decisions.filter(|decision| *decision != buckets::Decision::Granted);
         refused.last().expect("a refusal")
     };
-    assert_matches!(last(0, 1000), ledger::Decision::Unknown(_));
+    assert_matches!(last(0, 1000), buckets::Decision::Unknown(_));
     // It counts in earnest by then.
-    assert_matches!(last(1000, 9000), ledger::Decision::Denied(_));
-    let refusal = gate::Refusal::Uncounted(Some(millis(70)));
+    assert_matches!(last(1000, 9000), buckets::Decision::Denied(_));
+    let refusal = access::Refusal::QuotaUnknown(Some(millis(70)));
     assert!(!refusal.text().contains("over"), "{}", refusal.text());
     assert_eq!(refusal.label(), "quota_unknown");
 }
--- a/desk/tests/overload.rs
+++ b/desk/tests/overload.rs
@@ -7,37 +7,37 @@
 const SEEDS: u8 = 5;
 
 /// Served through few nodes, in one order.
-fn present(slots: usize) -> replay::Policy {
+fn current_policy(slots: usize) -> replay::Policy {
     replay::Policy {
         nodes: 1,
-        abreast: serving::concurrency(slots, 12),
+        concurrency: serving::concurrency(slots, 12),
         relief: true,
-        ordered: true,
+        by_urgency: true,
     }
 }
 
 /// Two nodes an instance, five statements each.
-fn former(slots: usize) -> replay::Policy {
+fn previous_policy(slots: usize) -> replay::Policy {
     replay::Policy {
         nodes: 2,
-        abreast: 5,
+        concurrency: 5,
         relief: false,
-        ..present(slots)
+        ..current_policy(slots)
     }
 }
 
 /// Mean over the seeds of what is earned.
-fn mean(load: &replay::Load, policy: replay::Policy) -> replay::Earned {
+fn mean(load: &replay::Load, policy: replay::Policy) -> replay::Earnings {
     let runs: Vec<_> = (0..SEEDS)
-        .map(|seed| replay::play(load, policy, seed.into()))
+        .map(|seed| replay::run(load, policy, seed.into()))
         .collect();
     let part =
-        |of: &dyn Fn(&replay::Earned) -> f64| runs.iter().map(of).sum::<f64>() / f64::from(SEEDS);
-    replay::Earned {
+        |of: &dyn Fn(&replay::Earnings) -> f64| runs.iter().map(of).sum::<f64>() / f64::from(SEEDS);
+    replay::Earnings {
         kinds: (0..load.kinds.len())
             .map(|kind| part(&|run| run.kinds[kind]))
             .collect(),
-        all: part(&|run| run.all),
+        total: part(&|run| run.total),
         changes: runs.iter().map(|run| run.changes).max().unwrap_or_default(),
     }
 }
@@ -64,9 +64,9 @@
 /// Events: both replicas hold a record that takes them that long; they receive all others.
 /// Cause: the primary did the work of all three.
 #[test]
-fn a_change_of_places_earns_more_than_a_primary_alone() {
+fn relief_earns_more_than_a_primary_alone() {
     for (load, gain) in [(auctions(), 0.10), (warehouse(), 0.10)] {
-        let policy = present(load.slots);
+        let policy = current_policy(load.slots);
         let with = mean(&load, policy);
         let without = mean(
             &load,
@@ -75,9 +75,9 @@
                 ..policy
             },
         );
-        assert!(with.all > without.all + gain, "{with:?} {without:?}");
+        assert!(with.total > without.total + gain, "{with:?} {without:?}");
         assert!(with.changes <= 2, "{with:?}");
-        let least = |earned: &replay::Earned| earned.kinds.iter().copied().fold(1.0, f64::min);
+        let least = |earned: &replay::Earnings| earned.kinds.iter().copied().fold(1.0, f64::min);
         assert!(least(&with) >= least(&without), "{with:?} {without:?}");
     }
 }
@@ -88,7 +88,7 @@
         stuck: None,
         ..auctions()
     };
-    let earned = mean(&load, present(load.slots));
+    let earned = mean(&load, current_policy(load.slots));
     assert_eq!(earned.changes, 0);
 }
 
@@ -104,12 +104,12 @@
     };
     let few = replay::Policy {
         relief: false,
-        ..present(load.slots)
+        ..current_policy(load.slots)
     };
-    let many = former(load.slots);
+    let many = previous_policy(load.slots);
     let (few, many) = (mean(&load, few), mean(&load, many));
     assert!(few.kinds[0] >= many.kinds[0], "{few:?} {many:?}");
-    assert!(few.all > many.all + 0.01, "{few:?} {many:?}");
+    assert!(few.total > many.total + 0.01, "{few:?} {many:?}");
 }
 
 /// Symptom: nearly every answer of an overloaded group is late.
@@ -124,17 +124,20 @@
         };
         let policy = replay::Policy {
             relief: false,
-            ..present(load.slots)
+            ..current_policy(load.slots)
         };
         let ordered = mean(&load, policy);
         let arrival = mean(
             &load,
             replay::Policy {
-                ordered: false,
+                by_urgency: false,
                 ..policy
             },
         );
-        assert!(ordered.all > arrival.all + 0.02, "{ordered:?} {arrival:?}");
+        assert!(
+            ordered.total > arrival.total + 0.02,
+            "{ordered:?} {arrival:?}"
+        );
     }
 }
 
@@ -150,7 +153,7 @@
         };
         let policy = replay::Policy {
             relief: false,
-            ..present(load.slots)
+            ..current_policy(load.slots)
         };
         let earned = mean(&load, policy);
         assert!(earned.kinds.iter().all(|share| *share > 0.3), "{earned:?}");
--- a/desk/tests/peers.rs
+++ b/desk/tests/peers.rs
@@ -5,7 +5,7 @@
 use std::rc;
 use std::time;
 
-use mangotray_desk::ledger;
+use mangotray_desk::buckets;
 use mangotray_desk::member;
 use mangotray_desk::message;
 use mangotray_desk::peers;
@@ -23,17 +23,17 @@
 struct Node {
     connections: cell::Cell<usize>,
     /// Connections up to this number are silent; their bytes never arrive.
-    dead: cell::Cell<usize>,
-    ledger: cell::RefCell<ledger::Ledger>,
+    silent_up_to: cell::Cell<usize>,
+    buckets: cell::RefCell<buckets::Buckets>,
 }
 
 impl Node {
     fn new() -> rc::Rc<Self> {
-        let ledger = ledger::Ledger::new(tolerance::Tolerance::default(), LONG);
+        let buckets = buckets::Buckets::new(tolerance::Tolerance::default(), LONG);
         rc::Rc::new(Self {
             connections: cell::Cell::default(),
-            dead: cell::Cell::default(),
-            ledger: cell::RefCell::new(ledger),
+            silent_up_to: cell::Cell::default(),
+            buckets: cell::RefCell::new(buckets),
         })
     }
 
@@ -45,22 +45,22 @@
         loop {
             let (stream, _) = listener.accept().await.expect("a connection");
             self.connections.set(self.connections.get() + 1);
-            let talk = rc::Rc::clone(&self).talk(stream, self.connections.get());
-            executor.spawn(talk).detach();
+            let answer = rc::Rc::clone(&self).answer(stream, self.connections.get());
+            executor.spawn(answer).detach();
         }
     }
 
-    async fn talk(self: rc::Rc<Self>, mut stream: async_net::TcpStream, number: usize) {
+    async fn answer(self: rc::Rc<Self>, mut stream: async_net::TcpStream, number: usize) {
         let opened = message::receive_opening(&mut stream).await;
         assert_eq!(opened.ok(), Some(message::Opening::Questions));
         while let Ok(question) = message::receive::<question::Question>(&mut stream).await {
-            if number <= self.dead.get() {
+            if number <= self.silent_up_to.get() {
                 futures_lite::future::pending::<()>().await;
             }
             let question::Question::Token(ask) = question else {
                 panic!("{question:?}");
             };
-            let decision = self.ledger.borrow_mut().decide(&ask, LONG);
+            let decision = self.buckets.borrow_mut().decide(&ask, LONG);
             let answer = question::Answer::Token(decision);
             message::send(&mut stream, &answer).await.expect("a way");
         }
@@ -68,18 +68,18 @@
 }
 
 fn token() -> question::Question {
-    question::Question::Token(ledger::Ask {
+    question::Question::Token(buckets::Request {
         organisation: "dome".into(),
         quota: quota::Quota {
             rate: 1.0,
             burst: 1.0,
         },
         version: 1,
-        turn: ledger::Turn::Counting,
+        turn: buckets::Reason::Counting,
     })
 }
 
-fn play(test: impl AsyncFnOnce(&Node, &member::Member, &peers::Peers)) {
+fn run_test(test: impl AsyncFnOnce(&Node, &member::Member, &peers::Peers)) {
     let executor = rc::Rc::new(async_executor::LocalExecutor::new());
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -91,10 +91,10 @@
     let node = Node::new();
     let listener = async_io::Async::new(listener).expect("a listener");
     let serve = rc::Rc::clone(&node).serve(listener.into(), rc::Rc::clone(&executor));
-    let peers = peers::Peers::patient(peers::Patience {
+    let peers = peers::Peers::with_timeouts(peers::Timeouts {
         answer: LONG,
-        again: LONG,
-        kept: SOON,
+        after_silence: LONG,
+        idle_connection: SOON,
     });
     async_io::block_on(executor.run(async {
         let serving = executor.spawn(serve);
@@ -107,9 +107,9 @@
 /// connection to it has gone dead.
 #[test]
 fn a_dead_connection_is_not_taken_for_a_dead_node() {
-    play(async |node, member, peers| {
+    run_test(async |node, member, peers| {
         assert!(peers.ask(member, &token()).await.is_some());
-        node.dead.set(node.connections.get());
+        node.silent_up_to.set(node.connections.get());
         assert!(peers.ask(member, &token()).await.is_some());
         assert!(peers.may_ask(&member.name));
         assert_eq!(node.connections.get(), 2);
@@ -120,12 +120,12 @@
 /// wait to find out.
 #[test]
 fn connections_as_old_as_a_dead_one_are_not_asked() {
-    play(async |node, member, peers| {
+    run_test(async |node, member, peers| {
         let (one, two) = (token(), token());
         let both = futures_util::future::join(peers.ask(member, &one), peers.ask(member, &two));
         assert!(matches!(both.await, (Some(_), Some(_))));
         assert_eq!(node.connections.get(), 2);
-        node.dead.set(2);
+        node.silent_up_to.set(2);
         for _ in 0..3 {
             assert!(peers.ask(member, &token()).await.is_some());
         }
--- a/desk/tests/pending.rs
+++ b/desk/tests/pending.rs
@@ -1,7 +1,7 @@
 //! A pending order whose candidate lacks records that another replica has.
 
-mod play;
-mod stage;
+mod cluster;
+mod harness;
 
 use mangotray_desk::wait;
 
@@ -9,22 +9,22 @@
 /// lacks.
 #[test]
 fn a_candidate_that_lacks_what_a_held_replica_has_is_replaced_after_a_wait() {
-    let play = play::play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.duty.ignore.set(1);
-        play.stage.world.borrow_mut().at("a").up = false;
-        let other = play.ordered().await.other;
+    let harness = harness::start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.client.ignore_orders.set(1);
+        harness.cluster.world.borrow_mut().at("a").up = false;
+        let other = harness.wait_for_order().await.other;
         // It went on receiving until it was held again.
-        play.stage.world.borrow_mut().at(other).ahead = 5;
-        stage::until("the replicas are held again", || {
-            play.stage.world.borrow_mut().at(other).ahead == 0
+        harness.cluster.world.borrow_mut().at(other).ahead = 5;
+        cluster::until("the replicas are held again", || {
+            harness.cluster.world.borrow_mut().at(other).ahead == 0
         })
         .await;
-        wait::sleep(play::LONG).await;
+        wait::sleep(harness::LONG).await;
         // The first order may still take effect, so no other candidate is ordered.
-        assert_eq!(play.duty.orders.borrow().len(), 1);
-        play.led(2).await;
-        assert_eq!(play.leader(), [other]);
+        assert_eq!(harness.client.orders.borrow().len(), 1);
+        harness.wait_for_primary(2).await;
+        assert_eq!(harness.leader(), [other]);
     });
 }
--- a/desk/tests/pool.rs
+++ b/desk/tests/pool.rs
@@ -1,6 +1,6 @@
 //! Pools of shared connections, and what they record about connections and instances.
 
-mod stage;
+mod cluster;
 
 use std::collections;
 use std::rc;
@@ -48,14 +48,14 @@
 }
 
 fn check_values_are_resent(dropped: bool) {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(2, 1);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(2, 1);
+    cluster.run(async {
         let values = Values::from([("tint".into(), "red".into())]);
         let mut first = lend(&pool, &Values::new()).await;
         let mut second = lend(&pool, &values).await;
-        stage.world.borrow_mut().stalled = true;
-        let busy = stage.executor.spawn(async move {
+        cluster.world.borrow_mut().stalled = true;
+        let busy = cluster.executor.spawn(async move {
             let status = [upstream::Command::Status];
             first.run(&status, boot::now() + LIMIT).await.map(|_| first)
         });
@@ -66,7 +66,7 @@
         let ended = wait::within(2 * SHORT, run).await;
         assert_eq!(ended.is_none(), dropped);
         drop(second);
-        stage.world.borrow_mut().stalled = false;
+        cluster.world.borrow_mut().stalled = false;
         let _busy = busy.await.expect("an answer");
         let mut third = lend(&pool, &values).await;
         let prelude = third.setup_commands(&values, None, false);
@@ -80,11 +80,11 @@
 /// concurrency limit, so that the nodes sent it more.
 #[test]
 fn a_full_instance_is_sent_less() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(5, 5);
-    stage.run(async {
-        let read = stage::read("read");
-        stage.world.borrow_mut().at("a").refuse = 30;
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(5, 5);
+    cluster.run(async {
+        let read = cluster::read("read");
+        cluster.world.borrow_mut().at("a").refuse = 30;
         let mut lent = lend(&pool, &Values::new()).await;
         for _ in 0..30 {
             let replies = lent.run(&read, boot::now() + LIMIT);
@@ -100,11 +100,11 @@
 /// and times out before the instance can answer. Any such timeout was taken for silence.
 #[test]
 fn a_statement_with_little_time_left_raises_no_suspicion() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(2, 1);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(2, 1);
+    cluster.run(async {
         let mut lent = lend(&pool, &Values::new()).await;
-        stage.world.borrow_mut().stalled = true;
+        cluster.world.borrow_mut().stalled = true;
         let status = [upstream::Command::Status];
         let result = lent.run(&status, boot::now() + SHORT).await;
         assert!(result.expect_err("no answer").sent);
@@ -113,9 +113,9 @@
 }
 
 /// A pool for the primary that opens connections with this dialer.
-fn pool_of(stage: &stage::Stage, dialer: rc::Rc<dyn upstream::Dialer>) -> rc::Rc<pool::Pool> {
-    let instance = stage.world.borrow().list().remove(0);
-    let executor = rc::Rc::clone(&stage.executor);
+fn pool_of(cluster: &cluster::Cluster, dialer: rc::Rc<dyn upstream::Dialer>) -> rc::Rc<pool::Pool> {
+    let instance = cluster.world.borrow().list().remove(0);
+    let executor = rc::Rc::clone(&cluster.executor);
     rc::Rc::new(pool::Pool::new(
         instance,
         dialer,
@@ -127,30 +127,33 @@
 /// Guards against an instance that is treated as down although only old connections to it are dead.
 #[test]
 fn a_new_connection_shows_that_a_silent_instance_is_up() {
-    let stage = stage::Stage::new();
+    let cluster = cluster::Cluster::new();
     // A separate world, as the stage's node opens connections to the instances of the stage's.
-    let world = stage::world();
-    let pool = pool_of(&stage, rc::Rc::new(stage::Dialer(rc::Rc::clone(&world))));
-    stage.run(async {
+    let world = cluster::world();
+    let pool = pool_of(
+        &cluster,
+        rc::Rc::new(cluster::Dialer(rc::Rc::clone(&world))),
+    );
+    cluster.run(async {
         let mut lent = lend(&pool, &Values::new()).await;
         // A second connection may have been started for it meanwhile.
         wait::sleep(SHORT).await;
         let opened = world.borrow().connections;
         world.borrow_mut().dead = opened;
-        let silent = stage.executor.spawn(async move {
+        let silent = cluster.executor.spawn(async move {
             let status = [upstream::Command::Status];
             lent.run(&status, boot::now() + LIMIT).await.is_err()
         });
         let another = || world.borrow().connections == opened + 1;
-        stage::until("another connection is opened", another).await;
-        stage::until("the instance is no longer down", || !pool.is_down()).await;
+        cluster::until("another connection is opened", another).await;
+        cluster::until("the instance is no longer down", || !pool.is_down()).await;
         assert!(silent.await);
     });
 }
 
 /// A dialer that opens a connection only with a permit of its semaphore.
 struct Permitted {
-    inner: stage::Dialer,
+    inner: cluster::Dialer,
     permits: sync::Arc<async_lock::Semaphore>,
 }
 
@@ -175,15 +178,15 @@
 /// have to answer answer none in time.
 #[test]
 fn no_connection_is_opened_without_a_permit() {
-    let stage = stage::Stage::new();
+    let cluster = cluster::Cluster::new();
     let permits = sync::Arc::new(async_lock::Semaphore::new(1));
-    let world = stage::world();
+    let world = cluster::world();
     let dialer = Permitted {
-        inner: stage::Dialer(rc::Rc::clone(&world)),
+        inner: cluster::Dialer(rc::Rc::clone(&world)),
         permits: sync::Arc::clone(&permits),
     };
-    let pool = pool_of(&stage, rc::Rc::new(dialer));
-    stage.run(async {
+    let pool = pool_of(&cluster, rc::Rc::new(dialer));
+    cluster.run(async {
         let taken = permits.acquire_arc().await;
         let values = Values::new();
         let mut waiting = std::pin::pin!(lend(&pool, &values));
--- a/desk/tests/promoter.rs
+++ b/desk/tests/promoter.rs
@@ -1,7 +1,7 @@
 //! Tests that the promoter replaces primaries without losing acknowledged commits.
 
-mod play;
-mod stage;
+mod cluster;
+mod harness;
 
 use std::rc;
 
@@ -17,24 +17,24 @@
 use mangotray_desk::upstream;
 use mangotray_desk::wait;
 
-use play::LONG;
-use play::Play;
-use play::SHORT;
-use play::SHORTEST;
-use play::play;
-use play::play_on;
+use harness::Harness;
+use harness::LONG;
+use harness::SHORT;
+use harness::SHORTEST;
+use harness::start;
+use harness::start_on;
 
 #[test]
 fn a_crashed_primary_is_replaced_by_the_furthest_replica() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("c").position = 12;
-        play.stage.world.borrow_mut().at("a").up = false;
-        play.led(2).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("c").position = 12;
+        harness.cluster.world.borrow_mut().at("a").up = false;
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.leader(), ["c"]);
-    assert_eq!(play.duty.orders.borrow().len(), 1);
+    assert_eq!(harness.leader(), ["c"]);
+    assert_eq!(harness.client.orders.borrow().len(), 1);
 }
 
 /// Guards against a lost commit when a promotion does not wait for all replicas. A commit is
@@ -42,32 +42,32 @@
 /// and the other replica is promoted.
 #[test]
 fn no_promotion_while_a_replica_is_missing() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
         for id in ["a", "b"] {
-            play.stage.world.borrow_mut().at(id).up = false;
+            harness.cluster.world.borrow_mut().at(id).up = false;
         }
         wait::sleep(LONG).await;
-        assert!(play.duty.orders.borrow().is_empty());
-        play.stage.world.borrow_mut().at("b").position = 15;
-        play.stage.world.borrow_mut().at("b").up = true;
-        play.led(2).await;
+        assert!(harness.client.orders.borrow().is_empty());
+        harness.cluster.world.borrow_mut().at("b").position = 15;
+        harness.cluster.world.borrow_mut().at("b").up = true;
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.leader(), ["b"]);
+    assert_eq!(harness.leader(), ["b"]);
 }
 
 #[test]
 fn a_leaving_primary_is_replaced_and_demoted() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").draining = true;
-        play.stage.relist();
-        play.led(2).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").draining = true;
+        harness.cluster.relist();
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.leader().len(), 1);
-    assert_ne!(play.leader(), ["a"]);
+    assert_eq!(harness.leader().len(), 1);
+    assert_ne!(harness.leader(), ["a"]);
 }
 
 /// Guards against a lost commit after a planned promotion whose feasibility was tested by ordering
@@ -75,14 +75,14 @@
 /// old primary led once more.
 #[test]
 fn a_leaving_primary_is_never_ordered_to_lead() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").draining = true;
-        play.stage.relist();
-        play.led(2).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").draining = true;
+        harness.cluster.relist();
+        harness.wait_for_primary(2).await;
     });
-    let orders = play.duty.orders.borrow();
+    let orders = harness.client.orders.borrow();
     assert!(
         orders.iter().all(|order| order.candidate != "a"),
         "{orders:?}"
@@ -94,19 +94,22 @@
 /// possible again.
 #[test]
 fn a_refused_order_releases_the_replicas_of_a_running_primary() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.duty.refuse.set(true);
-        play.stage.world.borrow_mut().at("a").draining = true;
-        play.stage.relist();
-        stage::until("orders are sent", || play.duty.orders.borrow().len() >= 2).await;
-        stage::until("the replicas are released", || {
-            play.stage.world.borrow_mut().at("b").held == 0
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.client.refuse_orders.set(true);
+        harness.cluster.world.borrow_mut().at("a").draining = true;
+        harness.cluster.relist();
+        cluster::until("orders are sent", || {
+            harness.client.orders.borrow().len() >= 2
         })
         .await;
-        play.duty.refuse.set(false);
-        play.led(2).await;
+        cluster::until("the replicas are released", || {
+            harness.cluster.world.borrow_mut().at("b").held == 0
+        })
+        .await;
+        harness.client.refuse_orders.set(false);
+        harness.wait_for_primary(2).await;
     });
 }
 
@@ -114,20 +117,20 @@
 /// answer is lost, and another candidate was ordered without querying the first.
 #[test]
 fn a_lost_answer_to_an_order_is_resolved_by_asking_the_candidate() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.duty.lose.set(1);
-        play.stage.world.borrow_mut().at("a").up = false;
-        play.led(2).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.client.lose_answers.set(1);
+        harness.cluster.world.borrow_mut().at("a").up = false;
+        harness.wait_for_primary(2).await;
     });
-    let orders = play.duty.orders.borrow();
+    let orders = harness.client.orders.borrow();
     assert!(
         orders
             .windows(2)
             .all(|pair| pair[0].candidate == pair[1].candidate)
     );
-    assert_eq!(play.leader().len(), 1);
+    assert_eq!(harness.leader().len(), 1);
 }
 
 /// Guards against two nodes that order promotions in turns. The promoter lease is ended from
@@ -135,46 +138,49 @@
 /// lease with the store.
 #[test]
 fn a_holder_unaware_that_it_lost_its_seat_orders_nothing() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
         {
-            let mut entries = play.store.at();
+            let mut entries = harness.store.at();
             let entry = entries.entry.as_mut().expect("the promoter lease is held");
             entry.value = Bytes::from_static(b"another");
             entry.version += 1;
         }
-        play.stage.world.borrow_mut().at("a").up = false;
+        harness.cluster.world.borrow_mut().at("a").up = false;
         wait::sleep(LONG).await;
     });
-    assert!(play.duty.orders.borrow().is_empty());
+    assert!(harness.client.orders.borrow().is_empty());
 }
 
 /// Guards against a fleet without a promoter. A claim of the promoter lease takes effect but its
 /// answer is lost, and the claimant did not check whether the entry is its own.
 #[test]
 fn a_claim_whose_answer_is_lost_is_resolved_by_reading() {
-    let play = play();
-    play.store.at().lose = 1;
-    play.stage.run(async { play.led(1).await });
-    assert!(play.election.held().is_some());
+    let harness = start();
+    harness.store.at().lose = 1;
+    harness
+        .cluster
+        .run(async { harness.wait_for_primary(1).await });
+    assert!(harness.election.held().is_some());
 }
 
 #[test]
 fn a_later_holder_has_a_higher_fencing_token() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        let first = play.election.held().expect("held").fence;
-        play.election.resign().await;
-        let shared: rc::Rc<dyn store::Store> = rc::Rc::new(play.store.clone());
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        let first = harness.election.held().expect("held").fence;
+        harness.election.resign().await;
+        let shared: rc::Rc<dyn store::Store> = rc::Rc::new(harness.store.clone());
         let other = election::Election::new(shared, &"other".into(), SHORTEST);
-        play.stage
+        harness
+            .cluster
             .executor
             .spawn(rc::Rc::clone(&other).run())
             .detach();
         other.note_vacant();
-        stage::until("the promoter lease is taken", || other.held().is_some()).await;
+        cluster::until("the promoter lease is taken", || other.held().is_some()).await;
         assert!(other.held().expect("held").fence > first);
     });
 }
@@ -184,19 +190,20 @@
 /// while the replicas are held.
 #[test]
 fn an_unfinished_promotion_is_finished_by_the_next_holder() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
         for id in ["b", "c"] {
-            play.stage.world.borrow_mut().at(id).held = 2;
+            harness.cluster.world.borrow_mut().at(id).held = 2;
         }
-        play.stage
+        harness
+            .cluster
             .node
-            .group(&stage::GROUP.into())
+            .group(&cluster::GROUP.into())
             .suspect(1, "test");
-        play.led(2).await;
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.duty.orders.borrow().len(), 1);
+    assert_eq!(harness.client.orders.borrow().len(), 1);
 }
 
 /// Guards against a group that never gets a primary after a failure of all nodes. They fail during
@@ -204,16 +211,18 @@
 /// monitored only primaries that it had seen leading.
 #[test]
 fn a_holder_that_never_saw_a_primary_finds_one() {
-    let stage = stage::Stage::new();
+    let cluster = cluster::Cluster::new();
     {
-        let mut world = stage.world.borrow_mut();
+        let mut world = cluster.world.borrow_mut();
         world.at("a").up = false;
         world.at("b").held = 2;
         world.at("c").held = 2;
     }
-    let play = play_on(stage);
-    play.stage.run(async { play.led(2).await });
-    assert_eq!(play.leader().len(), 1);
+    let harness = start_on(cluster);
+    harness
+        .cluster
+        .run(async { harness.wait_for_primary(2).await });
+    assert_eq!(harness.leader().len(), 1);
 }
 
 /// Guards against a late replacement of a primary that crashes during an outage of the store. The
@@ -221,23 +230,23 @@
 /// returns. The lease holder had discarded its observations when it could not act.
 #[test]
 fn a_primary_lost_in_an_outage_is_replaced_when_the_store_is_back() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.store.at().down = true;
-        stage::until("the lease may have ended", || {
-            play.election.held().is_none()
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.store.at().down = true;
+        cluster::until("the lease may have ended", || {
+            harness.election.held().is_none()
         })
         .await;
-        assert!(play.election.is_last_known_holder());
-        play.stage.world.borrow_mut().at("a").up = false;
+        assert!(harness.election.is_last_known_holder());
+        harness.cluster.world.borrow_mut().at("a").up = false;
         wait::sleep(LONG).await;
-        assert!(play.duty.orders.borrow().is_empty());
-        play.store.at().down = false;
-        play.election.note_store_reachable();
-        play.led(2).await;
+        assert!(harness.client.orders.borrow().is_empty());
+        harness.store.at().down = false;
+        harness.election.note_store_reachable();
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.duty.orders.borrow().len(), 1);
+    assert_eq!(harness.client.orders.borrow().len(), 1);
 }
 
 /// Guards against a group that never gets a primary although all its instances are healthy. The old
@@ -246,23 +255,24 @@
 #[test]
 fn a_group_without_a_leader_gets_a_primary() {
     for seen in [true, false] {
-        let stage = stage::Stage::new();
+        let cluster = cluster::Cluster::new();
         if !seen {
-            stage.world.borrow_mut().at("a").role = role::Role::Replica;
+            cluster.world.borrow_mut().at("a").role = role::Role::Replica;
         }
-        let play = play_on(stage);
-        play.stage.run(async {
+        let harness = start_on(cluster);
+        harness.cluster.run(async {
             if seen {
-                play.led(1).await;
-                play.stage.world.borrow_mut().at("a").role = role::Role::Replica;
-                play.stage
+                harness.wait_for_primary(1).await;
+                harness.cluster.world.borrow_mut().at("a").role = role::Role::Replica;
+                harness
+                    .cluster
                     .node
-                    .group(&stage::GROUP.into())
+                    .group(&cluster::GROUP.into())
                     .suspect(1, "test");
             }
-            play.led(2).await;
+            harness.wait_for_primary(2).await;
         });
-        assert_eq!(play.leader().len(), 1);
+        assert_eq!(harness.leader().len(), 1);
     }
 }
 
@@ -272,33 +282,33 @@
 /// received commits that the second candidate lacks.
 #[test]
 fn cleanup_without_the_seat_keeps_the_holds_of_a_later_term() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").up = false;
-        play.led(2).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").up = false;
+        harness.wait_for_primary(2).await;
         // From here on this node only runs the cleanup of its promotion.
         {
-            let mut entries = play.store.at();
+            let mut entries = harness.store.at();
             let entry = entries.entry.as_mut().expect("the promoter lease is held");
             entry.value = Bytes::from_static(b"another");
             entry.lease = None;
         }
-        stage::until("the promoter lease is lost", || {
-            play.election.held().is_none()
+        cluster::until("the promoter lease is lost", || {
+            harness.election.held().is_none()
         })
         .await;
         for id in ["b", "c"] {
-            play.stage.world.borrow_mut().at(id).held = 7;
+            harness.cluster.world.borrow_mut().at(id).held = 7;
         }
-        play.stage.world.borrow_mut().at("a").up = true;
-        stage::until("the old primary is demoted", || {
-            play.stage.world.borrow_mut().at("a").role != role::Role::Primary
+        harness.cluster.world.borrow_mut().at("a").up = true;
+        cluster::until("the old primary is demoted", || {
+            harness.cluster.world.borrow_mut().at("a").role != role::Role::Primary
         })
         .await;
         wait::sleep(LONG).await;
     });
-    let mut world = play.stage.world.borrow_mut();
+    let mut world = harness.cluster.world.borrow_mut();
     assert_eq!((world.at("b").held, world.at("c").held), (7, 7));
 }
 
@@ -307,22 +317,22 @@
 /// receipt while only the listed replicas are held. One of those was promoted.
 #[test]
 fn no_replica_takes_over_from_a_primary_that_has_more() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").position = 11;
-        play.stage.world.borrow_mut().at("a").draining = true;
-        play.stage.relist();
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").position = 11;
+        harness.cluster.world.borrow_mut().at("a").draining = true;
+        harness.cluster.relist();
         wait::sleep(2 * LONG).await;
-        assert!(play.duty.orders.borrow().is_empty());
-        play.stage.world.borrow_mut().at("c").position = 11;
-        play.led(2).await;
+        assert!(harness.client.orders.borrow().is_empty());
+        harness.cluster.world.borrow_mut().at("c").position = 11;
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.leader(), ["c"]);
+    assert_eq!(harness.leader(), ["c"]);
 }
 
-fn crash_promotion(play: &Play) -> promotion::Promotion {
-    let group = play.stage.node.group(&stage::GROUP.into());
+fn crash_promotion(harness: &Harness) -> promotion::Promotion {
+    let group = harness.cluster.node.group(&cluster::GROUP.into());
     let mut pools = group.roster().pools();
     promotion::Promotion {
         old: Some(pools.remove(0)),
@@ -353,14 +363,14 @@
 /// listed replicas does not prove that they have all commits.
 #[test]
 fn a_group_whose_records_were_lost_with_a_replica_waits_for_its_primary() {
-    let play = play();
-    play.stage.run(async {
-        let promotion = crash_promotion(&play);
+    let harness = start();
+    harness.cluster.run(async {
+        let promotion = crash_promotion(&harness);
         assert!(promotion.lacks_records(&[held("b", 0), held("c", 10)]));
         assert!(!promotion.lacks_records(&[held("b", 11), held("c", 10)]));
         // No instance has the commit any more, so the group need not wait for its primary.
-        play.stage.world.borrow_mut().instances.remove("a");
-        play.stage.relist();
+        harness.cluster.world.borrow_mut().instances.remove("a");
+        harness.cluster.relist();
         assert!(!promotion.lacks_records(&[held("b", 0), held("c", 10)]));
     });
 }
@@ -370,14 +380,14 @@
 /// added to the list. A hold applies to one process, not to the instance.
 #[test]
 fn a_hold_ends_when_its_replica_restarts() {
-    let play = play();
-    play.stage.run(async {
-        let promotion = crash_promotion(&play);
+    let harness = start();
+    harness.cluster.run(async {
+        let promotion = crash_promotion(&harness);
         let processes = promotion.processes();
-        play.stage.relist();
+        harness.cluster.relist();
         assert_eq!(promotion.processes(), processes);
-        play.stage.world.borrow_mut().at("c").born = 2;
-        play.stage.relist();
+        harness.cluster.world.borrow_mut().at("c").born = 2;
+        harness.cluster.relist();
         assert_ne!(promotion.processes(), processes);
     });
 }
@@ -386,20 +396,20 @@
 /// and the other replica restarts without its hold. Replicas were held only once.
 #[test]
 fn a_restarted_replica_is_held_again_until_the_old_primary_is_demoted() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").up = false;
-        play.led(2).await;
-        let other = if play.leader() == ["b"] { "c" } else { "b" };
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").up = false;
+        harness.wait_for_primary(2).await;
+        let other = if harness.leader() == ["b"] { "c" } else { "b" };
         {
-            let mut world = play.stage.world.borrow_mut();
+            let mut world = harness.cluster.world.borrow_mut();
             world.at(other).born = 2;
             world.at(other).held = 0;
         }
-        play.stage.relist();
-        stage::until("the restarted replica is held again", || {
-            play.stage.world.borrow_mut().at(other).held == 2
+        harness.cluster.relist();
+        cluster::until("the restarted replica is held again", || {
+            harness.cluster.world.borrow_mut().at(other).held == 2
         })
         .await;
     });
@@ -409,18 +419,18 @@
 /// which takes them nine seconds. A primary was replaced only for its own failures.
 #[test]
 fn a_group_whose_replicas_are_stuck_changes_its_primary_once() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stick().await;
-        play.led(2).await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.stall_replicas().await;
+        harness.wait_for_primary(2).await;
         // All instances follow the new primary from here on.
         for id in ["a", "b", "c"] {
-            play.stage.world.borrow_mut().at(id).term = 2;
+            harness.cluster.world.borrow_mut().at(id).term = 2;
         }
         wait::sleep(LONG).await;
-        assert_eq!(play.duty.orders.borrow().len(), 1);
-        assert_eq!(play.duty.primaries.borrow()[..], [0]);
+        assert_eq!(harness.client.orders.borrow().len(), 1);
+        assert_eq!(harness.client.primaries.borrow()[..], [0]);
     });
 }
 
@@ -429,13 +439,13 @@
 /// acknowledge. A primary ahead of the held replicas was not replaced.
 #[test]
 fn a_primary_that_is_ahead_steps_down_before_its_successor_is_ordered() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").ahead = 1;
-        play.stick().await;
-        play.led(2).await;
-        assert_eq!(play.duty.primaries.borrow()[..], [0]);
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").ahead = 1;
+        harness.stall_replicas().await;
+        harness.wait_for_primary(2).await;
+        assert_eq!(harness.client.primaries.borrow()[..], [0]);
     });
 }
 
@@ -444,18 +454,18 @@
 /// the primary steps down.
 #[test]
 fn an_instance_that_is_listed_late_is_not_passed_over() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").ahead = 1;
-        play.stick().await;
-        stage::until("the primary steps down", || {
-            play.stage.world.borrow_mut().at("a").role == role::Role::Replica
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").ahead = 1;
+        harness.stall_replicas().await;
+        cluster::until("the primary steps down", || {
+            harness.cluster.world.borrow_mut().at("a").role == role::Role::Replica
         })
         .await;
         {
-            let mut world = play.stage.world.borrow_mut();
-            let newcomer = stage::Instance {
+            let mut world = harness.cluster.world.borrow_mut();
+            let newcomer = cluster::Instance {
                 position: 11,
                 held: 0,
                 lag: None,
@@ -463,10 +473,10 @@
             };
             world.instances.insert("d".into(), newcomer);
         }
-        play.stage.relist();
-        play.led(2).await;
+        harness.cluster.relist();
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.leader(), ["d"]);
+    assert_eq!(harness.leader(), ["d"]);
 }
 
 /// Guards against a lost commit after a crash. The store returns from an outage in which all
@@ -474,31 +484,32 @@
 /// two replicas is listed again. The primary is gone, and the listed replica has received less.
 #[test]
 fn a_holder_that_has_just_started_waits_for_a_complete_list() {
-    let world = stage::world();
+    let world = cluster::world();
     let missing = world.borrow_mut().instances.remove("c");
     world.borrow_mut().at("b").position = 5;
-    let play = play_on(stage::Stage::of(world));
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").up = false;
-        let group = play.stage.node.group(&stage::GROUP.into());
+    let harness = start_on(cluster::Cluster::of(world));
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").up = false;
+        let group = harness.cluster.node.group(&cluster::GROUP.into());
         let settles = group.roster().settles_at().expect("a list");
         // The replica is listed again well before the list counts as complete.
-        stage::until("the list is nearly old enough", || {
-            assert!(play.duty.orders.borrow().is_empty());
+        cluster::until("the list is nearly old enough", || {
+            assert!(harness.client.orders.borrow().is_empty());
             boot::now() + SHORT >= settles
         })
         .await;
         let missing = missing.expect("it was on stage");
-        play.stage
+        harness
+            .cluster
             .world
             .borrow_mut()
             .instances
             .insert("c".into(), missing);
-        play.stage.relist();
-        play.led(2).await;
+        harness.cluster.relist();
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.leader(), ["c"]);
+    assert_eq!(harness.leader(), ["c"]);
 }
 
 /// Guards against groups that have no primary for 2.4 s longer than necessary after an outage of
@@ -506,29 +517,30 @@
 /// it, and then waited for its list of instances to be complete.
 #[test]
 fn a_node_that_has_just_started_leaves_the_seat_to_others() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.settled().await;
-        let shared: rc::Rc<dyn store::Store> = rc::Rc::new(play.store.clone());
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.settled().await;
+        let shared: rc::Rc<dyn store::Store> = rc::Rc::new(harness.store.clone());
         let newcomer = election::Election::new(shared, &"new".into(), SHORTEST);
-        play.stage
+        harness
+            .cluster
             .executor
             .spawn(rc::Rc::clone(&newcomer).run())
             .detach();
         // The holder loses its lease, and both nodes learn that it is free.
-        play.store.at().entry = None;
-        stage::until("the promoter lease is lost", || {
-            !play.election.is_last_known_holder()
+        harness.store.at().entry = None;
+        cluster::until("the promoter lease is lost", || {
+            !harness.election.is_last_known_holder()
         })
         .await;
         newcomer.note_vacant();
-        play.election.note_vacant();
-        stage::until("the promoter lease is taken", || {
-            play.election.held().is_some() || newcomer.held().is_some()
+        harness.election.note_vacant();
+        cluster::until("the promoter lease is taken", || {
+            harness.election.held().is_some() || newcomer.held().is_some()
         })
         .await;
-        assert!(play.election.held().is_some());
+        assert!(harness.election.held().is_some());
     });
 }
 
@@ -538,30 +550,30 @@
 /// log positions were discarded with that attempt.
 #[test]
 fn empty_replicas_are_not_promoted_at_the_second_try_either() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.settled().await;
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.settled().await;
         {
-            let mut world = play.stage.world.borrow_mut();
+            let mut world = harness.cluster.world.borrow_mut();
             world.at("a").up = false;
             for id in ["b", "c"] {
                 world.at(id).born = 2;
                 world.at(id).position = 0;
             }
         }
-        play.stage.relist();
+        harness.cluster.relist();
         wait::sleep(2 * LONG).await;
-        assert!(play.duty.orders.borrow().is_empty());
-        play.stage.world.borrow_mut().at("a").up = true;
-        stage::until("the replicas of the primary are released", || {
-            let mut world = play.stage.world.borrow_mut();
+        assert!(harness.client.orders.borrow().is_empty());
+        harness.cluster.world.borrow_mut().at("a").up = true;
+        cluster::until("the replicas of the primary are released", || {
+            let mut world = harness.cluster.world.borrow_mut();
             world.at("b").held == 0 && world.at("c").held == 0
         })
         .await;
-        play.led(1).await;
+        harness.wait_for_primary(1).await;
     });
-    assert_eq!(play.leader(), ["a"]);
+    assert_eq!(harness.leader(), ["a"]);
 }
 
 /// Guards against a group that never gets a primary after a refused relief promotion. A primary
@@ -569,22 +581,22 @@
 /// former primary then counted as received by a replica, so that no replica seemed to have all.
 #[test]
 fn a_relief_whose_order_is_refused_is_finished() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.world.borrow_mut().at("a").ahead = 1;
-        play.duty.refuse.set(true);
-        play.stick().await;
-        stage::until("the order is refused", || {
-            !play.duty.orders.borrow().is_empty()
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.world.borrow_mut().at("a").ahead = 1;
+        harness.client.refuse_orders.set(true);
+        harness.stall_replicas().await;
+        cluster::until("the order is refused", || {
+            !harness.client.orders.borrow().is_empty()
         })
         .await;
         // Long enough for the node to query the primary that stepped down.
         wait::sleep(SHORT).await;
-        play.duty.refuse.set(false);
-        play.led(2).await;
+        harness.client.refuse_orders.set(false);
+        harness.wait_for_primary(2).await;
     });
-    assert_eq!(play.leader().len(), 1);
+    assert_eq!(harness.leader().len(), 1);
 }
 
 /// Guards against a loss of acknowledged commits (three hundred were seen) through a restarted
@@ -593,23 +605,26 @@
 /// effect.
 #[test]
 fn a_restarted_candidate_is_not_promoted() {
-    let play = play();
-    play.stage.run(async {
-        play.led(1).await;
-        play.stage.settled().await;
-        play.duty.ignore.set(1);
-        play.stage.world.borrow_mut().at("a").up = false;
-        stage::until("an order is sent", || !play.duty.orders.borrow().is_empty()).await;
-        let first = play.duty.orders.borrow()[0].candidate.clone();
+    let harness = start();
+    harness.cluster.run(async {
+        harness.wait_for_primary(1).await;
+        harness.cluster.settled().await;
+        harness.client.ignore_orders.set(1);
+        harness.cluster.world.borrow_mut().at("a").up = false;
+        cluster::until("an order is sent", || {
+            !harness.client.orders.borrow().is_empty()
+        })
+        .await;
+        let first = harness.client.orders.borrow()[0].candidate.clone();
         {
-            let mut world = play.stage.world.borrow_mut();
+            let mut world = harness.cluster.world.borrow_mut();
             let candidate = world.at(&first);
             candidate.born = 2;
             candidate.position = 0;
             candidate.held = 0;
         }
-        play.stage.relist();
-        play.led(2).await;
-        assert_ne!(play.leader(), [first.to_string()]);
+        harness.cluster.relist();
+        harness.wait_for_primary(2).await;
+        assert_ne!(harness.leader(), [first.to_string()]);
     });
 }
--- a/desk/tests/relay.rs
+++ b/desk/tests/relay.rs
@@ -1,6 +1,6 @@
 //! Relayed connections.
 
-mod stage;
+mod cluster;
 
 use std::rc;
 use std::time;
@@ -20,32 +20,32 @@
 /// deadline and kept the statement for thirty seconds.
 #[test]
 fn a_statement_whose_sender_has_given_up_is_not_run() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(3, 1);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(3, 1);
+    cluster.run(async {
         let mut first = relay::Session::new(rc::Rc::clone(&pool), organisation::OWN);
         let mut second = relay::Session::new(pool, organisation::OWN);
         first.open().await.expect("a reachable instance");
-        stage.world.borrow_mut().stalled = true;
-        let busy = stage.executor.spawn(async move {
+        cluster.world.borrow_mut().stalled = true;
+        let busy = cluster.executor.spawn(async move {
             let urgency = urgency::Urgency::immediate(boot::now() + LONG);
             first
-                .run(&stage::read("first"), urgency, &organisation::OWN)
+                .run(&cluster::read("first"), urgency, &organisation::OWN)
                 .await
         });
         wait::sleep(SHORT).await;
         let urgency = urgency::Urgency::immediate(boot::now() + SHORT);
         let waiting = wait::within(
             LONG,
-            second.run(&stage::read("second"), urgency, &organisation::OWN),
+            second.run(&cluster::read("second"), urgency, &organisation::OWN),
         )
         .await;
         let failure = waiting.expect("an answer").expect_err("a refusal");
         assert!(!failure.sent, "{failure:?}");
-        stage.world.borrow_mut().stalled = false;
+        cluster.world.borrow_mut().stalled = false;
         busy.await.expect("an answer");
         wait::sleep(SHORT).await;
-        let ran = stage.world.borrow().ran.clone();
+        let ran = cluster.world.borrow().ran.clone();
         assert!(ran.iter().all(|ran| ran.id == "first"), "{ran:?}");
     });
 }
@@ -56,16 +56,16 @@
 /// it waited for the answers long after the sender had given up.
 #[test]
 fn a_lost_answer_does_not_keep_its_permit() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(3, 1);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(3, 1);
+    cluster.run(async {
         let mut session = relay::Session::new(pool, organisation::OWN);
         session.open().await.expect("a reachable instance");
-        stage.world.borrow_mut().stalled = true;
+        cluster.world.borrow_mut().stalled = true;
         let urgency = urgency::Urgency::immediate(boot::now() + SHORT);
         let run = wait::within(
             LONG,
-            session.run(&stage::read("lost"), urgency, &organisation::OWN),
+            session.run(&cluster::read("lost"), urgency, &organisation::OWN),
         )
         .await;
         let failure = run.expect("an answer").expect_err("a failure");
@@ -78,14 +78,14 @@
 /// the second one. Only the second command's failure was reported.
 #[test]
 fn a_batch_that_has_begun_is_not_reported_as_unsent() {
-    let stage = stage::Stage::new();
-    let pool = stage.pool(3, 1);
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    let pool = cluster.pool(3, 1);
+    cluster.run(async {
         let mut session = relay::Session::new(pool, organisation::OWN);
         let until = boot::now() + SHORT;
-        let batch = [stage::read("one"), stage::read("two")].concat();
+        let batch = [cluster::read("one"), cluster::read("two")].concat();
         session.open().await.expect("a reachable instance");
-        stage.world.borrow_mut().die_after = Some(1);
+        cluster.world.borrow_mut().die_after = Some(1);
         let result = session
             .run(
                 &batch,
@@ -94,7 +94,7 @@
             )
             .await;
         let failure = result.expect_err("a failure");
-        assert_eq!(stage.world.borrow().ran.len(), 1);
+        assert_eq!(cluster.world.borrow().ran.len(), 1);
         assert!(failure.sent, "{failure:?}");
     });
 }
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -1,6 +1,6 @@
 //! Connections through another node that is busy or dead.
 
-mod stage;
+mod cluster;
 
 use std::net;
 use std::rc;
@@ -37,8 +37,8 @@
     (listener.into(), address)
 }
 
-fn target(stage: &stage::Stage) -> upstream::Target {
-    let instance = stage.world.borrow().list().remove(0);
+fn target(cluster: &cluster::Cluster) -> upstream::Target {
+    let instance = cluster.world.borrow().list().remove(0);
     upstream::Target {
         address: instance.address,
         group: instance.group,
@@ -52,17 +52,17 @@
 }
 
 /// Starts a node that relays to the primary of the stage, and returns its address.
-async fn start_relay(stage: &stage::Stage) -> net::SocketAddr {
+async fn start_relay(cluster: &cluster::Cluster) -> net::SocketAddr {
     let (listener, address) = listener();
     drop(listener);
-    let pool = stage.pool(3, 3);
+    let pool = cluster.pool(3, 3);
     let server = relay::Server::new(
         move |_| rc::Rc::clone(&pool),
-        rc::Rc::clone(&stage.executor),
+        rc::Rc::clone(&cluster.executor),
     );
     let serve = server.serve(address);
     let serve = async move { serve.await.expect("a port") };
-    stage.executor.spawn(serve).detach();
+    cluster.executor.spawn(serve).detach();
     while async_net::TcpStream::connect(address).await.is_err() {
         wait::sleep(time::Duration::from_millis(5)).await;
     }
@@ -93,21 +93,21 @@
 /// while a statement runs.
 #[test]
 fn a_relaying_node_sends_heartbeats_while_a_statement_runs() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let address = start_relay(&stage).await;
-        let dialled = remote::dial(address, &target(&stage), None).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let address = start_relay(&cluster).await;
+        let dialled = remote::dial(address, &target(&cluster), None).await;
         let (mut link, _) = dialled.expect("a node").expect("a connection");
         let pulse = link.heartbeat().expect("a pulse");
-        stage.world.borrow_mut().stalled = true;
+        cluster.world.borrow_mut().stalled = true;
         let sent = boot::now();
-        let run = stage.executor.spawn(async move {
+        let run = cluster.executor.spawn(async move {
             let urgency = urgency::Urgency::immediate(boot::now() + LONG_DEADLINE);
-            link.run(&stage::read("one"), urgency, &organisation::OWN)
+            link.run(&cluster::read("one"), urgency, &organisation::OWN)
                 .await
         });
-        stage::until("a heartbeat", || pulse.get() > sent).await;
-        stage.world.borrow_mut().stalled = false;
+        cluster::until("a heartbeat", || pulse.get() > sent).await;
+        cluster.world.borrow_mut().stalled = false;
         assert!(run.await.is_ok());
     });
 }
@@ -116,7 +116,7 @@
 /// node accepts the connection and then neither answers nor sends heartbeats.
 #[test]
 fn a_read_on_a_dead_connection_is_given_up_soon() {
-    let stage = stage::Stage::new();
+    let cluster = cluster::Cluster::new();
     let (listener, address) = listener();
     let unresponsive = async move {
         let mut silent = Vec::new();
@@ -128,20 +128,20 @@
             }
         }
     };
-    stage.executor.spawn(unresponsive).detach();
-    let instance = stage.world.borrow().list().remove(0);
+    cluster.executor.spawn(unresponsive).detach();
+    let instance = cluster.world.borrow().list().remove(0);
     let pool = rc::Rc::new(pool::Pool::new(
         instance,
         rc::Rc::new(ThroughNode(address)),
-        rc::Rc::clone(&stage.executor),
+        rc::Rc::clone(&cluster.executor),
         size::Size::shared(),
     ));
-    stage.run(async {
+    cluster.run(async {
         let urgency = urgency::Urgency::immediate(boot::now() + LONG_DEADLINE);
         let (values, own) = (connection::Values::new(), organisation::OWN);
         let loan = pool.lend(urgency, &own, &values, boot::now() + TEST_TIMEOUT);
         let mut checkout = loan.await.expect("a connection");
-        let read = stage::read("one");
+        let read = cluster::read("one");
         let run = checkout.run_unless_silent(&read, boot::now() + LONG_DEADLINE);
         let failure = wait::within(TEST_TIMEOUT, run)
             .await
@@ -162,28 +162,28 @@
 /// during a rolling upgrade.
 #[test]
 fn a_node_that_does_not_know_heartbeats_gets_none() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let address = start_relay(&stage).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let address = start_relay(&cluster).await;
         let mut stream = async_net::TcpStream::connect(address)
             .await
             .expect("a connection to the node");
-        message::send(&mut stream, &target(&stage))
+        message::send(&mut stream, &target(&cluster))
             .await
             .expect("a connection to the node");
         let opened: relay::Opened = message::receive(&mut stream).await.expect("an answer");
         opened.expect("a connection");
-        stage.world.borrow_mut().stalled = true;
+        cluster.world.borrow_mut().stalled = true;
         let work = Work {
             urgency: urgency::Urgency::immediate(boot::now() + LONG_DEADLINE).to_remaining(),
             organisation: organisation::OWN,
-            commands: stage::read("one"),
+            commands: cluster::read("one"),
         };
         message::send(&mut stream, &work)
             .await
             .expect("a connection to the node");
         wait::sleep(SEVERAL_HEARTBEATS).await;
-        stage.world.borrow_mut().stalled = false;
+        cluster.world.borrow_mut().stalled = false;
         let answer: relay::Answer = message::receive(&mut stream).await.expect("an answer");
         assert!(answer.is_ok());
     });
--- a/desk/tests/replay/mod.rs
+++ b/desk/tests/replay/mod.rs
@@ -25,7 +25,7 @@
     pub timeout: u64,
     pub priority: u8,
     pub worth: f64,
-    pub late: f64,
+    pub late_worth: f64,
     /// Only the primary may serve it.
     pub primary: bool,
 }
@@ -40,7 +40,7 @@
         timeout: 800,
         priority: 1,
         worth: 2.0,
-        late: 1.0,
+        late_worth: 1.0,
         primary: true,
     },
     Kind {
@@ -50,7 +50,7 @@
         timeout: 1500,
         priority: 2,
         worth: 1.0,
-        late: 0.5,
+        late_worth: 0.5,
         primary: false,
     },
     Kind {
@@ -60,7 +60,7 @@
         timeout: 800,
         priority: 2,
         worth: 2.0,
-        late: 0.5,
+        late_worth: 0.5,
         primary: false,
     },
 ];
@@ -74,7 +74,7 @@
         timeout: 2000,
         priority: 0,
         worth: 1.0,
-        late: 0.2,
+        late_worth: 0.2,
         primary: true,
     },
     Kind {
@@ -84,7 +84,7 @@
         timeout: 4000,
         priority: 3,
         worth: 3.0,
-        late: 1.0,
+        late_worth: 1.0,
         primary: false,
     },
 ];
@@ -107,20 +107,20 @@
     /// Nodes that serve one instance, each with an order of its own.
     pub nodes: usize,
     /// Statements that each of them lets the instance work on.
-    pub abreast: usize,
-    /// Whether a primary changes places with a stuck replica.
+    pub concurrency: usize,
+    /// Whether a primary changes entries with a stuck replica.
     pub relief: bool,
     /// Whether those that wait go in the product's order, or as they came.
-    pub ordered: bool,
+    pub by_urgency: bool,
 }
 
 /// What came of it.
 #[derive(Clone, Debug, Default)]
-pub struct Earned {
+pub struct Earnings {
     /// Part of what all requests are worth, by kind.
     pub kinds: Vec<f64>,
     /// Of all together.
-    pub all: f64,
+    pub total: f64,
     /// Changes of primary.
     pub changes: usize,
 }
@@ -133,18 +133,18 @@
 }
 
 #[derive(Default)]
-struct Lane {
+struct NodeQueue {
     turn: u64,
-    places: Vec<schedule::Entry>,
+    entries: Vec<schedule::Entry>,
     requests: Vec<Request>,
-    at_work: usize,
+    in_flight: usize,
 }
 
 #[derive(Default)]
 struct Instance {
-    lanes: Vec<Lane>,
-    /// What it has taken and not begun, in order of arrival, with the lane it came from.
-    queue: collections::VecDeque<(Request, usize)>,
+    queues: Vec<NodeQueue>,
+    /// What it has taken and not begun, in order of arrival, with the queue it came from.
+    accepted: collections::VecDeque<(Request, usize)>,
     running: Vec<(u64, Request, usize)>,
 }
 
@@ -155,19 +155,19 @@
     instances: Vec<Instance>,
     primary: usize,
     /// Until then nobody leads.
-    vacant: u64,
+    vacant_until: u64,
     stuck: Vec<bool>,
     relief: relief::Relief,
     number: u64,
-    owed: Vec<f64>,
+    offered: Vec<f64>,
     earned: Vec<f64>,
     changes: usize,
 }
 
 /// Replays a load under a policy.
-pub fn play(load: &Load, policy: Policy, seed: u64) -> Earned {
+pub fn run(load: &Load, policy: Policy, seed: u64) -> Earnings {
     let instance = |_| Instance {
-        lanes: (0..policy.nodes).map(|_| Lane::default()).collect(),
+        queues: (0..policy.nodes).map(|_| NodeQueue::default()).collect(),
         ..Instance::default()
     };
     let mut run = Run {
@@ -176,11 +176,11 @@
         random: fastrand::Rng::with_seed(seed),
         instances: (0..load.instances).map(instance).collect(),
         primary: 0,
-        vacant: 0,
+        vacant_until: 0,
         stuck: vec![false; load.instances],
         relief: relief::Relief::default(),
         number: 0,
-        owed: vec![0.0; load.kinds.len()],
+        offered: vec![0.0; load.kinds.len()],
         earned: vec![0.0; load.kinds.len()],
         changes: 0,
     };
@@ -203,11 +203,11 @@
             }
         }
         if now.is_multiple_of(100) {
-            self.consider(now);
+            self.judge_relief(now);
         }
         for kind in 0..self.load.kinds.len() {
             if self.random.f64() < self.load.kinds[kind].per_second / 1000.0 {
-                self.arrive(kind, now);
+                self.enqueue(kind, now);
             }
         }
         for index in 0..self.instances.len() {
@@ -216,7 +216,7 @@
     }
 
     // Looks at the replicas, as the promoter does.
-    fn consider(&mut self, now: u64) {
+    fn judge_relief(&mut self, now: u64) {
         let until = self.load.stuck.map_or(0, |(_, until)| until);
         let replica = |index: &usize| relief::Replica {
             received: stamp::Stamp::new(1, 90),
@@ -240,14 +240,14 @@
             self.primary = (self.primary + 1) % self.instances.len();
             // It leads with all that it has received; the old one has applied everything.
             self.stuck[self.primary] = false;
-            self.vacant = now + 350;
+            self.vacant_until = now + 350;
             self.changes += 1;
         }
     }
 
-    fn arrive(&mut self, kind: usize, now: u64) {
+    fn enqueue(&mut self, kind: usize, now: u64) {
         let spec = self.load.kinds[kind];
-        self.owed[kind] += spec.worth;
+        self.offered[kind] += spec.worth;
         let work = (self.random.u64(spec.work / 2..spec.work * 3 / 2) / 1000).max(1);
         let request = Request {
             kind,
@@ -264,14 +264,18 @@
         };
         let load = |index: &usize| {
             let instance = &self.instances[*index];
-            let waiting: usize = instance.lanes.iter().map(|lane| lane.places.len()).sum();
-            waiting + instance.queue.len() + instance.running.len()
+            let waiting: usize = instance
+                .queues
+                .iter()
+                .map(|queue| queue.entries.len())
+                .sum();
+            waiting + instance.accepted.len() + instance.running.len()
         };
         let choice = (0..self.instances.len()).filter(fits).min_by_key(load);
         let Some(index) = choice else { return };
         self.number += 1;
-        let lane = self.random.usize(..self.policy.nodes);
-        let place = schedule::Entry {
+        let queue = self.random.usize(..self.policy.nodes);
+        let entry = schedule::Entry {
             urgency: urgency::Urgency {
                 priority: spec.priority,
                 objective: millis(spec.objective),
@@ -281,9 +285,9 @@
             number: self.number,
             since: millis(now),
         };
-        let lane = &mut self.instances[index].lanes[lane];
-        lane.places.push(place);
-        lane.requests.push(request);
+        let queue = &mut self.instances[index].queues[queue];
+        queue.entries.push(entry);
+        queue.requests.push(request);
     }
 
     fn work(&mut self, index: usize, now: u64) {
@@ -293,63 +297,63 @@
             .running
             .extract_if(.., |(end, ..)| *end <= now)
             .collect();
-        for (_, request, lane) in done {
-            instance.lanes[lane].at_work -= 1;
+        for (_, request, queue) in done {
+            instance.queues[queue].in_flight -= 1;
             let spec = load.kinds[request.kind];
             let took = now - request.arrived;
             self.earned[request.kind] += match took {
                 _ if took <= spec.objective => spec.worth,
-                _ if took <= spec.timeout => spec.late,
+                _ if took <= spec.timeout => spec.late_worth,
                 _ => 0.0,
             };
         }
-        let dark = index == self.primary && now < self.vacant;
-        for (number, lane) in instance.lanes.iter_mut().enumerate() {
-            lane.give_up(load, now);
-            while !dark && lane.at_work < self.policy.abreast {
-                let next = if self.policy.ordered {
-                    schedule::next(&lane.places, millis(now), lane.turn)
+        let unavailable = index == self.primary && now < self.vacant_until;
+        for (number, queue) in instance.queues.iter_mut().enumerate() {
+            queue.drop_timed_out(load, now);
+            while !unavailable && queue.in_flight < self.policy.concurrency {
+                let next = if self.policy.by_urgency {
+                    schedule::next(&queue.entries, millis(now), queue.turn)
                 } else {
-                    (!lane.places.is_empty()).then_some(0)
+                    (!queue.entries.is_empty()).then_some(0)
                 };
                 let Some(next) = next else { break };
-                lane.turn += 1;
-                lane.places.remove(next);
-                lane.at_work += 1;
+                queue.turn += 1;
+                queue.entries.remove(next);
+                queue.in_flight += 1;
                 instance
-                    .queue
-                    .push_back((lane.requests.remove(next), number));
+                    .accepted
+                    .push_back((queue.requests.remove(next), number));
             }
         }
         while instance.running.len() < load.slots {
-            let Some((request, lane)) = instance.queue.pop_front() else {
+            let Some((request, queue)) = instance.accepted.pop_front() else {
                 break;
             };
-            instance.running.push((now + request.work, request, lane));
+            instance.running.push((now + request.work, request, queue));
         }
     }
 
-    fn report(&self) -> Earned {
-        let share = |kind: usize| self.earned[kind] / self.owed[kind];
-        Earned {
-            kinds: (0..self.owed.len()).map(share).collect(),
-            all: self.earned.iter().sum::<f64>() / self.owed.iter().sum::<f64>(),
+    fn report(&self) -> Earnings {
+        let share = |kind: usize| self.earned[kind] / self.offered[kind];
+        Earnings {
+            kinds: (0..self.offered.len()).map(share).collect(),
+            total: self.earned.iter().sum::<f64>() / self.offered.iter().sum::<f64>(),
             changes: self.changes,
         }
     }
 }
 
-impl Lane {
+impl NodeQueue {
     // Refuses those that have waited for long enough.
-    fn give_up(&mut self, load: &Load, now: u64) {
-        let late = |request: &Request| {
+    fn drop_timed_out(&mut self, load: &Load, now: u64) {
+        let timed_out = |request: &Request| {
             let limit = load.kinds[request.kind].timeout * u64::from(deadline::QUEUE_PERCENT) / 100;
             now - request.arrived > limit
         };
         for index in (0..self.requests.len()).rev() {
-            if late(&self.requests[index]) {
+            if timed_out(&self.requests[index]) {
                 self.requests.remove(index);
-                self.places.remove(index);
+                self.entries.remove(index);
             }
         }
     }
--- a/desk/tests/router.rs
+++ b/desk/tests/router.rs
@@ -1,6 +1,6 @@
 //! How a node reaches instances through other nodes.
 
-mod stage;
+mod cluster;
 
 use std::net;
 use std::rc;
@@ -25,7 +25,7 @@
 type Local = rc::Rc<async_executor::LocalExecutor<'static>>;
 
 /// A dialer that reaches at most one instance; dials to all others never complete.
-struct SingleTarget(Option<(upstream::Id, stage::Dialer)>);
+struct SingleTarget(Option<(upstream::Id, cluster::Dialer)>);
 
 impl upstream::Dialer for SingleTarget {
     fn dial<'a>(
@@ -53,7 +53,7 @@
     router.apply(&catalog::Catalog {
         version: 1,
         services: vec![catalog::Service {
-            group: stage::GROUP.into(),
+            group: cluster::GROUP.into(),
             connections: 4,
             sync: 1,
         }],
@@ -71,7 +71,7 @@
 fn target(id: &str) -> upstream::Target {
     upstream::Target {
         address: address(),
-        group: stage::GROUP.into(),
+        group: cluster::GROUP.into(),
         id: id.into(),
         born: 1,
         domain: "near".into(),
@@ -94,12 +94,12 @@
 /// reports that it cannot reach this instance. It was then avoided for all other instances too.
 #[test]
 fn a_node_that_cannot_reach_one_instance_still_lends_for_others() {
-    let stage = stage::Stage::new();
-    let executor = &stage.executor;
+    let cluster = cluster::Cluster::new();
+    let executor = &cluster.executor;
     let (own, lending) = (member("own", "far"), member("lending", "near"));
     let reaches = SingleTarget(Some((
         "b".into(),
-        stage::Dialer(rc::Rc::clone(&stage.world)),
+        cluster::Dialer(rc::Rc::clone(&cluster.world)),
     )));
     let lending_address = lending.address;
     let lender = router(&lending.name, rc::Rc::new(reaches), executor);
@@ -110,7 +110,7 @@
         .detach();
     let router = router(&own.name, rc::Rc::new(SingleTarget(None)), executor);
     router.set_members(vec![own, lending]);
-    stage.run(async {
+    cluster.run(async {
         // Wait until the lending node listens.
         while async_net::TcpStream::connect(lending_address)
             .await
@@ -146,10 +146,10 @@
 /// Guards against a node that limits its concurrent dials only per instance and not in total.
 #[test]
 fn a_node_opens_few_connections_at_once() {
-    let stage = stage::Stage::new();
+    let cluster = cluster::Cluster::new();
     let narrow = rc::Rc::new(SingleTarget(None));
-    let router = router("vm-1", narrow, &stage.executor);
-    stage.run(async {
+    let router = router("vm-1", narrow, &cluster.executor);
+    cluster.run(async {
         let mut permits = Vec::new();
         for _ in 0..router::MAX_CONCURRENT_DIALS {
             permits.push(router.permit().await);
--- a/desk/tests/session.rs
+++ b/desk/tests/session.rs
@@ -1,6 +1,6 @@
 //! Sessions on shared connections, and what callers are told about failures.
 
-mod stage;
+mod cluster;
 
 use std::time;
 
@@ -15,19 +15,19 @@
 
 #[test]
 fn values_of_one_session_never_reach_another() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let mut one = stage.session("own");
-        let mut other = stage.session("own");
-        one.handle(&stage::request("SET colour red")).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let mut one = cluster.session("own");
+        let mut other = cluster.session("own");
+        one.handle(&cluster::request("SET colour red")).await;
         for text in ["WRITE x 1", "READ x"] {
-            assert!(one.handle(&stage::request(text)).await.is_done());
+            assert!(one.handle(&cluster::request(text)).await.is_done());
         }
         for text in ["WRITE y 1", "READ y"] {
-            assert!(other.handle(&stage::request(text)).await.is_done());
+            assert!(other.handle(&cluster::request(text)).await.is_done());
         }
     });
-    let world = stage.world.borrow();
+    let world = cluster.world.borrow();
     for ran in &world.ran {
         let coloured = ran.values.contains_key("colour");
         assert_eq!(coloured, ran.text.contains('x'), "{ran:?}");
@@ -39,16 +39,16 @@
 /// statement was sent without waiting for the value to be set.
 #[test]
 fn a_statement_waits_until_its_values_are_set() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        stage.world.borrow_mut().fail_sets = 2;
-        let mut session = stage.session("own");
-        session.handle(&stage::request("SET colour red")).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        cluster.world.borrow_mut().fail_sets = 2;
+        let mut session = cluster.session("own");
+        session.handle(&cluster::request("SET colour red")).await;
         for text in ["READ x", "WRITE x 1", "READ x"] {
-            session.handle(&stage::request(text)).await;
+            session.handle(&cluster::request(text)).await;
         }
     });
-    let world = stage.world.borrow();
+    let world = cluster.world.borrow();
     assert!(!world.ran.is_empty());
     for ran in &world.ran {
         assert_eq!(ran.values.len(), 1, "{ran:?}");
@@ -57,35 +57,37 @@
 
 #[test]
 fn equal_names_mean_each_sessions_own_shape() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let mut one = stage.session("current");
-        let mut other = stage.session("current");
-        one.handle(&stage::request("PREPARE p WRITE seats")).await;
-        other.handle(&stage::request("PREPARE p WRITE slots")).await;
-        assert!(one.handle(&stage::request("EXEC p 1")).await.is_done());
-        assert!(other.handle(&stage::request("EXEC p 2")).await.is_done());
-        one.handle(&stage::request("FORGET p")).await;
-        let reply = one.handle(&stage::request("EXEC p 3")).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let mut one = cluster.session("current");
+        let mut other = cluster.session("current");
+        one.handle(&cluster::request("PREPARE p WRITE seats")).await;
+        other
+            .handle(&cluster::request("PREPARE p WRITE slots"))
+            .await;
+        assert!(one.handle(&cluster::request("EXEC p 1")).await.is_done());
+        assert!(other.handle(&cluster::request("EXEC p 2")).await.is_done());
+        one.handle(&cluster::request("FORGET p")).await;
+        let reply = one.handle(&cluster::request("EXEC p 3")).await;
         assert_eq!(reply.code(), Some(&reply::Code::NoStatement));
     });
-    let texts = stage.world.borrow().texts("a");
+    let texts = cluster.world.borrow().texts("a");
     assert_eq!(texts, ["WRITE 1 AS seats", "WRITE 2 AS slots"]);
 }
 
 #[test]
 fn a_transaction_keeps_its_connection_to_itself() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let mut one = stage.session("current");
-        let mut other = stage.session("current");
-        one.handle(&stage::request("BEGIN")).await;
-        assert!(one.handle(&stage::request("WRITE x 1")).await.is_done());
-        assert!(other.handle(&stage::request("WRITE y 1")).await.is_done());
-        assert!(one.handle(&stage::request("COMMIT")).await.is_done());
-        assert!(other.handle(&stage::request("WRITE y 2")).await.is_done());
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let mut one = cluster.session("current");
+        let mut other = cluster.session("current");
+        one.handle(&cluster::request("BEGIN")).await;
+        assert!(one.handle(&cluster::request("WRITE x 1")).await.is_done());
+        assert!(other.handle(&cluster::request("WRITE y 1")).await.is_done());
+        assert!(one.handle(&cluster::request("COMMIT")).await.is_done());
+        assert!(other.handle(&cluster::request("WRITE y 2")).await.is_done());
     });
-    let world = stage.world.borrow();
+    let world = cluster.world.borrow();
     for ran in &world.ran {
         assert_eq!(ran.inside, !ran.text.contains('y'), "{ran:?}");
     }
@@ -95,56 +97,61 @@
 /// although it might have run.
 #[test]
 fn a_write_whose_answer_is_lost_is_not_sent_again() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        stage.world.borrow_mut().at("a").lose_answers = 1;
-        let mut session = stage.session("current");
-        let reply = session.handle(&stage::request("WRITE x 1")).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        cluster.world.borrow_mut().at("a").lose_answers = 1;
+        let mut session = cluster.session("current");
+        let reply = session.handle(&cluster::request("WRITE x 1")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Unsure));
     });
-    assert_eq!(stage.world.borrow().texts("a"), ["WRITE x 1"]);
+    assert_eq!(cluster.world.borrow().texts("a"), ["WRITE x 1"]);
 }
 
 /// Guards against a committed transaction that is reported as rolled back. The COMMIT runs and its
 /// answer is lost; the caller was sent a code that promises that nothing was committed.
 #[test]
 fn a_commit_whose_answer_is_lost_promises_nothing() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let mut session = stage.session("current");
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let mut session = cluster.session("current");
         for text in ["BEGIN", "WRITE x 1"] {
-            assert!(session.handle(&stage::request(text)).await.is_done());
+            assert!(session.handle(&cluster::request(text)).await.is_done());
         }
-        stage.world.borrow_mut().at("a").lose_answers = 1;
-        let reply = session.handle(&stage::request("COMMIT")).await;
+        cluster.world.borrow_mut().at("a").lose_answers = 1;
+        let reply = session.handle(&cluster::request("COMMIT")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Unsure));
     });
 }
 
 #[test]
 fn a_write_refused_as_not_run_is_offered_again() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        stage.world.borrow_mut().at("a").refuse = 2;
-        let mut session = stage.session("current");
-        assert!(session.handle(&stage::request("WRITE x 1")).await.is_done());
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        cluster.world.borrow_mut().at("a").refuse = 2;
+        let mut session = cluster.session("current");
+        assert!(
+            session
+                .handle(&cluster::request("WRITE x 1"))
+                .await
+                .is_done()
+        );
     });
-    assert_eq!(stage.world.borrow().texts("a"), ["WRITE x 1"]);
+    assert_eq!(cluster.world.borrow().texts("a"), ["WRITE x 1"]);
 }
 
 #[test]
 fn a_transaction_that_lost_its_instance_keeps_nothing_and_says_so() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let mut session = stage.session("current");
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let mut session = cluster.session("current");
         for text in ["BEGIN", "WRITE x 1"] {
-            assert!(session.handle(&stage::request(text)).await.is_done());
+            assert!(session.handle(&cluster::request(text)).await.is_done());
         }
-        stage.world.borrow_mut().at("a").up = false;
-        let reply = session.handle(&stage::request("WRITE x 2")).await;
+        cluster.world.borrow_mut().at("a").up = false;
+        let reply = session.handle(&cluster::request("WRITE x 2")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Aborted));
         assert_eq!(reply.state, reply::State::Failed);
-        let reply = session.handle(&stage::request("COMMIT")).await;
+        let reply = session.handle(&cluster::request("COMMIT")).await;
         assert_eq!(reply.code(), Some(&reply::Code::Aborted));
         assert_eq!(reply.state, reply::State::Idle);
     });
@@ -152,12 +159,12 @@
 
 #[test]
 fn a_session_reads_its_own_write_from_a_replica_only_once_that_has_it() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let mut session = stage.session("own");
-        let written = session.handle(&stage::request("WRITE x 1")).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let mut session = cluster.session("own");
+        let written = session.handle(&cluster::request("WRITE x 1")).await;
         assert!(written.is_done());
-        let read = session.handle(&stage::request("READ x")).await;
+        let read = session.handle(&cluster::request("READ x")).await;
         assert!(read.is_done());
         assert!(read.position >= written.position);
     });
@@ -165,17 +172,17 @@
 
 #[test]
 fn a_transaction_that_exceeded_its_idle_timeout_has_failed() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let mut session = stage.session("current");
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let mut session = cluster.session("current");
         for text in ["BEGIN", "WRITE x 1"] {
-            session.handle(&stage::request(text)).await;
+            session.handle(&cluster::request(text)).await;
         }
         session.expire();
-        let reply = session.handle(&stage::request("COMMIT")).await;
+        let reply = session.handle(&cluster::request("COMMIT")).await;
         assert_matches!(reply.code(), Some(reply::Code::Aborted));
     });
-    assert!(!stage.world.borrow().texts("a").contains(&"COMMIT".into()));
+    assert!(!cluster.world.borrow().texts("a").contains(&"COMMIT".into()));
 }
 
 /// Guards against a statement that runs inside another caller's transaction. A caller leaves while
@@ -183,9 +190,9 @@
 /// transaction open.
 #[test]
 fn a_connection_with_an_open_transaction_is_never_lent_again() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let group = stage.node.group(&stage::GROUP.into());
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let group = cluster.node.group(&cluster::GROUP.into());
         let (pool, _) = group.wait_for_primary(deadline()).await.expect("a primary");
         let values = std::collections::BTreeMap::new();
         let mut lent = pool
@@ -204,10 +211,10 @@
         };
         lent.run(&[begin], deadline()).await.expect("an answer");
         drop(lent);
-        let mut other = stage.session("current");
-        assert!(other.handle(&stage::request("WRITE y 1")).await.is_done());
+        let mut other = cluster.session("current");
+        assert!(other.handle(&cluster::request("WRITE y 1")).await.is_done());
     });
-    assert!(stage.world.borrow().ran.iter().all(|ran| !ran.inside));
+    assert!(cluster.world.borrow().ran.iter().all(|ran| !ran.inside));
 }
 
 fn deadline() -> mangotray::id::Time {
@@ -219,22 +226,22 @@
 /// if the first connection were still being opened, and was then refused.
 #[test]
 fn a_group_that_is_lost_to_a_node_is_refused_at_once() {
-    let stage = stage::Stage::new();
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
         for id in ["a", "b", "c"] {
-            stage.world.borrow_mut().at(id).up = false;
+            cluster.world.borrow_mut().at(id).up = false;
         }
-        let group = stage.node.group(&stage::GROUP.into());
-        let mut session = stage.session("bounded");
+        let group = cluster.node.group(&cluster::GROUP.into());
+        let mut session = cluster.session("bounded");
         let lost = async {
             while !group.roster().is_unreachable() {
-                session.handle(&stage::request("READ 1")).await;
+                session.handle(&cluster::request("READ 1")).await;
             }
         };
         wait::within(time::Duration::from_secs(20), lost)
             .await
             .expect("a lost group");
-        let request = stage::request("READ 2");
+        let request = cluster::request("READ 2");
         let reply = session.handle(&request);
         // It would wait two seconds for an instance that may still connect, but only 50 ms for a
         // lost group.
@@ -248,19 +255,19 @@
 /// the loss, and the refusal named no time for a retry.
 #[test]
 fn a_group_that_stays_without_a_primary_refuses_with_a_time_to_come_back() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let group = stage.node.group(&stage::GROUP.into());
-        stage::until("a primary leads", || group.leader().is_some()).await;
-        stage.world.borrow_mut().at("a").up = false;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let group = cluster.node.group(&cluster::GROUP.into());
+        cluster::until("a primary leads", || group.leader().is_some()).await;
+        cluster.world.borrow_mut().at("a").up = false;
         group.suspect(1, "test");
         let since = group.vacancy().since;
-        stage::until("the group counts as dark", || {
+        cluster::until("the group counts as dark", || {
             deadline::is_vacant(since, boot::now())
         })
         .await;
-        let mut session = stage.session("own");
-        let reply = session.handle(&stage::request("WRITE x 1")).await;
+        let mut session = cluster.session("own");
+        let reply = session.handle(&cluster::request("WRITE x 1")).await;
         assert_matches!(reply.end, reply::End::Error { code: reply::Code::Busy, text }
             if text.contains("come back in"));
     });
--- a/desk/tests/witness.rs
+++ b/desk/tests/witness.rs
@@ -1,7 +1,7 @@
 //! Proofs of leadership from instances' reports where the list of instances is incomplete or out of
 //! date.
 
-mod stage;
+mod cluster;
 
 use std::time;
 
@@ -19,10 +19,10 @@
 /// Longer than a node considers its list of instances up to date without an update.
 const LIST_EXPIRY: time::Duration = time::Duration::from_millis(4200);
 
-async fn settled(stage: &stage::Stage) -> std::rc::Rc<group::Group> {
-    let group = stage.settled().await;
-    stage.relist();
-    assert!(group.prove(boot::now() + stage::LIMIT).await.is_some());
+async fn settled(cluster: &cluster::Cluster) -> std::rc::Rc<group::Group> {
+    let group = cluster.settled().await;
+    cluster.relist();
+    assert!(group.prove(boot::now() + cluster::LIMIT).await.is_some());
     group
 }
 
@@ -32,18 +32,18 @@
 /// before was counted as complete.
 #[test]
 fn no_floor_is_derived_from_replicas_after_an_unlisted_one_lost_its_log() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let group = settled(&stage).await;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let group = settled(&cluster).await;
         {
-            let mut world = stage.world.borrow_mut();
+            let mut world = cluster.world.borrow_mut();
             world.at("a").position = 20;
             world.at("b").position = 20;
         }
         group.suspect(1, "test");
-        stage::until("the primary is found again", || group.leader().is_some()).await;
+        cluster::until("the primary is found again", || group.leader().is_some()).await;
         {
-            let mut world = stage.world.borrow_mut();
+            let mut world = cluster.world.borrow_mut();
             world.at("a").position = 30;
             world.at("a").up = false;
             world.at("b").position = 0;
@@ -68,15 +68,15 @@
 /// that it leads.
 #[test]
 fn a_replica_that_does_not_know_the_primary_proves_nothing_alone() {
-    let stage = stage::Stage::new();
-    stage.run(async {
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
         for id in ["a", "b", "c"] {
-            stage.world.borrow_mut().at(id).term = 5;
+            cluster.world.borrow_mut().at(id).term = 5;
         }
-        let group = settled(&stage).await;
+        let group = settled(&cluster).await;
         for (restarted, held) in [("b", "c"), ("c", "b")] {
             {
-                let mut world = stage.world.borrow_mut();
+                let mut world = cluster.world.borrow_mut();
                 world.at(restarted).term = 1;
                 world.at(restarted).held = 0;
                 world.at(held).term = 5;
@@ -84,9 +84,9 @@
             }
             assert!(group.prove(boot::now() + SHORT).await.is_none());
             group.suspect(5, "test");
-            stage.world.borrow_mut().at(held).held = 0;
-            stage.world.borrow_mut().at(restarted).term = 5;
-            stage::until("the primary is found again", || group.leader().is_some()).await;
+            cluster.world.borrow_mut().at(held).held = 0;
+            cluster.world.borrow_mut().at(restarted).term = 5;
+            cluster::until("the primary is found again", || group.leader().is_some()).await;
         }
     });
 }
@@ -98,13 +98,13 @@
 #[test]
 fn one_instance_of_an_old_list_proves_nothing_alone() {
     for held in ["b", "c"] {
-        let stage = stage::Stage::new();
-        stage.run(async {
-            let group = settled(&stage).await;
+        let cluster = cluster::Cluster::new();
+        cluster.run(async {
+            let group = settled(&cluster).await;
             wait::sleep(LIST_EXPIRY).await;
-            stage.world.borrow_mut().at(held).held = 2;
+            cluster.world.borrow_mut().at(held).held = 2;
             assert!(group.prove(boot::now() + SHORT).await.is_none());
-            assert_eq!(stage.world.borrow_mut().at("a").role, role::Role::Primary);
+            assert_eq!(cluster.world.borrow_mut().at("a").role, role::Role::Primary);
         });
     }
 }
@@ -114,12 +114,12 @@
 /// gone.
 #[test]
 fn an_old_list_does_not_stop_reads_if_all_live_instances_answer() {
-    let stage = stage::Stage::new();
-    stage.run(async {
-        let group = settled(&stage).await;
-        stage.world.borrow_mut().at("b").up = false;
+    let cluster = cluster::Cluster::new();
+    cluster.run(async {
+        let group = settled(&cluster).await;
+        cluster.world.borrow_mut().at("b").up = false;
         wait::sleep(LIST_EXPIRY).await;
-        stage::until("the lost replica is noticed", || {
+        cluster::until("the lost replica is noticed", || {
             let pools = group.roster().pools();
             pools.iter().any(|pool| pool.is_closed()) || {
                 group.search();
@@ -127,7 +127,7 @@
             }
         })
         .await;
-        assert!(group.prove(boot::now() + stage::LIMIT).await.is_some());
+        assert!(group.prove(boot::now() + cluster::LIMIT).await.is_some());
     });
 }
 
@@ -142,20 +142,20 @@
 #[test]
 fn a_replica_that_receives_nothing_proves_nothing_alone() {
     for (lagging, successor) in [("b", "c"), ("c", "b")] {
-        let stage = stage::Stage::new();
-        stage.run(async {
-            let group = settled(&stage).await;
+        let cluster = cluster::Cluster::new();
+        cluster.run(async {
+            let group = settled(&cluster).await;
             {
-                let mut world = stage.world.borrow_mut();
+                let mut world = cluster.world.borrow_mut();
                 world.at("a").position = 20;
                 world.at(successor).position = 20;
                 world.at(lagging).position = 15;
             }
             group.suspect(1, "test");
-            stage::until("the primary is found again", || group.leader().is_some()).await;
+            cluster::until("the primary is found again", || group.leader().is_some()).await;
             wait::sleep(SHORT / 2).await;
             {
-                let mut world = stage.world.borrow_mut();
+                let mut world = cluster.world.borrow_mut();
                 world.promote(successor);
                 world.at("a").role = role::Role::Replica;
             }
