--- a/desk/tests/era.rs
+++ b/desk/tests/era.rs
@@ -362,7 +362,7 @@
         };
         let time_limit = std::time::Duration::from_mins(1);
         let known = async {
-            cluster::until("the settled era is published", || published().is_some()).await
+            cluster::until("the settled era is published", || published().is_some()).await;
         };
         wait::within(time_limit, known)
             .await
