--- a/src/analysis/tests.rs
+++ b/src/analysis/tests.rs
@@ -6,8 +6,8 @@
 use crate::extended::Message;
 use crate::extended::Parse;
 use crate::extended::Target;
+use crate::plans;
 use crate::prepared::Statements;
-use crate::verdict;
 
 fn prepare(query: &str) -> Message {
     Message::Parse(Parse {
@@ -32,7 +32,7 @@
 }
 
 fn analyze(messages: &[Message]) -> Analysis {
-    let references = Statements::new().resolve(messages, &verdict::Cache::default());
+    let references = Statements::new().resolve(messages, &plans::Cache::default());
     super::analyze(messages, &references)
 }
 
--- a/src/board.rs
+++ b/src/board.rs
@@ -181,7 +181,7 @@
     pub fn confirmed(&self, stamp: stamp::Stamp, primary: id::Index, since: id::Time) -> bool {
         let holders = self
             .fresh(since)
-            .filter(|(index, status)| *index != primary && holds(status, stamp))
+            .filter(|(index, status)| *index != primary && contains(status, stamp))
             .count();
         holders + 1 >= self.majority()
     }
@@ -207,7 +207,7 @@
     }
 }
 
-fn holds(status: &status::Status, stamp: stamp::Stamp) -> bool {
+fn contains(status: &status::Status, stamp: stamp::Stamp) -> bool {
     let same_term = status.stamp.term == stamp.term;
     let reached = status.stamp.position >= stamp.position;
     let unfenced = status.fence <= stamp.term;
--- a/src/board/tests.rs
+++ b/src/board/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn see(board: &mut Board, index: id::Index, at: u64, status: status::Status) {
+fn observe(board: &mut Board, index: id::Index, at: u64, status: status::Status) {
     let started = Duration::from_millis(at);
     board.answered(
         index,
@@ -39,16 +39,16 @@
 #[test]
 fn floor_needs_a_majority_that_started_late_enough() {
     let mut board = Board::new(3);
-    see(&mut board, 0, 10, status(1, 5, 1, Role::Primary));
-    see(&mut board, 1, 5, status(1, 4, 1, Role::Replica));
+    observe(&mut board, 0, 10, status(1, 5, 1, Role::Primary));
+    observe(&mut board, 1, 5, status(1, 4, 1, Role::Replica));
     assert_eq!(board.floor(at(6)), None);
-    see(&mut board, 2, 12, status(1, 3, 1, Role::Replica));
+    observe(&mut board, 2, 12, status(1, 3, 1, Role::Replica));
     assert_eq!(board.floor(at(6)), Some(Stamp::new(1, 5)));
     assert_eq!(board.floor(at(5)), Some(Stamp::new(1, 4)));
 }
 
 #[test]
-fn an_instance_that_lost_its_log_is_no_witness() {
+fn an_instance_that_lost_its_log_does_not_count_towards_a_majority() {
     // Symptom: a caller does not see its own confirmed write.
     // Events: the write is confirmed on instances 0 and 1; 1 is rebuilt from nothing;
     //   a read samples 1 (empty) and 2 (behind).
@@ -56,8 +56,8 @@
     let mut board = Board::new(3);
     let mut empty = status(0, 0, 1, Role::Replica);
     empty.voter = false;
-    see(&mut board, 1, 10, empty);
-    see(&mut board, 2, 10, status(1, 3, 1, Role::Replica));
+    observe(&mut board, 1, 10, empty);
+    observe(&mut board, 2, 10, status(1, 3, 1, Role::Replica));
     assert_eq!(board.floor(at(0)), None);
 }
 
@@ -68,9 +68,9 @@
     //   commit of the old primary at term 1 is seen as held by it.
     // Cause: the fence was compared in place of the record's term.
     let mut board = Board::new(3);
-    see(&mut board, 1, 10, status(1, 9, 2, Role::Replica));
+    observe(&mut board, 1, 10, status(1, 9, 2, Role::Replica));
     assert!(!board.confirmed(Stamp::new(1, 9), 0, at(5)));
-    see(&mut board, 2, 10, status(1, 9, 1, Role::Replica));
+    observe(&mut board, 2, 10, status(1, 9, 1, Role::Replica));
     assert!(board.confirmed(Stamp::new(1, 9), 0, at(5)));
     assert!(!board.confirmed(Stamp::new(1, 10), 0, at(5)));
     assert!(!board.confirmed(Stamp::new(1, 9), 0, at(11)));
@@ -79,27 +79,27 @@
 #[test]
 fn a_record_of_a_later_term_confirms_nothing() {
     let mut board = Board::new(3);
-    see(&mut board, 1, 10, status(2, 50, 2, Role::Replica));
+    observe(&mut board, 1, 10, status(2, 50, 2, Role::Replica));
     assert!(!board.confirmed(Stamp::new(1, 9), 0, at(5)));
 }
 
 #[test]
 fn leader_is_the_highest_term_and_not_fenced_off() {
     let mut board = Board::new(3);
-    see(&mut board, 0, 10, status(1, 9, 1, Role::Primary));
+    observe(&mut board, 0, 10, status(1, 9, 1, Role::Primary));
     assert_eq!(board.leader(), Some(Leader { index: 0, term: 1 }));
-    see(&mut board, 1, 10, status(1, 9, 2, Role::Replica));
+    observe(&mut board, 1, 10, status(1, 9, 2, Role::Replica));
     assert_eq!(board.leader(), Some(Leader { index: 0, term: 1 }));
-    see(&mut board, 2, 10, status(1, 9, 2, Role::Replica));
+    observe(&mut board, 2, 10, status(1, 9, 2, Role::Replica));
     assert_eq!(board.leader(), None);
-    see(&mut board, 2, 11, status(2, 10, 2, Role::Primary));
+    observe(&mut board, 2, 11, status(2, 10, 2, Role::Primary));
     assert_eq!(board.leader(), Some(Leader { index: 2, term: 2 }));
 }
 
 #[test]
 fn an_overtaken_answer_is_dropped() {
     let mut board = Board::new(3);
-    see(&mut board, 0, 10, status(1, 9, 1, Role::Replica));
-    see(&mut board, 0, 8, status(1, 7, 1, Role::Replica));
+    observe(&mut board, 0, 10, status(1, 9, 1, Role::Replica));
+    observe(&mut board, 0, 8, status(1, 7, 1, Role::Replica));
     assert_eq!(board.status(0).unwrap().stamp, Stamp::new(1, 9));
 }
--- a/src/confirmation.rs
+++ b/src/confirmation.rs
@@ -12,7 +12,7 @@
 const SMOOTHING: u32 = 8;
 
 /// Time between two writes that are let through against the estimate.
-const TRIAL: time::Duration = time::Duration::from_secs(1);
+const TRIAL_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Moving estimate of a group's confirmation time.
 ///
@@ -57,7 +57,7 @@
         if expected <= left {
             return true;
         }
-        let due = self.trial.is_none_or(|last| last + TRIAL <= now);
+        let due = self.trial.is_none_or(|last| last + TRIAL_INTERVAL <= now);
         if due {
             self.trial = Some(now);
         }
--- a/src/detect/tests.rs
+++ b/src/detect/tests.rs
@@ -11,7 +11,7 @@
 use crate::stamp::Stamp;
 use crate::status;
 
-fn see(board: &mut board::Board, index: id::Index, millis: u64, role: Role, position: u64) {
+fn observe(board: &mut board::Board, index: id::Index, millis: u64, role: Role, position: u64) {
     let time = Duration::from_millis(millis);
     let status = status::Status {
         stamp: Stamp::new(1, position),
@@ -28,10 +28,10 @@
     board.answered(index, observation);
 }
 
-fn see_all(board: &mut board::Board, millis: u64, primary: u64, replica: u64) {
-    see(board, 0, millis, Role::Primary, primary);
-    see(board, 1, millis, Role::Replica, replica);
-    see(board, 2, millis, Role::Replica, replica);
+fn observe_all(board: &mut board::Board, millis: u64, primary: u64, replica: u64) {
+    observe(board, 0, millis, Role::Primary, primary);
+    observe(board, 1, millis, Role::Replica, replica);
+    observe(board, 2, millis, Role::Replica, replica);
 }
 
 fn judge(board: &board::Board, millis: u64) -> Verdict {
@@ -41,9 +41,9 @@
 #[test]
 fn a_silent_primary_is_suspected_after_failed_probes() {
     let mut board = board::Board::new(3);
-    see_all(&mut board, 1_000, 1, 1);
-    see(&mut board, 1, 1_500, Role::Replica, 1);
-    see(&mut board, 2, 1_500, Role::Replica, 1);
+    observe_all(&mut board, 1_000, 1, 1);
+    observe(&mut board, 1, 1_500, Role::Replica, 1);
+    observe(&mut board, 2, 1_500, Role::Replica, 1);
     assert_eq!(judge(&board, 1_600), Verdict::Healthy);
     for _ in 0..3 {
         board.failed(0);
@@ -52,15 +52,15 @@
 }
 
 #[test]
-fn a_proxy_that_was_paused_suspects_nobody() {
+fn a_paused_proxy_does_not_suspect_the_primary() {
     // Symptom: a primary is replaced although it was well.
     // Events: the proxy is frozen for ten seconds; at its return every answer is old.
     // Cause: silence was judged by the age of the answers alone.
     let mut board = board::Board::new(3);
-    see_all(&mut board, 1_000, 1, 1);
+    observe_all(&mut board, 1_000, 1, 1);
     assert_eq!(judge(&board, 11_000), Verdict::Blind);
-    see(&mut board, 1, 11_001, Role::Replica, 1);
-    see(&mut board, 2, 11_001, Role::Replica, 1);
+    observe(&mut board, 1, 11_001, Role::Replica, 1);
+    observe(&mut board, 2, 11_001, Role::Replica, 1);
     assert_eq!(judge(&board, 11_002), Verdict::Healthy);
 }
 
@@ -70,21 +70,21 @@
     // Events: the primary is cut off from its replicas, not from the proxies.
     // Cause: only silence was watched.
     let mut board = board::Board::new(3);
-    see_all(&mut board, 1_000, 5, 5);
-    see_all(&mut board, 600_000, 9, 5);
+    observe_all(&mut board, 1_000, 5, 5);
+    observe_all(&mut board, 600_000, 9, 5);
     assert_eq!(judge(&board, 600_100), Verdict::Healthy);
-    see_all(&mut board, 600_799, 11, 5);
+    observe_all(&mut board, 600_799, 11, 5);
     assert_eq!(judge(&board, 600_799), Verdict::Healthy);
-    see_all(&mut board, 600_801, 12, 5);
+    observe_all(&mut board, 600_801, 12, 5);
     assert_eq!(judge(&board, 600_801), Verdict::Suspect(Cause::Stalled));
 }
 
 #[test]
-fn lag_that_moves_is_not_a_stall() {
+fn replicas_that_lag_but_advance_are_not_stalled() {
     let mut board = board::Board::new(3);
     for step in 0..100 {
         let millis = 1_000 + step * 100;
-        see_all(&mut board, millis, 1_000 + step, step);
+        observe_all(&mut board, millis, 1_000 + step, step);
         assert_eq!(judge(&board, millis), Verdict::Healthy);
     }
 }
@@ -92,22 +92,22 @@
 #[test]
 fn a_group_without_primary_is_vacant() {
     let mut board = board::Board::new(3);
-    see(&mut board, 1, 1_000, Role::Replica, 1);
-    see(&mut board, 2, 1_000, Role::Replica, 1);
+    observe(&mut board, 1, 1_000, Role::Replica, 1);
+    observe(&mut board, 2, 1_000, Role::Replica, 1);
     assert_eq!(judge(&board, 1_000), Verdict::Suspect(Cause::Vacant));
 }
 
 #[test]
-fn a_replica_that_refuses_the_log_is_brought_back_by_a_new_term() {
+fn a_replica_fenced_above_the_primary_calls_for_a_new_term() {
     // Symptom: a replica never receives a record again, though the group looks well.
     // Events: a promotion fences one replica at term 2 and is given up; the primary of
     // term 1 goes on with the other replica.
     // Cause: only a leader without any replica was suspected.
     let mut board = board::Board::new(3);
-    let mut see_fenced = |millis, position| {
-        see(&mut board, 0, millis, Role::Primary, position);
-        see(&mut board, 1, millis, Role::Replica, position);
-        see(&mut board, 2, millis, Role::Replica, 1);
+    let mut observe_fenced = |millis, position| {
+        observe(&mut board, 0, millis, Role::Primary, position);
+        observe(&mut board, 1, millis, Role::Replica, position);
+        observe(&mut board, 2, millis, Role::Replica, 1);
         let time = Duration::from_millis(millis);
         let mut status = board.status(2).unwrap();
         status.fence = 2;
@@ -121,8 +121,8 @@
         );
         judge(&board, millis)
     };
-    assert_eq!(see_fenced(1_000, 1), Verdict::Healthy);
-    assert_eq!(see_fenced(9_000, 2), Verdict::Healthy);
-    assert_eq!(see_fenced(9_799, 3), Verdict::Healthy);
-    assert_eq!(see_fenced(9_801, 4), Verdict::Suspect(Cause::FencedOff));
+    assert_eq!(observe_fenced(1_000, 1), Verdict::Healthy);
+    assert_eq!(observe_fenced(9_000, 2), Verdict::Healthy);
+    assert_eq!(observe_fenced(9_799, 3), Verdict::Healthy);
+    assert_eq!(observe_fenced(9_801, 4), Verdict::Suspect(Cause::FencedOff));
 }
--- a/src/evidence.rs
+++ b/src/evidence.rs
@@ -73,7 +73,7 @@
 
     /// Takes in a heartbeat.
     pub fn hear(&mut self, sign: &Sign, now: id::Time) {
-        self.take(sign);
+        self.update_from(sign);
         self.heard = self.heard.max(Some(now));
         self.missed = None;
     }
@@ -85,7 +85,7 @@
 
     /// Takes in the VM's lease entry.
     pub fn lease_seen(&mut self, sign: &Sign, now: id::Time) {
-        self.take(sign);
+        self.update_from(sign);
         self.lease = Some(Lease::Live(now));
     }
 
@@ -153,7 +153,7 @@
         self.announced.is_some()
     }
 
-    fn take(&mut self, sign: &Sign) {
+    fn update_from(&mut self, sign: &Sign) {
         let same = self.incarnation == Some(sign.incarnation);
         // A heartbeat that was overtaken must not take a draining process back.
         self.draining = sign.draining || (same && self.draining);
--- a/src/failover.rs
+++ b/src/failover.rs
@@ -20,10 +20,10 @@
 use crate::upstream;
 
 /// Time between two looks at the detector while nothing happens.
-const TICK: time::Duration = time::Duration::from_millis(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// Longest last look before fencing.
-const LAST_LOOK: time::Duration = time::Duration::from_millis(30);
+const RECHECK_TIMEOUT: time::Duration = time::Duration::from_millis(30);
 
 /// Lease that the baseline policy waits for.
 const BASELINE_LEASE: time::Duration = time::Duration::from_secs(10);
@@ -64,11 +64,11 @@
         let mut lag = lag::Estimate::default();
         let mut meter = gap::Meter::default();
         loop {
-            lag.look(&self.watch.board(), self.clock.now());
-            let event = self.next(&events, &mut suspected, &lag).await;
+            lag.update(&self.watch.board(), self.clock.now());
+            let event = self.next_event(&events, &mut suspected, &lag).await;
             let board = self.watch.board();
-            self.measure(meter.look(&board));
-            machine.saw(board.highest_fence());
+            self.record_gap(meter.update(&board));
+            machine.note_term(board.highest_fence());
             machine.set_rank(self.rank.load(sync::atomic::Ordering::Relaxed));
             machine.avoid(board.leader().map(|leader| leader.index));
             for action in machine.step(self.clock.now(), event) {
@@ -77,14 +77,14 @@
         }
     }
 
-    fn measure(&self, gap: Option<time::Duration>) {
+    fn record_gap(&self, gap: Option<time::Duration>) {
         let Some(gap) = gap else { return };
         self.tally.failed_over(&self.group, gap);
         tracing::info!(target: "mangotray::placement", group = %self.group,
             gap_ms = self.tally.last_gap_ms(), "failover is over");
     }
 
-    async fn next(
+    async fn next_event(
         &self,
         events: &async_channel::Receiver<promote::Event>,
         suspected: &mut Option<id::Time>,
@@ -92,7 +92,7 @@
     ) -> promote::Event {
         let received = async { events.recv().await.ok() };
         let timer = async {
-            async_io::Timer::after(TICK).await;
+            async_io::Timer::after(POLL_INTERVAL).await;
             None
         };
         match future::or(received, timer).await {
@@ -104,9 +104,9 @@
     fn verdict(&self, suspected: &mut Option<id::Time>, lag: &lag::Estimate) -> detect::Verdict {
         let now = self.clock.now();
         let mut rule = self.rule;
-        rule.stall = lag.stall(rule.stall);
+        rule.stall = lag.stall_limit(rule.stall);
         let board = self.watch.board();
-        let verdict = judge(rule, &self.declaration.load(), &board, now);
+        let verdict = assess(rule, &self.declaration.load(), &board, now);
         if !matches!(verdict, detect::Verdict::Suspect(_)) {
             *suspected = None;
             return verdict;
@@ -137,15 +137,15 @@
         let rule = self.rule;
         let declaration = self.declaration.clone();
         let task = async move {
-            let board = last_look(&watch, &*clock).await;
-            let well = |board: &board::Board| {
-                let verdict = judge(rule, &declaration.load(), board, clock.now());
+            let board = recheck(&watch, &*clock).await;
+            let is_healthy = |board: &board::Board| {
+                let verdict = assess(rule, &declaration.load(), board, clock.now());
                 verdict == detect::Verdict::Healthy
             };
-            let event = if board.is_some_and(|board| well(&board)) {
+            let event = if board.is_some_and(|board| is_healthy(&board)) {
                 promote::Event::ClaimFailed
             } else {
-                claimed(&terms, above).await
+                claim_term(&terms, above).await
             };
             let _ = sender.send(event).await;
         };
@@ -218,13 +218,13 @@
 }
 
 /// What the observations and the operators say about the primary.
-fn judge(
+fn assess(
     rule: detect::Rule,
     declaration: &database::Group,
     board: &board::Board,
     now: id::Time,
 ) -> detect::Verdict {
-    if leaving(declaration, board, now.saturating_sub(rule.silence)) {
+    if is_leaving(declaration, board, now.saturating_sub(rule.silence)) {
         return detect::Verdict::Suspect(detect::Cause::Leaving);
     }
     rule.judge(board, now)
@@ -233,7 +233,7 @@
 /// Whether the operators take the primary out of service while the others can do
 /// without it. With fewer others than a majority it would be promoted again itself, and
 /// again, as long as they are missing.
-fn leaving(declaration: &database::Group, board: &board::Board, recent: id::Time) -> bool {
+fn is_leaving(declaration: &database::Group, board: &board::Board, recent: id::Time) -> bool {
     let Some(leader) = board.leader() else {
         return false;
     };
@@ -250,26 +250,26 @@
 /// replaced.
 /// Proxies that start together suspect together, and the second would fence off the
 /// primary that the first has just promoted, aborting its first transactions.
-async fn last_look(
+async fn recheck(
     watch: &probe::Watch,
     clock: &dyn clock::Clock,
 ) -> Option<sync::Arc<board::Board>> {
     let since = clock.now();
-    let fresh = watch.until(since, since + LAST_LOOK, false, |board| {
+    let fresh = watch.until(since, since + RECHECK_TIMEOUT, false, |board| {
         board.floor(since).and_then(|_| board.leader())
     });
     fresh.await.map(|_| watch.board())
 }
 
-async fn claimed(terms: &term::Registry, above: id::Term) -> promote::Event {
+async fn claim_term(terms: &term::Registry, above: id::Term) -> promote::Event {
     match terms.claim(above).await {
         Ok(term) => promote::Event::Claimed(term),
-        Err(failure) => reserved(terms, above, &failure),
+        Err(failure) => use_reserved_term(terms, above, &failure),
     }
 }
 
 /// The store gave no term: falls back to the one reserved in advance, if any is left.
-fn reserved(
+fn use_reserved_term(
     terms: &term::Registry,
     above: id::Term,
     failure: &crate::store::Failure,
--- a/src/gap.rs
+++ b/src/gap.rs
@@ -22,9 +22,9 @@
     /// ```
     /// use mangotray::{board, gap};
     /// let mut meter = gap::Meter::default();
-    /// assert_eq!(meter.look(&board::Board::new(3)), None);
+    /// assert_eq!(meter.update(&board::Board::new(3)), None);
     /// ```
-    pub fn look(&mut self, board: &board::Board) -> Option<time::Duration> {
+    pub fn update(&mut self, board: &board::Board) -> Option<time::Duration> {
         let leader = board.leader()?;
         let seen = board.seen()[leader.index].last?.finished;
         let before = self.healthy.filter(|_| leader.term > self.term);
@@ -32,14 +32,16 @@
             return None;
         }
         self.term = leader.term;
-        self.healthy = self.healthy.max(Some(bound(board, leader.index, seen)));
+        self.healthy = self
+            .healthy
+            .max(Some(last_followed(board, leader.index, seen)));
         before.map(|before| seen.saturating_sub(before))
     }
 }
 
 /// A primary that no replica follows answers, but confirms nothing: its gap begins
 /// when the last replica stood still, not when it was replaced.
-fn bound(board: &board::Board, leader: id::Index, seen: id::Time) -> id::Time {
+fn last_followed(board: &board::Board, leader: id::Index, seen: id::Time) -> id::Time {
     let replicas = board.seen().iter().enumerate();
     let replicas = replicas.filter(|(index, _)| *index != leader);
     let stopped = replicas
--- a/src/gap/tests.rs
+++ b/src/gap/tests.rs
@@ -41,11 +41,11 @@
 // at 600 ms, and the primary of term 2 is first seen at 900 ms.
 // Cause: the old primary's last answer, not the fencing, begins the gap.
 #[test]
-fn a_gap_runs_from_the_last_sight_to_the_next_leader() {
+fn a_gap_runs_from_the_last_answer_of_the_old_primary_to_the_next_leader() {
     let mut board = board::Board::new(3);
     let mut meter = gap::Meter::default();
     all(&mut board, 100, 1);
-    assert_eq!(meter.look(&board), None);
+    assert_eq!(meter.update(&board), None);
     for index in [1, 2] {
         board.failed(0);
         let mut fenced = board.status(index).unwrap();
@@ -59,11 +59,11 @@
                 status: fenced,
             },
         );
-        assert_eq!(meter.look(&board), None);
+        assert_eq!(meter.update(&board), None);
     }
     answer(&mut board, 1, 900, 2, 6);
-    assert_eq!(meter.look(&board), Some(time::Duration::from_millis(800)));
-    assert_eq!(meter.look(&board), None);
+    assert_eq!(meter.update(&board), Some(time::Duration::from_millis(800)));
+    assert_eq!(meter.update(&board), None);
 }
 
 // Symptom: a primary cut off from its replicas for seconds counts as a gap of one probe.
@@ -77,20 +77,23 @@
     all(&mut board, 100, 1);
     for at in [200, 1_900] {
         answer(&mut board, 0, at, 1, 9);
-        assert_eq!(meter.look(&board), None);
+        assert_eq!(meter.update(&board), None);
     }
     answer(&mut board, 1, 2_000, 2, 6);
-    assert_eq!(meter.look(&board), Some(time::Duration::from_millis(1_800)));
+    assert_eq!(
+        meter.update(&board),
+        Some(time::Duration::from_millis(1_800))
+    );
 }
 
 #[test]
 fn the_first_leader_and_a_leader_that_returns_end_no_gap() {
     let mut board = board::Board::new(3);
     let mut meter = gap::Meter::default();
-    assert_eq!(meter.look(&board), None);
+    assert_eq!(meter.update(&board), None);
     all(&mut board, 100, 1);
-    assert_eq!(meter.look(&board), None);
+    assert_eq!(meter.update(&board), None);
     board.failed(0);
     all(&mut board, 5_000, 1);
-    assert_eq!(meter.look(&board), None);
+    assert_eq!(meter.update(&board), None);
 }
--- a/src/grant.rs
+++ b/src/grant.rs
@@ -55,7 +55,7 @@
     /// How long a testimony holds after it was asked for: whoever takes a seat over
     /// waits for longer than this after the contact that disproves it.
     #[must_use]
-    pub fn reach(&self) -> time::Duration {
+    pub fn report_validity(&self) -> time::Duration {
         self.shorten(self.guard).saturating_sub(self.margin)
     }
 
@@ -162,7 +162,9 @@
         silent
             .iter()
             .nth_back(witnesses.len() / 2)
-            .map_or(self.end, |at| self.end.max(*at + self.limits.reach()))
+            .map_or(self.end, |at| {
+                self.end.max(*at + self.limits.report_validity())
+            })
     }
 }
 
--- a/src/grant/tests.rs
+++ b/src/grant/tests.rs
@@ -24,10 +24,10 @@
 }
 
 #[test]
-fn a_guard_interval_outlasts_a_lease_and_any_testimony() {
+fn a_guard_interval_outlasts_a_lease_and_any_report() {
     let limits = grant::Limits::default();
     assert!(limits.guard >= limits.ttl + limits.margin);
-    assert!(limits.stretch(limits.reach()) < limits.guard);
+    assert!(limits.stretch(limits.report_validity()) < limits.guard);
 }
 
 /// Symptom: a VM cut off from everything goes on. Events: its peers testified just before
@@ -44,7 +44,7 @@
 /// Symptom: all VMs stop a few minutes into an outage. Events: the testimonies tell of an
 /// ever longer silence. Cause: the drift allowed for grows with it, past the lease's end.
 #[test]
-fn testimonies_of_a_long_outage_are_joined() {
+fn reports_during_a_long_outage_are_combined() {
     let mut grant = grant();
     for now in 5..4_000 {
         for vm in &names()[..2] {
@@ -61,7 +61,7 @@
 /// Symptom: a seat has two users. Events: a witness had contact during the outage, then
 /// its process restarted and remembers none. Cause: its silence was taken for a whole one.
 #[test]
-fn a_restarted_witness_does_not_testify_about_earlier_times() {
+fn a_restarted_witness_does_not_report_on_earlier_times() {
     let mut grant = grant();
     let mut restarted = witness::Witness::new(at(30));
     for vm in &names()[..2] {
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -12,11 +12,11 @@
 const DECAY: f64 = 0.98;
 
 /// Waits that a stall must last, as a multiple of the estimate.
-const FACTOR: u32 = 4;
+const STALL_FACTOR: u32 = 4;
 
 /// Longest stall limit, whatever the replicas' lag: a primary that is cut off has to be
 /// replaced within the users' 12 s all the same.
-const LIMIT: time::Duration = time::Duration::from_secs(5);
+const MAX_STALL_LIMIT: time::Duration = time::Duration::from_secs(5);
 
 /// Running estimate of the longest time during which no replica moved.
 ///
@@ -35,11 +35,11 @@
     /// use std::time::Duration;
     /// use mangotray::{board, lag};
     /// let mut estimate = lag::Estimate::default();
-    /// estimate.look(&board::Board::new(3), Duration::from_secs(1));
-    /// assert_eq!(estimate.stall(Duration::from_secs(1)), Duration::from_secs(1));
+    /// estimate.update(&board::Board::new(3), Duration::from_secs(1));
+    /// assert_eq!(estimate.stall_limit(Duration::from_secs(1)), Duration::from_secs(1));
     /// ```
-    pub fn look(&mut self, board: &board::Board, now: id::Time) {
-        let standing = standing(board);
+    pub fn update(&mut self, board: &board::Board, now: id::Time) {
+        let standing = stalled_since(board);
         if let Some(since) = self.standing.filter(|_| self.standing != standing) {
             let wait = now.saturating_sub(since);
             self.longest = wait.max(self.longest.mul_f64(DECAY));
@@ -50,13 +50,13 @@
     /// Stand-still that counts as a stall: at least `least`, more where replicas
     /// are known to be slower.
     #[must_use]
-    pub fn stall(&self, least: time::Duration) -> time::Duration {
-        least.max((self.longest * FACTOR).min(LIMIT))
+    pub fn stall_limit(&self, least: time::Duration) -> time::Duration {
+        least.max((self.longest * STALL_FACTOR).min(MAX_STALL_LIMIT))
     }
 }
 
 /// Since when every replica that answers has stood still behind the leader.
-fn standing(board: &board::Board) -> Option<id::Time> {
+fn stalled_since(board: &board::Board) -> Option<id::Time> {
     let leader = board.leader()?.index;
     let seen = board.seen().iter().enumerate();
     let followers = seen.filter(|(index, seen)| *index != leader && seen.failures == 0);
--- a/src/lag/tests.rs
+++ b/src/lag/tests.rs
@@ -9,7 +9,7 @@
 use crate::stamp::Stamp;
 use crate::status;
 
-fn see(board: &mut board::Board, index: id::Index, millis: u64, position: u64) {
+fn observe(board: &mut board::Board, index: id::Index, millis: u64, position: u64) {
     let time = Duration::from_millis(millis);
     let role = if index == 0 {
         Role::Primary
@@ -41,24 +41,24 @@
     let least = Duration::from_millis(800);
     for step in 0..10 {
         let start = 1_000 + step * 2_000;
-        see(&mut board, 0, start, step + 1);
-        see(&mut board, 1, start, step);
-        see(&mut board, 2, start, step);
-        estimate.look(&board, Duration::from_millis(start));
-        see(&mut board, 1, start + 500, step + 1);
-        see(&mut board, 2, start + 500, step + 1);
-        estimate.look(&board, Duration::from_millis(start + 500));
+        observe(&mut board, 0, start, step + 1);
+        observe(&mut board, 1, start, step);
+        observe(&mut board, 2, start, step);
+        estimate.update(&board, Duration::from_millis(start));
+        observe(&mut board, 1, start + 500, step + 1);
+        observe(&mut board, 2, start + 500, step + 1);
+        estimate.update(&board, Duration::from_millis(start + 500));
     }
-    assert_eq!(estimate.stall(least), Duration::from_secs(2));
+    assert_eq!(estimate.stall_limit(least), Duration::from_secs(2));
     for step in 10..200 {
         let start = 21_000 + step * 10;
-        see(&mut board, 0, start, step + 1);
-        estimate.look(&board, Duration::from_millis(start));
-        see(&mut board, 1, start + 2, step + 1);
-        see(&mut board, 2, start + 2, step + 1);
-        estimate.look(&board, Duration::from_millis(start + 2));
+        observe(&mut board, 0, start, step + 1);
+        estimate.update(&board, Duration::from_millis(start));
+        observe(&mut board, 1, start + 2, step + 1);
+        observe(&mut board, 2, start + 2, step + 1);
+        estimate.update(&board, Duration::from_millis(start + 2));
     }
-    assert_eq!(estimate.stall(least), least);
+    assert_eq!(estimate.stall_limit(least), least);
 }
 
 #[test]
@@ -68,16 +68,16 @@
     // Cause: the limit followed the longest wait of any single replica.
     let mut board = board::Board::new(3);
     let mut estimate = Estimate::default();
-    see(&mut board, 2, 1_000, 0);
+    observe(&mut board, 2, 1_000, 0);
     for step in 0..100 {
         let start = 1_000 + step * 100;
-        see(&mut board, 0, start, step + 1);
-        estimate.look(&board, Duration::from_millis(start));
-        see(&mut board, 1, start + 2, step + 1);
-        estimate.look(&board, Duration::from_millis(start + 2));
+        observe(&mut board, 0, start, step + 1);
+        estimate.update(&board, Duration::from_millis(start));
+        observe(&mut board, 1, start + 2, step + 1);
+        estimate.update(&board, Duration::from_millis(start + 2));
     }
-    see(&mut board, 2, 12_000, 100);
-    estimate.look(&board, Duration::from_secs(12));
+    observe(&mut board, 2, 12_000, 100);
+    estimate.update(&board, Duration::from_secs(12));
     let least = Duration::from_millis(800);
-    assert_eq!(estimate.stall(least), least);
+    assert_eq!(estimate.stall_limit(least), least);
 }
--- a/src/loss.rs
+++ b/src/loss.rs
@@ -19,7 +19,7 @@
 
 /// Whether a batch whose connection is given up half way may have changed anything.
 /// Within a transaction only the commit can: losing the connection rolls back the rest.
-fn open_question(verdict: &classify::Verdict, state: transaction::State) -> bool {
+fn may_have_changed_data(verdict: &classify::Verdict, state: transaction::State) -> bool {
     match verdict.class {
         class::Class::Commit => state == transaction::State::Open,
         class::Class::Write => state == transaction::State::Idle || verdict.mixed,
@@ -49,7 +49,7 @@
     pub fn kind(&self, verdict: &classify::Verdict, state: transaction::State) -> &'static str {
         match self {
             Self::Outcome(outcome::Outcome::Unknown { .. }) => "unknown",
-            Self::Canceled if open_question(verdict, state) => "unknown",
+            Self::Canceled if may_have_changed_data(verdict, state) => "unknown",
             _ => "not-run",
         }
     }
@@ -70,7 +70,7 @@
                 severity: refusal::Severity::Error,
                 ..error.clone()
             },
-            Self::Canceled if open_question(verdict, state) => refusal::Error {
+            Self::Canceled if may_have_changed_data(verdict, state) => refusal::Error {
                 detail: Some("outcome=unknown reason=canceled".into()),
                 ..refusal::Error::new(
                     refusal::RESOLUTION_UNKNOWN,
--- a/src/loss/tests.rs
+++ b/src/loss/tests.rs
@@ -4,7 +4,7 @@
 use crate::transaction::State;
 
 #[test]
-fn canceled_work_is_unknown_only_where_it_may_have_stayed() {
+fn a_canceled_batch_is_unknown_only_if_it_may_have_changed_data() {
     let cases = [
         (Class::Read, State::Idle, "57014"),
         (Class::Write, State::Idle, "08007"),
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_commit_hidden_among_others_is_unknown() {
+fn a_canceled_batch_that_contains_a_commit_is_unknown() {
     // Symptom: a caller repeats a booking that is already there. Events: within a
     // transaction it sends "INSERT ...; COMMIT" as one text and cancels it. Cause,
     // were it so: only the class, which is write, would be looked at.
--- a/src/verdict.rs
+++ b/src/plans.rs
@@ -7,10 +7,10 @@
 use crate::classify;
 
 /// Longest text that is remembered, in bytes; longer ones are rarely repeated.
-const TEXT_LIMIT: usize = 8 * 1024;
+const MAX_TEXT_BYTES: usize = 8 * 1024;
 
 /// Texts in each of the two generations.
-const ENTRY_LIMIT: usize = 2_000;
+const GENERATION_CAPACITY: usize = 2_000;
 
 type Generation = sync::Arc<papaya::HashMap<Box<str>, sync::Arc<classify::Plan>>>;
 
@@ -30,7 +30,7 @@
 
 impl Default for Cache {
     fn default() -> Self {
-        Self::new(ENTRY_LIMIT)
+        Self::new(GENERATION_CAPACITY)
     }
 }
 
@@ -38,7 +38,7 @@
     /// A cache of two generations of `entries` texts each.
     ///
     /// ```
-    /// let cache = mangotray::verdict::Cache::new(10);
+    /// let cache = mangotray::plans::Cache::new(10);
     /// let first = cache.plan("SELECT 1");
     /// assert!(std::sync::Arc::ptr_eq(&first, &cache.plan("SELECT 1")));
     /// ```
@@ -53,12 +53,12 @@
     /// The plan for a text, from memory when it is there.
     ///
     /// ```
-    /// use mangotray::{classify, verdict};
-    /// let plan = verdict::Cache::default().plan("");
+    /// use mangotray::{classify, plans};
+    /// let plan = plans::Cache::default().plan("");
     /// assert_eq!(*plan, classify::Plan::Empty);
     /// ```
     pub fn plan(&self, text: &str) -> sync::Arc<classify::Plan> {
-        if text.len() > TEXT_LIMIT {
+        if text.len() > MAX_TEXT_BYTES {
             return sync::Arc::new(classify::plan(text));
         }
         let generations = self.generations.load();
@@ -67,11 +67,11 @@
         }
         let known = generations.old.pin().get(text).cloned();
         let plan = known.unwrap_or_else(|| sync::Arc::new(classify::plan(text)));
-        self.remember(&generations, text, &plan);
+        self.insert(&generations, text, &plan);
         plan
     }
 
-    fn remember(&self, generations: &Generations, text: &str, plan: &sync::Arc<classify::Plan>) {
+    fn insert(&self, generations: &Generations, text: &str, plan: &sync::Arc<classify::Plan>) {
         generations.young.pin().insert(text.into(), plan.clone());
         if generations.young.len() < self.entries {
             return;
--- a/src/verdict/tests.rs
+++ b/src/plans/tests.rs
@@ -3,7 +3,7 @@
 use super::Cache;
 
 #[test]
-fn texts_in_use_stay_and_memory_is_bounded() {
+fn texts_in_use_stay_cached_within_the_limit() {
     let cache = Cache::new(8);
     let first = cache.plan("SELECT 1 FROM shows");
     for number in 0..1_000 {
@@ -16,9 +16,9 @@
 }
 
 #[test]
-fn long_texts_are_not_kept() {
+fn long_texts_are_not_cached() {
     let cache = Cache::new(8);
-    let text = format!("SELECT '{}'", "a".repeat(super::TEXT_LIMIT));
+    let text = format!("SELECT '{}'", "a".repeat(super::MAX_TEXT_BYTES));
     let _ = cache.plan(&text);
     assert_eq!(cache.generations.load().young.len(), 0);
 }
--- a/src/prepared.rs
+++ b/src/prepared.rs
@@ -15,9 +15,9 @@
 
 use crate::classify;
 use crate::extended;
+use crate::plans;
 use crate::refusal;
 use crate::rewrite;
-use crate::verdict;
 
 /// Prepared statements that one session may keep.
 pub const STATEMENT_LIMIT: usize = 2_000;
@@ -42,17 +42,17 @@
     /// Builds a statement from a Parse message.
     ///
     /// ```
-    /// use mangotray::{extended, prepared, verdict};
+    /// use mangotray::{extended, prepared, plans};
     /// let parse = extended::Parse {
     ///     name: "s1".into(),
     ///     query: "SELECT 1".into(),
     ///     types: bytes::Bytes::from_static(&[0, 0]),
     /// };
-    /// let statement = prepared::Statement::new(&parse, &verdict::Cache::default());
+    /// let statement = prepared::Statement::new(&parse, &plans::Cache::default());
     /// assert!(statement.upstream.starts_with("mangotray_"));
     /// ```
     #[must_use]
-    pub fn new(parse: &extended::Parse, verdicts: &verdict::Cache) -> Self {
+    pub fn new(parse: &extended::Parse, verdicts: &plans::Cache) -> Self {
         let mut hasher = collections::hash_map::DefaultHasher::new();
         parse.query.hash(&mut hasher);
         parse.types.hash(&mut hasher);
@@ -100,17 +100,17 @@
     /// Finds what each message of a batch refers to, portals included.
     ///
     /// ```
-    /// use mangotray::{extended, prepared, verdict};
+    /// use mangotray::{extended, prepared, plans};
     /// let bind = extended::Message::Bind(extended::Bind {
     ///     portal: "".into(),
     ///     statement: "never prepared".into(),
     ///     rest: bytes::Bytes::new(),
     /// });
     /// let statements = prepared::Statements::new();
-    /// assert_eq!(statements.resolve(&[bind], &verdict::Cache::default()), [None]);
+    /// assert_eq!(statements.resolve(&[bind], &plans::Cache::default()), [None]);
     /// ```
     #[must_use]
-    pub fn resolve(&self, messages: &[extended::Message], verdicts: &verdict::Cache) -> References {
+    pub fn resolve(&self, messages: &[extended::Message], verdicts: &plans::Cache) -> References {
         let mut names = collections::HashMap::<_, Option<sync::Arc<Statement>>>::new();
         let mut portals = collections::HashMap::<_, Option<sync::Arc<Statement>>>::new();
         let find = |names: &collections::HashMap<_, _>, name: &CompactString| {
@@ -153,10 +153,10 @@
     /// Makes a batch self-contained, for a connection of which nothing is known.
     ///
     /// ```
-    /// use mangotray::{extended, prepared, verdict};
+    /// use mangotray::{extended, prepared, plans};
     /// let batch = [extended::Message::Sync];
     /// let statements = prepared::Statements::new();
-    /// let references = statements.resolve(&batch, &verdict::Cache::default());
+    /// let references = statements.resolve(&batch, &plans::Cache::default());
     /// assert_eq!(statements.rewrite(&batch, &references).frames().len(), 1);
     /// ```
     #[must_use]
--- a/src/prepared/tests.rs
+++ b/src/prepared/tests.rs
@@ -2,7 +2,7 @@
 use super::Statement;
 use super::Statements;
 use crate::extended;
-use crate::verdict;
+use crate::plans;
 
 fn parse(name: &str, query: &str, types: &'static [u8]) -> extended::Parse {
     extended::Parse {
@@ -13,13 +13,13 @@
 }
 
 fn store(statements: &mut Statements, parse: &extended::Parse) {
-    let statement = Statement::new(parse, &verdict::Cache::default());
+    let statement = Statement::new(parse, &plans::Cache::default());
     statements.settle([Effect::Store(parse.name.clone(), statement.into())]);
 }
 
 #[test]
 fn upstream_names_tell_texts_and_types_apart() {
-    let cache = verdict::Cache::default();
+    let cache = plans::Cache::default();
     let name = |parse| Statement::new(&parse, &cache).upstream;
     let first = name(parse("a", "SELECT $1", &[0, 0]));
     assert_eq!(first, name(parse("b", "SELECT $1", &[0, 0])));
--- a/src/promote.rs
+++ b/src/promote.rs
@@ -17,7 +17,7 @@
 
 /// Time a suspicion must last before even the first rank acts on it, so that a
 /// promotion made elsewhere is seen first.
-pub const PATIENCE: time::Duration = time::Duration::from_millis(30);
+pub const SUSPICION_DELAY: time::Duration = time::Duration::from_millis(30);
 
 /// Longest wait for answers to the fencing calls.
 pub const FENCE_TIMEOUT: time::Duration = time::Duration::from_millis(600);
@@ -32,14 +32,14 @@
 /// Longest wait for a term from the platform's store.
 pub const CLAIM_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// First wait after a failed try; doubles up to `BACKOFF_LIMIT`.
-pub const BACKOFF: time::Duration = time::Duration::from_millis(200);
+/// First wait after a failed try; doubles up to `MAX_BACKOFF`.
+pub const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(200);
 
 /// Time after a promotion of its own during which the next one is held back.
-pub const QUIET: time::Duration = time::Duration::from_secs(20);
+pub const DAMPING_PERIOD: time::Duration = time::Duration::from_secs(20);
 
 /// Longest wait between tries.
-pub const BACKOFF_LIMIT: time::Duration = time::Duration::from_secs(3);
+pub const MAX_BACKOFF: time::Duration = time::Duration::from_secs(3);
 
 /// Where the promotion stands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
@@ -188,7 +188,7 @@
     }
 
     /// Notes a term seen in use anywhere.
-    pub fn saw(&mut self, term: id::Term) {
+    pub fn note_term(&mut self, term: id::Term) {
         self.highest = self.highest.max(term);
     }
 
@@ -219,11 +219,12 @@
     fn tick(&mut self, now: id::Time, verdict: detect::Verdict) -> Vec<Action> {
         match (&self.phase, verdict) {
             (Phase::Idle, detect::Verdict::Suspect(_)) => {
-                let until = now + PATIENCE + RANK_DELAY * self.rank + self.damping(now);
+                let until =
+                    now + SUSPICION_DELAY + RANK_DELAY * self.rank + self.damping_delay(now);
                 self.phase = Phase::Waiting { until };
                 Vec::new()
             }
-            (Phase::Waiting { .. }, detect::Verdict::Healthy) => self.rest(),
+            (Phase::Waiting { .. }, detect::Verdict::Healthy) => self.reset(),
             (Phase::Waiting { until }, detect::Verdict::Suspect(_)) if *until <= now => {
                 self.phase = Phase::Claiming {
                     until: now + CLAIM_TIMEOUT,
@@ -265,7 +266,7 @@
     }
 
     fn fenced(&mut self, now: id::Time, index: id::Index, status: status::Status) -> Vec<Action> {
-        self.saw(status.fence);
+        self.note_term(status.fence);
         let majority = self.majority();
         let avoid = self.avoid;
         let Phase::Fencing {
@@ -340,7 +341,7 @@
     }
 
     fn promoted(&mut self, now: id::Time, status: status::Status) -> Vec<Action> {
-        self.saw(status.fence);
+        self.note_term(status.fence);
         let Phase::Promoting { term, index, .. } = self.phase else {
             return Vec::new();
         };
@@ -348,9 +349,9 @@
         if !leads {
             return self.back_off(now);
         }
-        self.rest();
+        self.reset();
         self.recent += 1;
-        self.quiet = now + QUIET;
+        self.quiet = now + DAMPING_PERIOD;
         vec![Action::Announce { index, term }]
     }
 
@@ -367,17 +368,17 @@
     /// Extra wait after promotions of its own shortly before. Where proxies see different
     /// instances, each could replace the other's choice for ever, and every round ends
     /// the open transactions.
-    fn damping(&mut self, now: id::Time) -> time::Duration {
+    fn damping_delay(&mut self, now: id::Time) -> time::Duration {
         if now >= self.quiet {
             self.recent = 0;
         }
         match self.recent {
             0 => time::Duration::ZERO,
-            recent => (BACKOFF * 2u32.saturating_pow(recent.min(8))).min(BACKOFF_LIMIT),
+            recent => (INITIAL_BACKOFF * 2u32.saturating_pow(recent.min(8))).min(MAX_BACKOFF),
         }
     }
 
-    fn rest(&mut self) -> Vec<Action> {
+    fn reset(&mut self) -> Vec<Action> {
         self.phase = Phase::Idle;
         self.avoid = None;
         self.tries = 0;
@@ -385,9 +386,9 @@
     }
 
     fn back_off(&mut self, now: id::Time) -> Vec<Action> {
-        let wait = BACKOFF * 2u32.saturating_pow(self.tries.min(8));
+        let wait = INITIAL_BACKOFF * 2u32.saturating_pow(self.tries.min(8));
         self.tries += 1;
-        let until = now + wait.min(BACKOFF_LIMIT) + RANK_DELAY * self.rank;
+        let until = now + wait.min(MAX_BACKOFF) + RANK_DELAY * self.rank;
         self.phase = Phase::Waiting { until };
         Vec::new()
     }
--- a/src/promote/tests.rs
+++ b/src/promote/tests.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_lost_promotion_answer_spends_the_term() {
+fn a_term_is_not_reused_after_a_lost_promotion_answer() {
     // Symptom: two primaries of one term, whose logs then differ under equal stamps.
     // Events: the promotion's answer is lost after it took effect; the machine tries
     //   the other instance with the same term.
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_higher_fence_ends_the_try() {
+fn a_higher_fence_ends_the_attempt() {
     let mut machine = fencing(2);
     let actions = machine.step(at(1_002), Event::Fenced(1, status(5, 1, 7, Role::Replica)));
     assert!(actions.is_empty());
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_recovered_primary_is_left_alone() {
+fn a_recovered_primary_is_not_replaced() {
     let mut machine = Machine::new(3, 1);
     machine.step(at(0), SUSPECT);
     machine.step(at(100), Event::Tick(detect::Verdict::Healthy));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn the_instance_to_be_replaced_is_remembered_while_nobody_leads() {
+fn the_instance_to_be_replaced_is_kept_while_there_is_no_primary() {
     // Symptom: a primary cut off from its replicas stays in place for as long as the cut
     //   lasts, under load (6 s of 6 s in a measured run).
     // Events: the fencing call makes it a replica; the next status shows no leader.
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_promotion_soon_after_ones_own_is_held_back() {
+fn a_promotion_soon_after_the_last_one_is_delayed() {
     // Symptom: promotions follow each other within milliseconds, each ending all open
     //   transactions.
     // Events: two proxies see different instances; each replaces the other's choice.
--- a/src/rewrite/tests.rs
+++ b/src/rewrite/tests.rs
@@ -3,9 +3,9 @@
 use crate::extended::Message;
 use crate::extended::Parse;
 use crate::extended::Target;
+use crate::plans;
 use crate::prepared::Effect;
 use crate::prepared::Statements;
-use crate::verdict;
 
 fn parse(name: &str, query: &str) -> Message {
     Message::Parse(Parse {
@@ -123,7 +123,7 @@
     connection: &mut Database,
     messages: &[Message],
 ) -> Vec<frame::Frame> {
-    let references = statements.resolve(messages, &verdict::Cache::default());
+    let references = statements.resolve(messages, &plans::Cache::default());
     let rewrite = statements.rewrite(messages, &references);
     let answer = connection.run(&rewrite.frames());
     let relay = rewrite.relay(answer);
@@ -328,7 +328,7 @@
 fn portals_that_outlive_the_batch_keep_their_statement() {
     let session = Statements::new();
     let batch = [parse("s", "SELECT 1"), portal("p", "s"), Message::Sync];
-    let references = session.resolve(&batch, &verdict::Cache::default());
+    let references = session.resolve(&batch, &plans::Cache::default());
     let frames = session.rewrite(&batch, &references).frames();
     assert_eq!(tags(&frames), "CPBS");
 }
--- a/src/session.rs
+++ b/src/session.rs
@@ -12,11 +12,11 @@
 use crate::drain;
 use crate::id;
 use crate::lane;
+use crate::plans;
 use crate::reader;
 use crate::runner;
 use crate::startup;
 use crate::telemetry;
-use crate::verdict;
 use crate::wire;
 use crate::writer;
 
@@ -54,7 +54,7 @@
     /// Sessions that can be canceled.
     pub cancels: cancel::Registry,
     /// Memory of classified texts.
-    pub verdicts: verdict::Cache,
+    pub verdicts: plans::Cache,
     /// Bounds of each session.
     pub limits: Limits,
     /// Raised when the process shuts down.
@@ -75,7 +75,7 @@
             switch,
             clock,
             cancels: cancel::Registry::new(),
-            verdicts: verdict::Cache::default(),
+            verdicts: plans::Cache::default(),
             limits,
             drain,
             requests: atomic::AtomicU64::new(1),
--- a/src/term.rs
+++ b/src/term.rs
@@ -13,11 +13,11 @@
 use crate::store;
 
 /// Swaps tried before a claim gives up on a contended record.
-const TRIES: usize = 32;
+const MAX_SWAP_ATTEMPTS: usize = 32;
 
 /// Reservations that the record names. They only inform, as a number that was handed
 /// out is never handed out again; the bound keeps the record small while VMs come and go.
-const RESERVATIONS_KEPT: usize = 16;
+const MAX_RESERVATIONS: usize = 16;
 
 /// Number drawn for one claim, which proves on reading back that the claim is ours.
 pub type Attempt = u64;
@@ -92,7 +92,7 @@
     pub fn reserve(mut self, holder: Holder) -> Self {
         self.reserved.retain(|other| other.vm != holder.vm);
         self.reserved.push(holder);
-        let excess = self.reserved.len().saturating_sub(RESERVATIONS_KEPT);
+        let excess = self.reserved.len().saturating_sub(MAX_RESERVATIONS);
         self.reserved.drain(..excess);
         self
     }
@@ -102,18 +102,18 @@
     /// ```
     /// use mangotray::term;
     /// let holder = term::Holder { term: 4, vm: "vm-1".into(), incarnation: 1 };
-    /// let reign = term::Reign { holder, instance: 2 };
-    /// let record = term::Record::default().promoted(reign.clone()).unwrap();
+    /// let promotion = term::Reign { holder, instance: 2 };
+    /// let record = term::Record::default().promoted(promotion.clone()).unwrap();
     /// assert!(record.next > 4);
-    /// assert!(record.promoted(reign).is_none());
+    /// assert!(record.promoted(promotion).is_none());
     /// ```
     #[must_use]
-    pub fn promoted(&self, reign: Reign) -> Option<Self> {
-        let term = reign.holder.term;
-        let known = self.current.as_ref().map(|reign| reign.holder.term);
+    pub fn promoted(&self, promotion: Reign) -> Option<Self> {
+        let term = promotion.holder.term;
+        let known = self.current.as_ref().map(|promotion| promotion.holder.term);
         (known < Some(term)).then(|| Self {
             next: self.next.max(term + 1),
-            current: Some(reign),
+            current: Some(promotion),
             reserved: self
                 .reserved
                 .iter()
@@ -129,11 +129,11 @@
     /// ```
     /// use mangotray::term;
     /// let (record, term) = term::Record::default().claim(0, 77);
-    /// assert_eq!(record.settle(77), Some(term));
-    /// assert_eq!(record.claim(0, 78).0.settle(77), None);
+    /// assert_eq!(record.term_of(77), Some(term));
+    /// assert_eq!(record.claim(0, 78).0.term_of(77), None);
     /// ```
     #[must_use]
-    pub fn settle(&self, attempt: Attempt) -> Option<id::Term> {
+    pub fn term_of(&self, attempt: Attempt) -> Option<id::Term> {
         self.latest
             .filter(|(_, latest)| *latest == attempt)
             .map(|(term, _)| term)
@@ -174,7 +174,7 @@
     /// `NotRun` when nothing was claimed; `Unknown` when a term may have been used
     /// up, which does no harm: it is never handed out again.
     pub async fn claim(&self, above: id::Term) -> Result<id::Term, store::Failure> {
-        self.take(above, |record, _| record).await
+        self.claim_with(above, |record, _| record).await
     }
 
     /// Claims one term in advance unless one above `above` is held; returns the held one.
@@ -187,23 +187,23 @@
             return Ok(term);
         }
         let term = self
-            .take(above, |record, term| record.reserve(self.holder(term)))
+            .claim_with(above, |record, term| record.reserve(self.holder(term)))
             .await?;
-        *self.reservation() = Some(term);
+        *self.lock_held() = Some(term);
         Ok(term)
     }
 
     /// Term claimed in advance, if any; it stays held.
     #[must_use]
     pub fn held(&self) -> Option<id::Term> {
-        *self.reservation()
+        *self.lock_held()
     }
 
     /// Hands over the term claimed in advance, once; needs no store.
     ///
     /// One that is not above `above` is of no use any more and is dropped.
     pub fn take_reserved(&self, above: id::Term) -> Option<id::Term> {
-        let held = self.reservation().take();
+        let held = self.lock_held().take();
         held.filter(|term| *term > above)
     }
 
@@ -213,20 +213,20 @@
     ///
     /// `NotRun` or `Unknown`; repeating the call is safe.
     pub async fn publish(&self, term: id::Term, instance: id::Index) -> Result<(), store::Failure> {
-        let reign = Reign {
+        let promotion = Reign {
             holder: self.holder(term),
             instance,
         };
-        for _ in 0..TRIES {
+        for _ in 0..MAX_SWAP_ATTEMPTS {
             let (record, version) = self.load().await?;
-            let Some(record) = record.promoted(reign.clone()) else {
+            let Some(record) = record.promoted(promotion.clone()) else {
                 return Ok(());
             };
             if self.save(&record, version).await? == store::Swap::Stored {
                 return Ok(());
             }
         }
-        Err(contended())
+        Err(contention())
     }
 
     /// Last promotion that was written down; a hint, as promotions go on without the store.
@@ -238,39 +238,39 @@
         Ok(self.load().await?.0.current)
     }
 
-    async fn take(
+    async fn claim_with(
         &self,
         above: id::Term,
-        mark: impl Fn(Record, id::Term) -> Record,
+        update: impl Fn(Record, id::Term) -> Record,
     ) -> Result<id::Term, store::Failure> {
         let attempt = fastrand::u64(..);
-        let mut doubt = None;
-        for _ in 0..TRIES {
+        let mut unknown = None;
+        for _ in 0..MAX_SWAP_ATTEMPTS {
             let (found, version) = match self.load().await {
                 Ok(loaded) => loaded,
-                Err(failure) => return Err(doubt.unwrap_or(failure)),
+                Err(failure) => return Err(unknown.unwrap_or(failure)),
             };
-            if let Some(term) = found.settle(attempt) {
-                return Ok(self.handed(term, "read back"));
+            if let Some(term) = found.term_of(attempt) {
+                return Ok(self.log_claim(term, "read back"));
             }
             let (record, term) = found.claim(above, attempt);
-            match self.save(&mark(record, term), version).await {
-                Ok(store::Swap::Stored) => return Ok(self.handed(term, "stored")),
+            match self.save(&update(record, term), version).await {
+                Ok(store::Swap::Stored) => return Ok(self.log_claim(term, "stored")),
                 Ok(store::Swap::Conflict) => {}
                 Err(store::Failure::Unknown(detail)) => {
-                    doubt = Some(store::Failure::Unknown(detail));
+                    unknown = Some(store::Failure::Unknown(detail));
                 }
-                Err(failure) => return Err(doubt.unwrap_or(failure)),
+                Err(failure) => return Err(unknown.unwrap_or(failure)),
             }
         }
-        Err(doubt.unwrap_or_else(contended))
+        Err(unknown.unwrap_or_else(contention))
     }
 
-    fn reservation(&self) -> sync::MutexGuard<'_, Option<id::Term>> {
+    fn lock_held(&self) -> sync::MutexGuard<'_, Option<id::Term>> {
         self.held.lock().expect("no thread panics with it")
     }
 
-    fn handed(&self, term: id::Term, how: &str) -> id::Term {
+    fn log_claim(&self, term: id::Term, how: &str) -> id::Term {
         tracing::info!(key = %self.key, term, how, "claimed a term");
         term
     }
@@ -308,7 +308,7 @@
     compact_str::format_compact!("group/{group}/terms")
 }
 
-fn contended() -> store::Failure {
+fn contention() -> store::Failure {
     store::Failure::NotRun("the group's terms are contended".into())
 }
 
--- a/src/term/tests.rs
+++ b/src/term/tests.rs
@@ -60,7 +60,7 @@
 
     // The same with one process that claims twice at once, as probers may.
     #[test]
-    fn one_registry_never_repeats_itself(
+    fn concurrent_claims_of_one_registry_are_unique(
         fates in fates(),
         first in prop::collection::vec(any::<bool>(), 0..64),
         a in prop::collection::vec(any::<bool>(), 1..6),
@@ -86,7 +86,7 @@
 // Events: every answer to a swap is lost, reads still work.
 // Cause: the claim is settled by reading its own attempt back.
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn a_claim_whose_answer_was_lost_is_found_by_reading_back() {
     let store = fake::Fake::new(&[fake::Fate::Lost; 2]);
     let registry = registry(&store, "vm-1", 1);
     assert_eq!(lite::block_on(registry.claim(4)), Ok(5));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_claim_in_doubt_is_unknown() {
+fn a_claim_whose_swap_has_no_answer_is_unknown() {
     let store = fake::Fake::new(&[fake::Fate::Dropped; 64]);
     let registry = registry(&store, "vm-1", 1);
     assert_matches!(
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn an_overtaken_reservation_is_replaced() {
+fn an_outdated_reservation_is_replaced() {
     let store = fake::Fake::new(&[]);
     let (holder, other) = (registry(&store, "vm-1", 1), registry(&store, "vm-2", 2));
     let old = lite::block_on(holder.reserve(0)).unwrap();
@@ -140,8 +140,8 @@
     let registry = registry(&store, "vm-1", 1);
     lite::block_on(registry.publish(7, 2)).unwrap();
     lite::block_on(registry.publish(6, 0)).unwrap();
-    let reign = lite::block_on(registry.current()).unwrap().unwrap();
-    assert_eq!((reign.holder.term, reign.instance), (7, 2));
+    let promotion = lite::block_on(registry.current()).unwrap().unwrap();
+    assert_eq!((promotion.holder.term, promotion.instance), (7, 2));
     assert_eq!(lite::block_on(registry.claim(0)), Ok(8));
 }
 
--- a/tests/model/claims.rs
+++ b/tests/model/claims.rs
@@ -96,7 +96,7 @@
 /// Reads the record, which settles a claim whose answer was lost if it shows.
 fn read(state: &State, who: usize) -> State {
     let mut after = state.clone();
-    match record(state.next, state.latest).settle(attempt(state, who)) {
+    match record(state.next, state.latest).term_of(attempt(state, who)) {
         Some(term) => after.hand(who, term),
         None => {
             after.phases[who] = Phase::Read {
