--- a/src/board.rs
+++ b/src/board.rs
@@ -1,8 +1,7 @@
-//! Last observations of a group's instances, and what follows from them.
+//! Latest status observations of a group's instances, and conclusions from them.
 //!
-//! Everything that the proxy concludes about freshness and confirmation is a plain
-//! function of this table. It is published by read-copy-update, so a request reads
-//! it without a lock.
+//! All decisions of the proxy about freshness and confirmation are pure functions of this table. It
+//! is published by read-copy-update, so that requests read it without a lock.
 
 use crate::id;
 use crate::role;
@@ -12,34 +11,34 @@
 /// One answered status probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Observation {
-    /// Time before the probe was sent. Only this end of the interval may be used
-    /// to argue about freshness: the status was taken at this time or later.
+    /// Time before the probe was sent. Freshness must be derived from this time only: the status
+    /// was taken at this time or later.
     pub started: id::Time,
-    /// Time the answer was received.
+    /// Time at which the answer was received.
     pub finished: id::Time,
-    /// What the instance answered.
+    /// Status in the instance's answer.
     pub status: status::Status,
 }
 
-/// What is known of one instance.
+/// Observed state of one instance.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Seen {
     /// Last answered probe.
     pub last: Option<Observation>,
-    /// Probes that failed since then.
+    /// Number of probes that failed since then.
     pub failures: u32,
-    /// Since when the instance stands still behind the leader, if it does.
+    /// Time since which the instance has been behind the leader without advancing, if it is.
     pub behind: Option<id::Time>,
 }
 
-/// The primary that the observations point to.
+/// Primary of the group according to the observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Leader {
     /// Index of the instance.
     pub index: id::Index,
-    /// Term of its reign.
+    /// Term for which it was promoted.
     pub term: id::Term,
 }
 
@@ -50,7 +49,7 @@
 }
 
 impl Board {
-    /// A board of `count` instances of which nothing is known yet.
+    /// Creates a board of `count` instances without any observations.
     ///
     /// ```
     /// let board = mangotray::board::Board::new(3);
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Instances that form a majority of the declared group.
+    /// Number of instances that form a majority of the declared group.
     ///
     /// ```
     /// assert_eq!(mangotray::board::Board::new(3).majority(), 2);
@@ -74,13 +73,13 @@
         self.seen.len() / 2 + 1
     }
 
-    /// What is known of each instance, by index.
+    /// Observed state of each instance, by index.
     #[must_use]
     pub fn seen(&self) -> &[Seen] {
         &self.seen
     }
 
-    /// Notes an answered probe. An answer that was overtaken by a later one is dropped.
+    /// Records an answered probe. An answer to an older probe than the recorded one is dropped.
     pub fn answered(&mut self, index: id::Index, observation: Observation) {
         let seen = &mut self.seen[index];
         if seen
@@ -106,19 +105,19 @@
         }
     }
 
-    /// Notes a probe without an answer.
+    /// Records a probe without an answer.
     pub fn failed(&mut self, index: id::Index) {
         let seen = &mut self.seen[index];
         seen.failures = seen.failures.saturating_add(1);
     }
 
-    /// Status of an instance as last seen, however old.
+    /// Last observed status of an instance, whatever its age.
     #[must_use]
     pub fn status(&self, index: id::Index) -> Option<status::Status> {
         self.seen[index].last.map(|last| last.status)
     }
 
-    /// Highest term that any instance has been seen fenced at.
+    /// Highest fence term observed on any instance; 0 without observations.
     #[must_use]
     pub fn highest_fence(&self) -> id::Term {
         self.statuses()
@@ -127,12 +126,11 @@
             .unwrap_or(0)
     }
 
-    /// The instance that leads, if the observations name one.
+    /// Returns the current primary, if there is one according to the observations.
     ///
-    /// Several instances may believe that they lead; only the one of the highest
-    /// term can, and only while fewer than a majority have been fenced higher: a
-    /// majority fenced higher means that its term is over, though nobody may have
-    /// been promoted yet.
+    /// Several instances may report that they are primary. Only the one with the highest term can
+    /// be, and only while fewer than a majority are fenced at a higher term: a majority fenced
+    /// higher ends its term, even if no other instance has been promoted yet.
     #[must_use]
     pub fn leader(&self) -> Option<Leader> {
         let (index, status) = self
@@ -147,13 +145,13 @@
         (higher < self.majority()).then_some(Leader { index, term })
     }
 
-    /// Stamp that contains every write confirmed before `since`.
+    /// Returns a stamp that covers every write confirmed before `since`.
     ///
-    /// Every confirmed write is on a majority, so among any majority of statuses
-    /// taken at or after `since` one has it; the highest stamp of them contains
-    /// it. Of all majorities at hand the one with the lowest such stamp is used.
-    /// An instance that lost its log does not count: it would hide the writes it
-    /// held before. `None` when too few statuses are that fresh.
+    /// Every confirmed write is on a majority of instances. In any majority of statuses taken at or
+    /// after `since` at least one instance therefore has it, and the highest stamp of that majority
+    /// covers it. Of all such majorities the one with the lowest highest stamp is used. An instance
+    /// that lost its log does not count, because its status no longer shows the writes that it had.
+    /// Returns `None` if fewer than a majority of statuses are fresh enough.
     ///
     /// ```
     /// use std::time::Duration;
@@ -171,12 +169,12 @@
         stamps.get(self.majority() - 1).copied()
     }
 
-    /// Whether the record `stamp`, written on `primary` before `since`, is on a
-    /// majority of a group whose term has not ended.
+    /// Returns whether the record `stamp`, written on `primary` before `since`, is on a majority of
+    /// the group's instances and its term has not ended.
     ///
-    /// Compares the term *of the record*. A replica that has joined a later term may
-    /// hold a log without the record at an equal or higher position, and one that has
-    /// been fenced higher is no longer bound to keep it.
+    /// Compares the term *of the record*: a replica that has joined a later term may have an equal
+    /// or higher position in a log without the record, and a replica that is fenced at a higher
+    /// term need not keep the record.
     #[must_use]
     pub fn confirmed(&self, stamp: stamp::Stamp, primary: id::Index, since: id::Time) -> bool {
         let holders = self
@@ -186,7 +184,7 @@
         holders + 1 >= self.majority()
     }
 
-    /// Whether a majority of instances has answered since `since`.
+    /// Returns whether a majority of instances answered probes sent at or after `since`.
     #[must_use]
     pub fn reachable(&self, since: id::Time) -> bool {
         self.fresh(since).filter(|(_, status)| status.voter).count() >= self.majority()
--- a/src/board/tests.rs
+++ b/src/board/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what follows from the observations.
+//! Tests of the conclusions from observations.
 
 use std::time::Duration;
 
@@ -49,10 +49,9 @@
 
 #[test]
 fn an_instance_that_lost_its_log_does_not_count_towards_a_majority() {
-    // Symptom: a caller does not see its own confirmed write.
-    // Events: the write is confirmed on instances 0 and 1; 1 is rebuilt from nothing;
-    //   a read samples 1 (empty) and 2 (behind).
-    // Cause: the empty instance counted towards the majority.
+    // Guards against a caller that does not see its own confirmed write. The write is confirmed on
+    // instances 0 and 1, instance 1 is rebuilt empty, and a read samples 1 (empty) and 2 (behind).
+    // The empty instance must not count towards the majority.
     let mut board = Board::new(3);
     let mut empty = status(0, 0, 1, Role::Replica);
     empty.voter = false;
@@ -63,10 +62,9 @@
 
 #[test]
 fn confirmation_compares_the_term_of_the_record() {
-    // Symptom: a confirmed write is lost by the next promotion.
-    // Events: a replica is fenced at term 2 while its log still ends in term 1; a
-    //   commit of the old primary at term 1 is seen as held by it.
-    // Cause: the fence was compared in place of the record's term.
+    // Guards against a confirmed write that the next promotion loses. A replica is fenced at term 2
+    // while its log still ends in term 1, and must not confirm a commit by the old primary in
+    // term 1. The fence must not be compared in place of the record's term.
     let mut board = Board::new(3);
     observe(&mut board, 1, 10, status(1, 9, 2, Role::Replica));
     assert!(!board.confirmed(Stamp::new(1, 9), 0, at(5)));
--- a/src/confirmation.rs
+++ b/src/confirmation.rs
@@ -1,20 +1,20 @@
-//! Estimate of the time from a write's answer until a second instance holds it.
+//! Estimate of the time from the answer to a write until a second instance has the write.
 //!
-//! What goes wrong without it: while the replicas stand still, writes run at the primary,
-//! are not confirmed before their deadlines, and their callers are left with unknown
-//! outcomes. A write that is refused before it runs can simply be repeated.
+//! While the replicas do not advance, writes run on the primary but are not confirmed before their
+//! deadlines, and their callers get unknown outcomes. With the estimate such writes are rejected
+//! before they run, so that callers can safely repeat them.
 
 use std::time;
 
 use crate::id;
 
-/// Weight of a longer sample in the moving average: one in this many.
+/// A sample above the moving average has the weight 1 / `SMOOTHING`.
 const SMOOTHING: u32 = 8;
 
-/// Time between two writes that are let through against the estimate.
+/// Interval between writes that are allowed in spite of the estimate.
 const TRIAL_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Moving estimate of a group's confirmation time.
+/// Moving average of a group's confirmation time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -36,10 +36,10 @@
 }
 
 impl Estimate {
-    /// Notes how long a confirmation took, or was waited for in vain.
+    /// Adds a sample: the time that a confirmation took, or that was spent waiting without one.
     ///
-    /// It falls faster than it rises: after a stand-still only the few trials can show
-    /// that confirmations are quick again.
+    /// The average falls faster than it rises: after a stall only the few trial writes can show
+    /// that confirmations are fast again.
     pub fn learn(&mut self, sample: time::Duration) {
         let average = self.average.unwrap_or(sample);
         self.average = Some(if sample < average {
@@ -49,9 +49,11 @@
         });
     }
 
-    /// Whether a write with so much time left may run. `behind` is for how long even the
-    /// best replica has stood still behind the primary. One write a second always may,
-    /// or the estimate could never recover.
+    /// Returns whether a write may run that has the time `left` until its deadline.
+    ///
+    /// `behind` is the time for which even the most advanced replica has been behind the primary
+    /// without advancing. One write per second is always allowed, since the estimate could not
+    /// recover otherwise.
     pub fn allows(&mut self, left: time::Duration, behind: time::Duration, now: id::Time) -> bool {
         let expected = self.average.unwrap_or_default().max(behind);
         if expected <= left {
--- a/src/detect.rs
+++ b/src/detect.rs
@@ -1,7 +1,7 @@
 //! Failure detection of a primary.
 //!
-//! A wrong suspicion costs a needless change of primary, never a write: safety rests
-//! on terms and majorities alone. So the rule is tuned for a short gap.
+//! A false suspicion causes an unnecessary failover but never loses a write, since safety rests on
+//! terms and majorities alone. The limits therefore favour fast detection.
 
 use std::time;
 
@@ -11,14 +11,14 @@
 /// Limits of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Rule {
-    /// Silence of a primary after which it is suspected.
+    /// Time without an answer after which a primary is suspected.
     #[serde(with = "humantime_serde")]
     pub silence: time::Duration,
-    /// Failed probes needed besides, so that a pause of this proxy itself, which
-    /// makes every answer look old at once, suspects nobody.
+    /// Number of failed probes required in addition, so that a pause of this proxy's own process,
+    /// after which all answers are old, causes no suspicion.
     pub failures: u32,
-    /// Time that replicas may stand still behind their primary; the least, where
-    /// replicas are known to be slower, see `lag`.
+    /// Time for which all replicas may be behind the primary without advancing; a minimum, which
+    /// `lag` raises for groups with slower replicas.
     #[serde(with = "humantime_serde")]
     pub stall: time::Duration,
 }
@@ -37,32 +37,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// It does not answer.
+    /// The primary does not answer.
     Silent,
-    /// No instance leads.
+    /// No instance is primary.
     Vacant,
-    /// It answers, but its writes reach no replica.
+    /// The primary answers, but its writes reach no replica.
     Stalled,
-    /// A replica is fenced above its term and refuses its log.
+    /// A replica is fenced above the primary's term and rejects its log.
     FencedOff,
-    /// The operators are taking it out of service.
+    /// The operators are taking the primary out of service.
     Leaving,
 }
 
-/// What the observations say about the primary.
+/// Result of the failure detector for the primary of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It leads, or there is not yet enough to doubt it.
+    /// The primary is in place, or the evidence against it does not suffice yet.
     Healthy,
-    /// Too few instances answer here to replace anybody; this proxy may be the one cut off.
+    /// Fewer than a majority of instances answer; this proxy itself may be cut off.
     Blind,
-    /// It should be replaced.
+    /// The primary should be replaced.
     Suspect(Cause),
 }
 
 impl Rule {
-    /// Judges the primary of a group.
+    /// Assesses the primary of a group from the observations at time `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -94,10 +94,10 @@
         Verdict::Healthy
     }
 
-    /// A primary cut off from its replicas alone still answers this proxy, and every
-    /// probe of it succeeds while no write can be confirmed. One notices that all
-    /// replicas answer and stand still behind it. Replicas that lag but move do not
-    /// count as standing still.
+    /// Returns whether all replicas have been behind the primary without advancing for `stall`.
+    ///
+    /// Detects a primary that is cut off only from its replicas: its probes succeed, but no write
+    /// can be confirmed. Replicas that lag but advance do not count.
     fn stalled(&self, board: &board::Board, leader: board::Leader, now: id::Time) -> bool {
         board
             .seen()
@@ -107,10 +107,11 @@
             .all(|(_, seen)| seen.behind.is_some_and(|since| since + self.stall <= now))
     }
 
-    /// A promotion that was given up after it had fenced a replica leaves that replica
-    /// refusing the leader's log for good, and the group with one copy fewer than it
-    /// seems to have. One notices by its fence, above the leader's term, and by its
-    /// standing still. Only a new term brings it back.
+    /// Returns whether a replica is fenced above the primary's term and has not advanced for
+    /// `stall`.
+    ///
+    /// An abandoned promotion leaves the replicas that it fenced in this state: they reject the
+    /// primary's log until a new term begins, and the group has fewer copies than it seems to have.
     fn fenced_off(&self, board: &board::Board, leader: board::Leader, now: id::Time) -> bool {
         board.seen().iter().any(|seen| {
             let fence = seen.last.map(|last| last.status.fence);
--- a/src/detect/tests.rs
+++ b/src/detect/tests.rs
@@ -53,9 +53,8 @@
 
 #[test]
 fn a_paused_proxy_does_not_suspect_the_primary() {
-    // Symptom: a primary is replaced although it was well.
-    // Events: the proxy is frozen for ten seconds; at its return every answer is old.
-    // Cause: silence was judged by the age of the answers alone.
+    // Guards against replacing a healthy primary after this proxy's process was paused for ten
+    // seconds: all answers are old then, so their age alone must not cause a suspicion.
     let mut board = board::Board::new(3);
     observe_all(&mut board, 1_000, 1, 1);
     assert_eq!(judge(&board, 11_000), Verdict::Blind);
@@ -66,9 +65,8 @@
 
 #[test]
 fn a_primary_whose_writes_reach_no_replica_is_suspected() {
-    // Symptom: every write ends unknown although all instances answer.
-    // Events: the primary is cut off from its replicas, not from the proxies.
-    // Cause: only silence was watched.
+    // Guards against writes that all end with an unknown outcome while every instance answers. The
+    // primary is cut off from its replicas but not from the proxies, so its probes succeed.
     let mut board = board::Board::new(3);
     observe_all(&mut board, 1_000, 5, 5);
     observe_all(&mut board, 600_000, 9, 5);
@@ -99,10 +97,9 @@
 
 #[test]
 fn a_replica_fenced_above_the_primary_calls_for_a_new_term() {
-    // Symptom: a replica never receives a record again, though the group looks well.
-    // Events: a promotion fences one replica at term 2 and is given up; the primary of
-    // term 1 goes on with the other replica.
-    // Cause: only a leader without any replica was suspected.
+    // Guards against a replica that receives no records any more in a group that seems healthy. A
+    // promotion fences the replica at term 2 and is abandoned, and the primary of term 1 continues
+    // with the other replica.
     let mut board = board::Board::new(3);
     let mut observe_fenced = |millis, position| {
         observe(&mut board, 0, millis, Role::Primary, position);
--- a/src/evidence.rs
+++ b/src/evidence.rs
@@ -1,26 +1,29 @@
-//! What the sources tell of one VM, and how long it proves something.
+//! Evidence about one VM from heartbeats, leases and the platform's list, and how long it holds.
 
 use std::time;
 
 use crate::id;
 use crate::store;
 
-/// Silence after which a VM may be held for dead.
+/// Time without heartbeats after which a VM may be considered dead.
 pub const DEAD_AFTER: time::Duration = time::Duration::from_secs(5);
-/// Greatest lag of the platform's list.
+
+/// Maximum lag of the platform's list.
 pub const LIST_LAG: time::Duration = time::Duration::from_secs(30);
-/// Age up to which a lease that was seen proves something.
+
+/// Time for which an observation of a lease is valid.
 pub const LEASE_AGE: time::Duration = time::Duration::from_secs(15);
-/// A heartbeat, or the lease entry, of a VM.
+
+/// Heartbeat or lease entry of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Sign {
     /// Name of the VM.
     pub vm: id::Vm,
-    /// Failure domain from its settings.
+    /// Failure domain from the VM's settings.
     pub domain: id::Domain,
-    /// Its process.
+    /// Incarnation of the VM's process.
     pub incarnation: id::Incarnation,
-    /// True once the process shuts down.
+    /// Whether the process is shutting down.
     pub draining: bool,
 }
 
@@ -30,7 +33,7 @@
     Gone(id::Time),
 }
 
-/// What the sources said about one VM, with the times at which they did.
+/// Evidence about one VM, with the times at which it was received.
 ///
 /// ```
 /// use std::time::Duration;
@@ -44,19 +47,19 @@
     domain: id::Domain,
     incarnation: Option<id::Incarnation>,
     listed: bool,
-    /// Since when non-empty lists have not shown it, after one that did.
+    /// Time since which non-empty lists have not contained the VM, after one that did.
     delisted: Option<id::Time>,
-    /// Last list that announced its going away.
+    /// Time of the last list that announced the VM's removal.
     announced: Option<id::Time>,
     lease: Option<Lease>,
     heard: Option<id::Time>,
-    /// First heartbeat missed since the last one heard.
+    /// Time of the first missed heartbeat since the last one received.
     missed: Option<id::Time>,
     draining: bool,
 }
 
 impl Evidence {
-    /// A VM of which nothing but its failure domain is known.
+    /// Creates the evidence about a VM of which only the failure domain is known.
     #[must_use]
     pub fn new(domain: id::Domain) -> Self {
         Self {
@@ -65,38 +68,39 @@
         }
     }
 
-    /// Failure domain, as last told by any source.
+    /// Failure domain from the most recent source.
     #[must_use]
     pub fn domain(&self) -> &id::Domain {
         &self.domain
     }
 
-    /// Takes in a heartbeat.
+    /// Records a heartbeat.
     pub fn hear(&mut self, sign: &Sign, now: id::Time) {
         self.update_from(sign);
         self.heard = self.heard.max(Some(now));
         self.missed = None;
     }
 
-    /// Takes in that a heartbeat was due and did not come.
+    /// Records that an expected heartbeat is missing.
     pub fn miss(&mut self, now: id::Time) {
         self.missed.get_or_insert(now);
     }
 
-    /// Takes in the VM's lease entry.
+    /// Records that the VM's lease entry was seen.
     pub fn lease_seen(&mut self, sign: &Sign, now: id::Time) {
         self.update_from(sign);
         self.lease = Some(Lease::Live(now));
     }
 
-    /// Takes in that the VM has no lease entry.
+    /// Records that the VM has no lease entry.
     pub fn lease_ended(&mut self, now: id::Time) {
         self.lease = Some(Lease::Gone(now));
     }
 
-    /// Takes in the VM's line of the platform's list. A list that lags may miss an
-    /// announcement that an earlier one had; only after the lag does "not leaving" mean
-    /// that it was taken back.
+    /// Records the VM's entry in the platform's list.
+    ///
+    /// A list that lags may lack the announcement of a removal that an earlier list contained, so
+    /// an announcement counts as withdrawn only after [`LIST_LAG`].
     pub fn list(&mut self, line: &store::Listing, now: id::Time) {
         self.listed = true;
         self.delisted = None;
@@ -110,7 +114,7 @@
         };
     }
 
-    /// Takes in that a list that is not empty does not show the VM.
+    /// Records that a non-empty list does not contain the VM.
     pub fn unlist(&mut self, now: id::Time) {
         if self.listed {
             self.listed = false;
@@ -118,36 +122,36 @@
         }
     }
 
-    /// Takes in that the process shuts down.
+    /// Records that the VM's process is shutting down.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether the VM has shown that it runs a proxy.
+    /// Returns whether a heartbeat or lease entry has shown that the VM runs a proxy.
     #[must_use]
     pub fn signed(&self) -> bool {
         self.incarnation.is_some()
     }
 
-    /// Whether a heartbeat was ever heard.
+    /// Returns whether any heartbeat was received.
     #[must_use]
     pub fn heard(&self) -> bool {
         self.heard.is_some()
     }
 
-    /// Whether heartbeats are expected from it.
+    /// Returns whether heartbeats are expected from the VM: one was received or missed before.
     #[must_use]
     pub fn probed(&self) -> bool {
         self.heard.is_some() || self.missed.is_some()
     }
 
-    /// Whether its process shuts down.
+    /// Returns whether the VM's process is shutting down.
     #[must_use]
     pub fn draining(&self) -> bool {
         self.draining
     }
 
-    /// Whether the platform has announced that it goes away.
+    /// Returns whether the platform has announced the VM's removal.
     #[must_use]
     pub fn announced(&self) -> bool {
         self.announced.is_some()
@@ -155,37 +159,38 @@
 
     fn update_from(&mut self, sign: &Sign) {
         let same = self.incarnation == Some(sign.incarnation);
-        // A heartbeat that was overtaken must not take a draining process back.
+        // An outdated heartbeat must not end the draining state of the same process.
         self.draining = sign.draining || (same && self.draining);
         self.incarnation = Some(sign.incarnation);
         self.domain.clone_from(&sign.domain);
     }
 
-    /// Whether it has been silent for so long.
+    /// Returns whether heartbeats have been missing for at least `limit`.
     #[must_use]
     pub fn silent(&self, now: id::Time, limit: time::Duration) -> bool {
         self.missed.is_some_and(|missed| missed + limit <= now)
     }
 
-    /// Whether its lease was seen lately.
+    /// Returns whether the VM's lease was last seen in place, less than [`LEASE_AGE`] ago.
     #[must_use]
     pub fn leased(&self, now: id::Time) -> bool {
         matches!(self.lease, Some(Lease::Live(at)) if now < at + LEASE_AGE)
     }
 
-    /// Whether its lease was found gone lately.
+    /// Returns whether the VM's lease was last found missing, less than [`LEASE_AGE`] ago.
     #[must_use]
     pub fn lease_gone(&self, now: id::Time) -> bool {
         matches!(self.lease, Some(Lease::Gone(at)) if now < at + LEASE_AGE)
     }
 
-    /// Whether lists have not shown it for so long, after one that did.
+    /// Returns whether the VM has been absent from lists for at least `limit`, after one with it.
     #[must_use]
     pub fn delisted(&self, now: id::Time, limit: time::Duration) -> bool {
         self.delisted.is_some_and(|since| since + limit <= now)
     }
 
-    /// Whether the platform has destroyed it.
+    /// Returns whether the platform has destroyed the VM: it has been absent from lists for at
+    /// least [`LIST_LAG`] and has neither a recent heartbeat nor a lease.
     #[must_use]
     pub fn destroyed(&self, now: id::Time) -> bool {
         let heard = self.heard.is_some_and(|heard| now < heard + DEAD_AFTER);
--- a/src/failover.rs
+++ b/src/failover.rs
@@ -1,4 +1,5 @@
-//! Carries out promotions: detector and state machine against the real instances.
+//! Runs the failure detector and the promotion state machine of a group and performs their actions
+//! on its instances.
 
 use std::sync;
 use std::time;
@@ -19,43 +20,43 @@
 use crate::term;
 use crate::upstream;
 
-/// Time between two looks at the detector while nothing happens.
+/// Interval between runs of the failure detector while no other event arrives.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Longest last look before fencing.
+/// Timeout for the check for a healthy primary before a term is claimed.
 const RECHECK_TIMEOUT: time::Duration = time::Duration::from_millis(30);
 
-/// Lease that the baseline policy waits for.
+/// Lease duration for which the baseline policy `LeaseExpiry` waits before it replaces a primary.
 const BASELINE_LEASE: time::Duration = time::Duration::from_secs(10);
 
-/// What one proxy needs to replace the primary of one group.
+/// Replaces the primary of one group when it fails.
 pub struct Failover {
-    /// Name of the group, for the log.
+    /// Name of the group, for logs and metrics.
     pub group: id::Group,
-    /// The group's instances by index.
+    /// Instances of the group, by index.
     pub upstreams: Vec<sync::Arc<dyn upstream::Upstream>>,
-    /// The operators' declaration in force.
+    /// Current declaration of the group by the operators.
     pub declaration: sync::Arc<arc_swap::ArcSwap<database::Group>>,
-    /// Observations of the group.
+    /// Status observations of the group.
     pub watch: sync::Arc<probe::Watch>,
     /// Source of unique terms.
     pub terms: sync::Arc<term::Registry>,
-    /// Time.
+    /// Monotonic clock.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// Limits of the detector.
+    /// Limits of the failure detector.
     pub rule: detect::Rule,
-    /// Baseline or the product's own rules.
+    /// Default policy, or a baseline to compare it with.
     pub policy: policy::Policy,
-    /// Where the tasks run.
+    /// Executor for the calls to the store and the instances.
     pub executor: sync::Arc<async_executor::Executor<'static>>,
-    /// This proxy's place among those that may promote; 0 tries first.
+    /// Position of this proxy among those that may promote; rank 0 tries first.
     pub rank: sync::Arc<sync::atomic::AtomicU32>,
-    /// Counts for operators.
+    /// Counters for metrics and the admin status.
     pub tally: sync::Arc<tally::Tally>,
 }
 
 impl Failover {
-    /// Watches the primary for ever and replaces it when it fails.
+    /// Watches the primary and replaces it when it fails; never returns.
     pub async fn run(self) {
         let rank = self.rank.load(sync::atomic::Ordering::Relaxed);
         let mut machine = promote::Machine::new(self.upstreams.len(), rank);
@@ -81,7 +82,7 @@
         let Some(gap) = gap else { return };
         self.tally.failed_over(&self.group, gap);
         tracing::info!(target: "mangotray::placement", group = %self.group,
-            gap_ms = self.tally.last_gap_ms(), "failover is over");
+            gap_ms = self.tally.last_gap_ms(), "failover completed");
     }
 
     async fn next_event(
@@ -208,7 +209,7 @@
             "new primary");
         let terms = self.terms.clone();
         let task = async move {
-            // Replenishes the claim that a promotion during an outage needs.
+            // Reserves another term, for a promotion during an outage of the store.
             if let Err(failure) = terms.reserve(term).await {
                 tracing::info!(?failure, "no term could be reserved in advance");
             }
@@ -217,7 +218,7 @@
     }
 }
 
-/// What the observations and the operators say about the primary.
+/// Assesses the primary from the observations and the operators' declaration.
 fn assess(
     rule: detect::Rule,
     declaration: &database::Group,
@@ -230,9 +231,9 @@
     rule.judge(board, now)
 }
 
-/// Whether the operators take the primary out of service while the others can do
-/// without it. With fewer others than a majority it would be promoted again itself, and
-/// again, as long as they are missing.
+/// Returns whether the operators are taking the primary out of service and the other instances
+/// form a majority without it. With fewer others the primary would be promoted again and again
+/// until they return.
 fn is_leaving(declaration: &database::Group, board: &board::Board, recent: id::Time) -> bool {
     let Some(leader) = board.leader() else {
         return false;
@@ -246,10 +247,11 @@
     declaration.instances[leader.index].leaving && others.count() >= board.majority()
 }
 
-/// Looks once more before a term is claimed: a leader that is seen now need not be
+/// Waits for fresh observations before a term is claimed: a leader that is seen now need not be
 /// replaced.
-/// Proxies that start together suspect together, and the second would fence off the
-/// primary that the first has just promoted, aborting its first transactions.
+///
+/// Proxies that start together suspect the primary at the same time, and the second would fence
+/// the primary that the first has just promoted, aborting its first transactions.
 async fn recheck(
     watch: &probe::Watch,
     clock: &dyn clock::Clock,
@@ -268,7 +270,7 @@
     }
 }
 
-/// The store gave no term: falls back to the one reserved in advance, if any is left.
+/// Falls back to the term reserved in advance, if any, after a claim from the store failed.
 fn use_reserved_term(
     terms: &term::Registry,
     above: id::Term,
--- a/src/gap.rs
+++ b/src/gap.rs
@@ -1,15 +1,15 @@
-//! Length of failovers, as one proxy sees them.
+//! Duration of failovers as observed by one proxy.
 
 use std::time;
 
 use crate::board;
 use crate::id;
 
-/// Measures the time without a primary between one term and the next.
+/// Measures the time without a working primary between one term and the next.
 ///
-/// It counts from the last moment at which the old primary was seen to lead with a
-/// replica that followed, to the first sight of the primary of a higher term. Probes
-/// have intervals, so the result is longer than the true gap by up to one of them.
+/// The gap starts when the old primary was last observed with a replica that followed it, and ends
+/// when the primary of a higher term is first observed. The result exceeds the real gap by up to
+/// one probe interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Meter {
     term: id::Term,
@@ -17,7 +17,7 @@
 }
 
 impl Meter {
-    /// Takes the present observations; gives the length of a gap that has just ended.
+    /// Evaluates the current observations; returns the length of a gap that has just ended.
     ///
     /// ```
     /// use mangotray::{board, gap};
@@ -39,8 +39,9 @@
     }
 }
 
-/// A primary that no replica follows answers, but confirms nothing: its gap begins
-/// when the last replica stood still, not when it was replaced.
+/// Returns the time until which a replica followed the primary, at most `seen`. A primary without
+/// following replicas still answers but confirms no writes, so its gap starts when the last replica
+/// stopped advancing, not when the primary was replaced.
 fn last_followed(board: &board::Board, leader: id::Index, seen: id::Time) -> id::Time {
     let replicas = board.seen().iter().enumerate();
     let replicas = replicas.filter(|(index, _)| *index != leader);
--- a/src/gap/tests.rs
+++ b/src/gap/tests.rs
@@ -36,10 +36,9 @@
     (0..3).for_each(|index| answer(board, index, at, term, 5));
 }
 
-// Symptom: a failover is reported as no gap, or with the time of the vacancy only.
-// Events: the primary of term 1 answers last at 100 ms, the others are fenced at term 2
-// at 600 ms, and the primary of term 2 is first seen at 900 ms.
-// Cause: the old primary's last answer, not the fencing, begins the gap.
+// Guards against a failover reported without a gap, or only with the time after the fencing. The
+// primary of term 1 answers last at 100 ms, the others are fenced at term 2 at 600 ms, and the
+// primary of term 2 is first seen at 900 ms. The gap starts with the old primary's last answer.
 #[test]
 fn a_gap_runs_from_the_last_answer_of_the_old_primary_to_the_next_leader() {
     let mut board = board::Board::new(3);
@@ -66,10 +65,9 @@
     assert_eq!(meter.update(&board), None);
 }
 
-// Symptom: a primary cut off from its replicas for seconds counts as a gap of one probe.
-// Events: its log grows at 200 ms and no replica follows, it answers until 1,900 ms and is
-// replaced at 2,000 ms.
-// Cause: it answers this proxy to the end, but confirms nothing after 200 ms.
+// Guards against reporting a gap of only one probe for a primary that was cut off from its replicas
+// for seconds. Its log grows at 200 ms and no replica follows, it answers until 1,900 ms and is
+// replaced at 2,000 ms; it confirms nothing after 200 ms.
 #[test]
 fn a_primary_without_followers_is_not_healthy() {
     let mut board = board::Board::new(3);
--- a/src/grant.rs
+++ b/src/grant.rs
@@ -1,7 +1,10 @@
-//! How long one of this VM's leases at the platform's store surely holds.
+//! Time until which one of this VM's leases at the platform's store is certain to hold.
 //!
-//! All times are of this VM's monotonic clock. Nothing is concluded from another VM's
-//! clock but the length of intervals, and these only up to [`Limits::drift`].
+//! The use of a lease ends with the lease, except in an outage of the store: then it is extended
+//! while a majority of the witnesses report that they had no contact with the store either.
+//!
+//! All times are those of this VM's monotonic clock. Of another VM's clock only the length of
+//! intervals is used, with an error of at most [`Limits::drift`].
 
 use std::collections;
 use std::time;
@@ -12,19 +15,19 @@
 
 const PER_MILLE: u32 = 1_000;
 
-/// Times that all VMs must agree on.
+/// Limits that must be the same on all VMs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Limits {
     /// Time to live of a lease at the store.
     #[serde(with = "humantime_serde")]
     pub ttl: time::Duration,
-    /// Pause between taking a seat over and using it; at least `ttl` plus `margin`.
+    /// Wait between taking over a seat and using it; at least `ttl` plus `margin`.
     #[serde(with = "humantime_serde")]
     pub guard: time::Duration,
-    /// Allowance for what happens between a decision and its effect.
+    /// Allowance for the time between a decision and its effect.
     #[serde(with = "humantime_serde")]
     pub margin: time::Duration,
-    /// Greatest error of a clock's rate, in thousandths.
+    /// Maximum error of a clock's rate, in thousandths.
     pub drift: u32,
 }
 
@@ -40,7 +43,7 @@
 }
 
 impl Limits {
-    /// When a lease renewed by a call sent at `sent` may have ended.
+    /// Earliest time at which a lease renewed by a call sent at `sent` may end.
     ///
     /// ```
     /// use std::time::Duration;
@@ -52,44 +55,45 @@
         (sent + self.shorten(self.ttl)).saturating_sub(self.margin)
     }
 
-    /// How long a testimony holds after it was asked for: whoever takes a seat over
-    /// waits for longer than this after the contact that disproves it.
+    /// Time for which a witness's report is valid after its request. A VM that takes over a seat
+    /// waits for longer than this after the contact with the store that contradicts the report.
     #[must_use]
     pub fn report_validity(&self) -> time::Duration {
         self.shorten(self.guard).saturating_sub(self.margin)
     }
 
-    /// Silence that tells of an outage; a VM renews its lease three times in a `ttl`.
+    /// Time without contact that indicates an outage of the store; a VM renews its lease three
+    /// times in a `ttl`.
     #[must_use]
     pub fn outage(&self) -> time::Duration {
         self.ttl / 2
     }
 
-    /// The least that an interval of another VM's clock may measure on this one's.
+    /// Shortest length on this VM's clock of an interval measured by another VM's clock.
     #[must_use]
     pub fn shorten(&self, interval: time::Duration) -> time::Duration {
         interval / PER_MILLE * PER_MILLE.saturating_sub(2 * self.drift)
     }
 
-    /// The most that an interval of another VM's clock may measure on this one's.
+    /// Longest length on this VM's clock of an interval measured by another VM's clock.
     #[must_use]
     pub fn stretch(&self, interval: time::Duration) -> time::Duration {
         interval / PER_MILLE * (PER_MILLE + 3 * self.drift)
     }
 }
 
-/// One lease of this VM and the testimony that prolongs its use.
+/// A lease of this VM and the witness reports that extend its use.
 #[derive(Clone, Debug)]
 pub struct Grant {
     lease: store::Lease,
     limits: Limits,
     end: id::Time,
-    /// For each witness, until when it surely had no contact since `end`.
+    /// For each witness, the time until which it certainly had no contact after `end`.
     silent: collections::HashMap<id::Vm, id::Time>,
 }
 
 impl Grant {
-    /// A lease granted by a call sent at `sent`.
+    /// Creates a lease that was granted by a call sent at `sent`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -111,15 +115,15 @@
         }
     }
 
-    /// The lease's number at the store.
+    /// Identifier of the lease at the store.
     #[must_use]
     pub fn lease(&self) -> &store::Lease {
         &self.lease
     }
 
-    /// Notes a renewal that the store answered, by the time its call was *sent*. The
-    /// answer may have waited for long, at the store or while this process was paused,
-    /// and the lease may have ended by the time it is read.
+    /// Records a renewal that the store answered, with the time at which its call was *sent*. The
+    /// answer may have been delayed at the store or while this process was paused, so the lease may
+    /// already have ended when the answer is read.
     pub fn renewed(&mut self, sent: id::Time) {
         let end = self.limits.end(sent);
         if end > self.end {
@@ -128,10 +132,11 @@
         }
     }
 
-    /// Notes the testimony of a witness, asked for at `asked` and received at `answered`.
+    /// Records the report of a witness, requested at `asked` and received at `answered`.
     ///
-    /// It counts when it reaches back to the lease's end, or joins an earlier testimony
-    /// that does: over a long outage clock drift alone would spoil a single one.
+    /// The report counts if its time without contact reaches back to the end of the lease, or to an
+    /// earlier report that does: in a long outage the allowance for clock drift would invalidate a
+    /// single report.
     pub fn report(
         &mut self,
         vm: &id::Vm,
@@ -149,9 +154,11 @@
         }
     }
 
-    /// Until when a seat with these witnesses may be used. Without an outage this is the
-    /// lease's end. In one it moves on while a majority of *all* the witnesses, not just
-    /// of those in reach, testifies: those beyond a partition may still have the store.
+    /// Time until which a seat with these witnesses may be used.
+    ///
+    /// Without an outage this is the end of the lease. During an outage it is extended while a
+    /// majority of *all* witnesses, not only of the reachable ones, report no contact: witnesses
+    /// beyond a partition may still reach the store.
     #[must_use]
     pub fn until(&self, witnesses: &[id::Vm]) -> id::Time {
         let mut silent: Vec<id::Time> = witnesses
--- a/src/grant/tests.rs
+++ b/src/grant/tests.rs
@@ -30,8 +30,8 @@
     assert!(limits.stretch(limits.report_validity()) < limits.guard);
 }
 
-/// Symptom: a VM cut off from everything goes on. Events: its peers testified just before
-/// the cut that they had renewed their leases. Cause: such a testimony tells of no outage.
+/// Guards against an isolated VM that keeps using its lease. Just before the partition its peers
+/// reported that they had recently renewed their own leases; such reports indicate no outage.
 #[test]
 fn an_isolated_vm_stops_at_the_end_of_its_lease() {
     let mut grant = grant();
@@ -41,8 +41,9 @@
     assert_eq!(grant.until(&names()), grant::Limits::default().end(at(0)));
 }
 
-/// Symptom: all VMs stop a few minutes into an outage. Events: the testimonies tell of an
-/// ever longer silence. Cause: the drift allowed for grows with it, past the lease's end.
+/// Guards against all VMs stopping a few minutes into an outage. The reported time without contact
+/// grows, and with it the allowance for clock drift, until a single report no longer reaches back
+/// to the end of the lease.
 #[test]
 fn reports_during_a_long_outage_are_combined() {
     let mut grant = grant();
@@ -58,8 +59,8 @@
     assert!(late.until(&names()) < at(4_000));
 }
 
-/// Symptom: a seat has two users. Events: a witness had contact during the outage, then
-/// its process restarted and remembers none. Cause: its silence was taken for a whole one.
+/// Guards against two users of one seat. A witness had contact during the outage and restarted, so
+/// its process does not know of that contact; its report must not cover the time before its start.
 #[test]
 fn a_restarted_witness_does_not_report_on_earlier_times() {
     let mut grant = grant();
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -1,27 +1,27 @@
-//! How long replicas usually stand still before they move on.
+//! Estimate of how long replicas stay behind the primary before they advance.
 //!
-//! A fixed limit for a stalled replication would be either slow where replicas follow
-//! within milliseconds or hasty where they follow within a second.
+//! A fixed limit for stalled replication would be too long for groups whose replicas follow within
+//! milliseconds, or too short for groups whose replicas follow within a second.
 
 use std::time;
 
 use crate::board;
 use crate::id;
 
-/// Part of the estimate that is kept when a shorter wait is seen.
+/// Factor by which the estimate decays when a shorter wait is observed.
 const DECAY: f64 = 0.98;
 
-/// Waits that a stall must last, as a multiple of the estimate.
+/// Ratio of the stall limit to the estimate.
 const STALL_FACTOR: u32 = 4;
 
-/// Longest stall limit, whatever the replicas' lag: a primary that is cut off has to be
-/// replaced within the users' 12 s all the same.
+/// Upper bound of the stall limit derived from the estimate: with any lag a primary that is cut off
+/// has to be replaced within the 12 s that the users require.
 const MAX_STALL_LIMIT: time::Duration = time::Duration::from_secs(5);
 
-/// Running estimate of the longest time during which no replica moved.
+/// Running estimate of the longest time during which no replica advanced.
 ///
-/// One replica that follows is enough to confirm writes, so a single slow or restarted
-/// one must not lengthen the limit.
+/// One following replica is enough to confirm writes, so a single slow or restarted replica must
+/// not raise the limit.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Estimate {
     standing: Option<id::Time>,
@@ -29,7 +29,7 @@
 }
 
 impl Estimate {
-    /// Takes a look at the board; call it often enough to see each wait end.
+    /// Updates the estimate; has to be called often enough to observe the end of each wait.
     ///
     /// ```
     /// use std::time::Duration;
@@ -47,15 +47,15 @@
         self.standing = standing;
     }
 
-    /// Stand-still that counts as a stall: at least `least`, more where replicas
-    /// are known to be slower.
+    /// Time without progress of the replicas that counts as a stall: at least `least`, more for
+    /// groups with slower replicas.
     #[must_use]
     pub fn stall_limit(&self, least: time::Duration) -> time::Duration {
         least.max((self.longest * STALL_FACTOR).min(MAX_STALL_LIMIT))
     }
 }
 
-/// Since when every replica that answers has stood still behind the leader.
+/// Returns the time since which all answering replicas have been behind without advancing.
 fn stalled_since(board: &board::Board) -> Option<id::Time> {
     let leader = board.leader()?.index;
     let seen = board.seen().iter().enumerate();
--- a/src/lag/tests.rs
+++ b/src/lag/tests.rs
@@ -33,9 +33,8 @@
 
 #[test]
 fn slow_replicas_lengthen_the_limit_and_quick_ones_shorten_it_again() {
-    // Symptom: a healthy primary is replaced again and again.
-    // Events: replicas follow with a delay longer than the limit for a stall.
-    // Cause: the limit was the same for all groups.
+    // Guards against repeated replacement of a healthy primary whose replicas follow with a delay
+    // longer than the default stall limit. The limit must not be the same for all groups.
     let mut board = board::Board::new(3);
     let mut estimate = Estimate::default();
     let least = Duration::from_millis(800);
@@ -63,9 +62,9 @@
 
 #[test]
 fn one_slow_replica_does_not_lengthen_the_limit() {
-    // Symptom: a primary cut off from its replicas is not replaced for many seconds.
-    // Events: one replica was restarted and stood still for long while the other went on.
-    // Cause: the limit followed the longest wait of any single replica.
+    // Guards against a primary that is cut off from its replicas and not replaced for many seconds.
+    // One replica was restarted and did not advance for long while the other did; the limit must
+    // not follow the longest wait of any single replica.
     let mut board = board::Board::new(3);
     let mut estimate = Estimate::default();
     observe(&mut board, 2, 1_000, 0);
--- a/src/loss.rs
+++ b/src/loss.rs
@@ -1,4 +1,4 @@
-//! A batch that has no answer, and what may be said of it.
+//! Outcome of a batch without an answer, and the error reported to its caller.
 
 use crate::class;
 use crate::classify;
@@ -9,16 +9,16 @@
 /// Why a batch has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// The lane refused it or lost it.
+    /// The batch was rejected, or lost while it ran, with this outcome.
     Outcome(outcome::Outcome),
-    /// The caller canceled it while it ran.
+    /// The caller canceled the batch while it ran.
     Canceled,
-    /// The database is no longer declared.
+    /// The database of the batch is no longer declared.
     NoDatabase(refusal::Error),
 }
 
-/// Whether a batch whose connection is given up half way may have changed anything.
-/// Within a transaction only the commit can: losing the connection rolls back the rest.
+/// Returns whether a batch whose connection was closed while it ran may have changed data.
+/// Within a transaction only a commit can: losing the connection rolls back everything else.
 fn may_have_changed_data(verdict: &classify::Verdict, state: transaction::State) -> bool {
     match verdict.class {
         class::Class::Commit => state == transaction::State::Open,
@@ -28,7 +28,7 @@
 }
 
 impl Loss {
-    /// Whether the caller canceled the batch.
+    /// Returns whether the caller canceled the batch.
     ///
     /// ```
     /// assert!(mangotray::loss::Loss::Canceled.canceled());
@@ -38,7 +38,7 @@
         *self == Self::Canceled
     }
 
-    /// Label of the outcome for the metrics.
+    /// Label of the outcome in metrics.
     ///
     /// ```
     /// use mangotray::{class, classify, loss, transaction};
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The error to send to the caller.
+    /// Error to send to the caller.
     ///
     /// ```
     /// use mangotray::{class, classify, loss, transaction};
--- a/src/loss/tests.rs
+++ b/src/loss/tests.rs
@@ -22,9 +22,9 @@
 
 #[test]
 fn a_canceled_batch_that_contains_a_commit_is_unknown() {
-    // Symptom: a caller repeats a booking that is already there. Events: within a
-    // transaction it sends "INSERT ...; COMMIT" as one text and cancels it. Cause,
-    // were it so: only the class, which is write, would be looked at.
+    // Guards against a caller that repeats a write that is already committed. Within a transaction
+    // it sends "INSERT ...; COMMIT" as one text and cancels it; the class of the text is write, so
+    // the class alone does not show that the text may have committed.
     let verdict = crate::classify::classify("INSERT INTO a VALUES (1); COMMIT").unwrap();
     let error = Loss::Canceled.error(&verdict, State::Open);
     assert_eq!(error.code, "08007");
--- a/src/plans.rs
+++ b/src/plans.rs
@@ -1,4 +1,4 @@
-//! Bounded memory of what SQL texts need, so that the path of a request seldom parses.
+//! Bounded cache of plans by SQL text, which avoids parsing repeated texts.
 
 use std::sync;
 
@@ -6,16 +6,18 @@
 
 use crate::classify;
 
-/// Longest text that is remembered, in bytes; longer ones are rarely repeated.
+/// Longest text that is cached, in bytes; longer texts are rarely repeated.
 const MAX_TEXT_BYTES: usize = 8 * 1024;
 
-/// Texts in each of the two generations.
+/// Default capacity of each of the two generations, in texts.
 const GENERATION_CAPACITY: usize = 2_000;
 
 type Generation = sync::Arc<papaya::HashMap<Box<str>, sync::Arc<classify::Plan>>>;
 
-/// Plans by text, in two generations: when the young one is full it becomes the old
-/// one and the old one is dropped, so texts in use stay and the rest goes.
+/// Cache of plans by text, in two generations.
+///
+/// When the young generation is full, it becomes the old one and the previous old one is dropped.
+/// A text found in the old generation is copied to the young one, so texts in use stay cached.
 #[derive(Debug)]
 pub struct Cache {
     generations: ArcSwap<Generations>,
@@ -35,7 +37,7 @@
 }
 
 impl Cache {
-    /// A cache of two generations of `entries` texts each.
+    /// Creates a cache of two generations with `entries` texts each.
     ///
     /// ```
     /// let cache = mangotray::plans::Cache::new(10);
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The plan for a text, from memory when it is there.
+    /// Returns the plan for a text, from the cache if it is there.
     ///
     /// ```
     /// use mangotray::{classify, plans};
@@ -76,7 +78,7 @@
         if generations.young.len() < self.entries {
             return;
         }
-        // Of several threads that find it full, one turns the generations.
+        // Several threads may find the generation full; only the first one replaces it.
         self.generations.rcu(|current| {
             if !sync::Arc::ptr_eq(&current.young, &generations.young) {
                 return sync::Arc::clone(current);
--- a/src/promote.rs
+++ b/src/promote.rs
@@ -1,8 +1,9 @@
-//! Promotion of a new primary, as a state machine.
+//! State machine that promotes a new primary.
 //!
-//! Safety rests on two rules: a term is used by one promotion only, and the new
-//! primary is chosen among a majority that has been fenced at that term. Time only
-//! decides who tries first.
+//! A promotion claims a unique term, fences all instances at it and promotes the fenced instance
+//! with the highest stamp. Safety rests on two rules: each term is used by one promotion only, and
+//! the new primary is chosen from a majority that has been fenced at that term. Timeouts and
+//! delays affect only which proxy tries first.
 
 use std::time;
 
@@ -12,47 +13,47 @@
 use crate::stamp;
 use crate::status;
 
-/// Time between the first tries of proxies of neighbouring ranks.
+/// Delay between the first attempts of proxies with consecutive ranks.
 pub const RANK_DELAY: time::Duration = time::Duration::from_millis(400);
 
-/// Time a suspicion must last before even the first rank acts on it, so that a
-/// promotion made elsewhere is seen first.
+/// Time for which the primary must be suspected before the proxy with rank 0 acts, so that a
+/// promotion made by another proxy is seen first.
 pub const SUSPICION_DELAY: time::Duration = time::Duration::from_millis(30);
 
-/// Longest wait for answers to the fencing calls.
+/// Timeout for the answers to the fencing calls.
 pub const FENCE_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// Wait for the remaining instances once a majority is fenced: the one that answers
-/// a little later may have the longer log and save callers a repair.
+/// Wait for the remaining instances once a majority is fenced: an instance that answers slightly
+/// later may have the longer log and save callers a repair.
 pub const FENCE_GRACE: time::Duration = time::Duration::from_millis(20);
 
-/// Longest wait for the answer to the promotion call.
+/// Timeout for the answer to the promotion call.
 pub const PROMOTE_TIMEOUT: time::Duration = time::Duration::from_millis(800);
 
-/// Longest wait for a term from the platform's store.
+/// Timeout for claiming a term from the platform's store.
 pub const CLAIM_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// First wait after a failed try; doubles up to `MAX_BACKOFF`.
+/// Wait after the first failed attempt; doubles up to `MAX_BACKOFF`.
 pub const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(200);
 
-/// Time after a promotion of its own during which the next one is held back.
+/// Time after a promotion by this proxy during which its next promotion is delayed.
 pub const DAMPING_PERIOD: time::Duration = time::Duration::from_secs(20);
 
-/// Longest wait between tries.
+/// Longest wait between attempts.
 pub const MAX_BACKOFF: time::Duration = time::Duration::from_secs(3);
 
-/// Where the promotion stands.
+/// Phase of a promotion.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// The primary is well.
+    /// The primary is healthy.
     Idle,
-    /// The primary is suspected; not yet this proxy's turn.
+    /// The primary is suspected; this proxy waits before it claims a term.
     Waiting {
-        /// When this proxy's turn comes.
+        /// When this proxy may claim a term.
         until: id::Time,
     },
-    /// Waiting for a unique term.
+    /// Waiting for the claim of a unique term.
     Claiming {
         /// When to give up.
         until: id::Time,
@@ -61,14 +62,14 @@
     Fencing {
         /// The claimed term.
         term: id::Term,
-        /// Answers by instance, of those fenced at exactly the term.
+        /// Status of each instance that is fenced at exactly this term, by index.
         fenced: Vec<Option<status::Status>>,
-        /// Instances whose answer is still to come.
+        /// Number of fencing calls without an answer so far.
         open: usize,
-        /// When to decide or give up.
+        /// When to choose an instance from the answers so far, or give up.
         until: id::Time,
     },
-    /// Waiting for the chosen instance to take the term.
+    /// Waiting for the chosen instance to become primary.
     Promoting {
         /// The claimed term.
         term: id::Term,
@@ -79,27 +80,27 @@
     },
 }
 
-/// What happens to a promotion.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// Time has passed; the detector's present verdict.
+    /// Periodic tick with the failure detector's current verdict.
     Tick(detect::Verdict),
-    /// A term was claimed that nobody else can ever use.
+    /// A term was claimed; no other promotion can use it.
     Claimed(id::Term),
     /// No term could be claimed.
     ClaimFailed,
-    /// An instance answered a fencing call.
+    /// An instance answered a fencing call with its status.
     Fenced(id::Index, status::Status),
-    /// A fencing call had no answer; the instance may be fenced all the same.
+    /// A fencing call failed or had no answer; the instance may still have been fenced.
     FenceFailed(id::Index),
-    /// The chosen instance answered.
+    /// The chosen instance answered the promotion call with its status.
     Promoted(status::Status),
-    /// The promotion call had no answer; the instance may lead all the same.
+    /// The promotion call failed or had no answer; the instance may still have become primary.
     PromoteFailed,
 }
 
-/// What is to be done.
+/// Output of the state machine: a call that the proxy has to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
@@ -120,7 +121,7 @@
         /// The claimed term.
         term: id::Term,
     },
-    /// Tell the peers about the new primary.
+    /// Report the new primary.
     Announce {
         /// The new primary.
         index: id::Index,
@@ -129,7 +130,7 @@
     },
 }
 
-/// Promotion of one group by one proxy.
+/// State of one proxy's promotions for one group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Machine {
     phase: Phase,
@@ -143,8 +144,8 @@
 }
 
 impl Machine {
-    /// A machine for a group of `instances`; `rank` is this proxy's place among those
-    /// that may promote, 0 first.
+    /// Creates the state machine for a group of `instances`. `rank` is this proxy's position among
+    /// the proxies that may promote; rank 0 tries first.
     ///
     /// ```
     /// use mangotray::promote;
@@ -165,21 +166,23 @@
         }
     }
 
-    /// Where the promotion stands.
+    /// Current phase.
     #[must_use]
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// Changes this proxy's place among those that may promote.
+    /// Changes this proxy's position among the proxies that may promote.
     pub fn set_rank(&mut self, rank: u32) {
         self.rank = rank;
     }
 
-    /// Names the instance that is to be replaced, as long as its replacement has not
-    /// begun: once it is fenced no instance leads, and forgetting it then would make the
-    /// longest log win again. A primary that is cut off from its replicas alone may well
-    /// answer the fencing call, and its log is the longest of all.
+    /// Sets the instance to be replaced, which is promoted again only if the others do not form a
+    /// majority. Without this rule a primary that is cut off only from its replicas would be
+    /// chosen again: it answers the fencing call and has the longest log.
+    ///
+    /// Has no effect once a promotion has begun: after the fencing no instance is primary, and the
+    /// instance to be replaced must not be forgotten then.
     pub fn avoid(&mut self, index: Option<id::Index>) {
         let open = matches!(self.phase, Phase::Idle | Phase::Waiting { .. });
         if open && index.is_some() {
@@ -187,12 +190,12 @@
         }
     }
 
-    /// Notes a term seen in use anywhere.
+    /// Records a term that is in use; terms are claimed above the highest one.
     pub fn note_term(&mut self, term: id::Term) {
         self.highest = self.highest.max(term);
     }
 
-    /// Takes an event and says what is to be done.
+    /// Handles an event and returns the actions to perform.
     ///
     /// ```
     /// use std::time::Duration;
@@ -280,14 +283,14 @@
         };
         *open = open.saturating_sub(1);
         if status.fence > *term {
-            // Another promotion is ahead: this one could only disturb it.
+            // Another promotion uses a higher term, so this one cannot succeed.
             return self.back_off(now);
         }
         if status.fence == *term && status.voter {
             fenced[index] = Some(status);
         }
-        // The instance to be replaced is no reason to hurry: without the others it would
-        // have to be chosen again.
+        // The instance to be replaced does not count here: if the wait ended before the other
+        // instances form a majority, it would have to be chosen again.
         if stamps(fenced, avoid).len() >= majority {
             *until = (*until).min(now + FENCE_GRACE);
         }
@@ -310,9 +313,11 @@
         }
     }
 
-    /// Chooses the highest stamp among a fenced majority. Every confirmed record is on
-    /// a majority, so the choice has it; fewer fenced instances may all lack it. The
-    /// instance to be replaced is left out where the others are a majority by themselves.
+    /// Promotes the instance with the highest stamp of a fenced majority, the lowest index first.
+    ///
+    /// Every confirmed record is on a majority of instances, so the one with the highest stamp has
+    /// it; without a fenced majority all fenced instances may lack it. The instance to be replaced
+    /// is excluded if the others form a majority by themselves.
     fn choose(&mut self, now: id::Time) -> Vec<Action> {
         let majority = self.majority();
         let Phase::Fencing { term, fenced, .. } = &self.phase else {
@@ -355,9 +360,9 @@
         vec![Action::Announce { index, term }]
     }
 
-    /// The lost answer may have been a success, so the instance may lead the term: the
-    /// term is spent and no other instance may ever be promoted with it. The next try
-    /// claims a new one, unless the instance is seen to lead meanwhile.
+    /// The call may have succeeded although its answer was lost, so the instance may be the primary
+    /// of this term and no other instance may be promoted with it. The next attempt claims a new
+    /// term, unless the instance is seen as the primary before that.
     fn promote_failed(&mut self, now: id::Time) -> Vec<Action> {
         match self.phase {
             Phase::Promoting { .. } => self.back_off(now),
@@ -365,9 +370,9 @@
         }
     }
 
-    /// Extra wait after promotions of its own shortly before. Where proxies see different
-    /// instances, each could replace the other's choice for ever, and every round ends
-    /// the open transactions.
+    /// Additional wait after recent promotions by this proxy. Proxies that reach different
+    /// instances could otherwise replace each other's primary without end, and every promotion
+    /// aborts the open transactions.
     fn damping_delay(&mut self, now: id::Time) -> time::Duration {
         if now >= self.quiet {
             self.recent = 0;
--- a/src/promote/tests.rs
+++ b/src/promote/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the promotion's state machine.
+//! Tests of the state machine for promotions.
 
 use std::time::Duration;
 
@@ -53,9 +53,8 @@
 
 #[test]
 fn one_fenced_instance_is_not_enough() {
-    // Symptom: a confirmed write is lost by a promotion.
-    // Events: only one replica answers, and it lags behind the other.
-    // Cause: the promotion went on without a majority.
+    // Guards against a promotion without a fenced majority. The only replica that answers may lag
+    // behind the other one, and promoting it would lose confirmed writes.
     let mut machine = fencing(2);
     machine.step(at(1_002), Event::Fenced(1, status(2, 1, 7, Role::Replica)));
     machine.step(at(1_002), Event::FenceFailed(0));
@@ -77,10 +76,9 @@
 
 #[test]
 fn a_term_is_not_reused_after_a_lost_promotion_answer() {
-    // Symptom: two primaries of one term, whose logs then differ under equal stamps.
-    // Events: the promotion's answer is lost after it took effect; the machine tries
-    //   the other instance with the same term.
-    // Cause: a term was used by two promotions.
+    // Guards against two primaries of one term, whose logs would differ at equal stamps. This
+    // happens if the answer to a successful promotion is lost and the other instance is then
+    // promoted with the same term.
     let mut machine = fencing(2);
     machine.step(at(1_002), Event::FenceFailed(0));
     machine.step(at(1_002), Event::Fenced(1, status(2, 1, 7, Role::Replica)));
@@ -121,10 +119,9 @@
 
 #[test]
 fn a_primary_cut_off_from_its_replicas_is_not_promoted_again() {
-    // Symptom: writes stay unconfirmed although promotions go on.
-    // Events: the primary is cut off from its replicas but answers the promoter; it
-    //   has the longest log of all fenced instances.
-    // Cause: the longest log was chosen with the instance to be replaced among them.
+    // Guards against promotions that leave writes unconfirmed. A primary that is cut off from its
+    // replicas still answers the proxy and has the longest log of all fenced instances, so it is
+    // promoted again unless it is excluded from the choice.
     let mut machine = Machine::new(3, 0);
     machine.avoid(Some(0));
     machine.step(at(0), SUSPECT);
@@ -151,10 +148,10 @@
 
 #[test]
 fn the_instance_to_be_replaced_is_kept_while_there_is_no_primary() {
-    // Symptom: a primary cut off from its replicas stays in place for as long as the cut
-    //   lasts, under load (6 s of 6 s in a measured run).
-    // Events: the fencing call makes it a replica; the next status shows no leader.
-    // Cause: the instance to be replaced was looked up again after it had been fenced.
+    // Guards against a primary that is cut off from its replicas and, under load, stays primary for
+    // as long as the partition lasts (6 s of 6 s in a measured run). The fencing call makes it a
+    // replica, so the next status shows no leader; the instance to be replaced must not be
+    // determined again at that point.
     let mut machine = Machine::new(3, 0);
     machine.avoid(Some(0));
     machine.step(at(0), SUSPECT);
@@ -170,10 +167,9 @@
 
 #[test]
 fn a_promotion_soon_after_the_last_one_is_delayed() {
-    // Symptom: promotions follow each other within milliseconds, each ending all open
-    //   transactions.
-    // Events: two proxies see different instances; each replaces the other's choice.
-    // Cause: a success made the next try start without any wait.
+    // Guards against promotions within milliseconds of each other, each of which aborts all open
+    // transactions. Two proxies that reach different instances replace each other's primary if the
+    // next attempt starts without a wait after a successful promotion.
     let mut machine = fencing(2);
     machine.step(at(1_002), Event::FenceFailed(0));
     machine.step(at(1_002), Event::Fenced(1, status(2, 1, 7, Role::Replica)));
@@ -189,9 +185,9 @@
 
 #[test]
 fn the_instance_to_be_replaced_does_not_end_the_wait_for_the_others() {
-    // Symptom: a leaving primary is promoted again whenever a replica answers late.
-    // Events: the primary and one replica are fenced at once, the other after 100 ms.
-    // Cause: the primary's own answer completed the majority and started the short wait.
+    // Guards against promoting a leaving primary again when a replica answers late: the primary
+    // and one replica are fenced at once, the other replica after 100 ms. The answer of the primary
+    // must not complete the majority that starts the short `FENCE_GRACE` wait.
     let mut machine = Machine::new(3, 0);
     machine.avoid(Some(0));
     machine.step(at(0), SUSPECT);
--- a/src/role.rs
+++ b/src/role.rs
@@ -1,11 +1,11 @@
-//! Part that an instance believes it plays in its group.
+//! Role of an instance in its group.
 
-/// Primary or replica, by the instance's own account.
+/// Role as reported by the instance itself, which may be outdated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Accepts writes at its own fence term.
+    /// Accepts writes in its own fence term.
     Primary,
-    /// Applies the log of a primary.
+    /// Applies the primary's log.
     Replica,
 }
--- a/src/stamp.rs
+++ b/src/stamp.rs
@@ -1,4 +1,4 @@
-//! Place of a record in a group's log, comparable across terms.
+//! Position of a record in a group's log, comparable across terms.
 
 use std::fmt;
 use std::str;
@@ -7,9 +7,8 @@
 
 /// Term of the last applied record and its position, ordered lexicographically.
 ///
-/// The term is the one of the *record*, never the fence of the instance: an
-/// instance that has joined a later term but still holds an unrepaired log
-/// must not look newer than it is.
+/// The term is that of the *record*, never the fence of the instance: an instance that has joined a
+/// later term but still has an unrepaired log must not appear newer than it is.
 ///
 /// ```
 /// use mangotray::stamp;
@@ -39,7 +38,7 @@
 }
 
 impl Stamp {
-    /// Builds a stamp from its parts.
+    /// Creates a stamp from a term and a position.
     ///
     /// ```
     /// assert_eq!(mangotray::stamp::Stamp::new(2, 7).position, 7);
--- a/src/suspect.rs
+++ b/src/suspect.rs
@@ -1,10 +1,13 @@
-//! Evidence that the owner of seats, whose lease is gone, will stop using them.
+//! Evidence that an owner of seats whose lease has ended will stop using them.
+//!
+//! Without a lease the owner may use its seats only while a majority of its witnesses report that
+//! they have no contact with the store, see `grant`.
 
 use std::collections;
 
 use crate::id;
 
-/// A lease seen gone, and the witnesses that had contact with the store after that.
+/// A lease that has ended, and the witnesses that had contact with the store since then.
 ///
 /// ```
 /// use std::time::Duration;
@@ -24,7 +27,7 @@
 }
 
 impl Suspect {
-    /// A lease that an answer received at `gone` did not show any more.
+    /// Creates the evidence for a lease that was missing from an answer received at `gone`.
     #[must_use]
     pub fn new(gone: id::Time) -> Self {
         Self {
@@ -33,20 +36,20 @@
         }
     }
 
-    /// Notes that a witness surely had contact at this time or later.
+    /// Records that a witness certainly had contact with the store at `at` or later.
     pub fn contact(&mut self, vm: &id::Vm, at: id::Time) {
         if at >= self.gone {
             self.contacts.insert(vm.clone());
         }
     }
 
-    /// Notes that a VM is destroyed and will not testify any more.
+    /// Records that a VM has been destroyed and will send no more reports.
     pub fn destroyed(&mut self, vm: &id::Vm) {
         self.contacts.insert(vm.clone());
     }
 
-    /// Whether an owner with these witnesses surely stops before a guard interval from
-    /// now has passed: too few are left to testify for it.
+    /// Returns whether an owner with these witnesses is certain to stop within one guard interval
+    /// from now, because too few witnesses can still report no contact.
     #[must_use]
     pub fn stops(&self, witnesses: &[id::Vm]) -> bool {
         let contacts = witnesses.iter().filter(|vm| self.contacts.contains(*vm));
--- a/src/term.rs
+++ b/src/term.rs
@@ -1,9 +1,9 @@
-//! Unique terms of a database group, by compare-and-swap.
+//! Unique terms of a database group, claimed by compare-and-swap in the platform's store.
 //!
-//! What goes wrong: two proxies promote with one term, their logs cannot be told
-//! apart and a confirmed write is lost. Hence a number is used only after the store
-//! has proved that it was handed to this very attempt, and no number is handed out
-//! twice: whoever is in doubt takes a higher one.
+//! If two proxies promoted instances with the same term, the logs of both could not be told apart
+//! and a confirmed write could be lost. A term is therefore used only after the store has confirmed
+//! that it belongs to this claim, and no term is handed out twice: after a claim with an unknown
+//! outcome a higher term is claimed.
 
 use std::sync;
 
@@ -12,47 +12,47 @@
 use crate::id;
 use crate::store;
 
-/// Swaps tried before a claim gives up on a contended record.
+/// Compare-and-swap attempts before an update of a contended record fails.
 const MAX_SWAP_ATTEMPTS: usize = 32;
 
-/// Reservations that the record names. They only inform, as a number that was handed
-/// out is never handed out again; the bound keeps the record small while VMs come and go.
+/// Most reservations kept in the record. They are informational, since a term is never handed out
+/// twice; the limit keeps the record small while VMs are replaced.
 const MAX_RESERVATIONS: usize = 16;
 
-/// Number drawn for one claim, which proves on reading back that the claim is ours.
+/// Random number of one claim, by which a process recognises its own claim in the record.
 pub type Attempt = u64;
 
-/// Who holds a term.
+/// Holder of a term.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Holder {
-    /// The term that was handed out.
+    /// The claimed term.
     pub term: id::Term,
     /// VM that claimed it.
     pub vm: id::Vm,
-    /// Process that claimed it; a restarted one has another number.
+    /// Process that claimed it; changes when the process restarts.
     pub incarnation: id::Incarnation,
 }
 
-/// A primary that was promoted.
+/// A recorded promotion.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Reign {
-    /// Who promoted it, with which term.
+    /// The term and the process that promoted the instance.
     #[serde(flatten)]
     pub holder: Holder,
-    /// Instance that was promoted.
+    /// The promoted instance.
     pub instance: id::Index,
 }
 
-/// What the store holds on a group's terms.
+/// Record of a group's terms in the store.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Record {
-    /// Lowest term that was never handed out.
+    /// Lowest term that has not been handed out.
     pub next: id::Term,
-    /// Last promotion that was written down.
+    /// Last recorded promotion.
     pub current: Option<Reign>,
-    /// Terms claimed in advance, the latest last.
+    /// Terms claimed in advance, the latest at the end.
     pub reserved: Vec<Holder>,
-    /// Last claim: its term and attempt.
+    /// Term and attempt of the last claim.
     pub latest: Option<(id::Term, Attempt)>,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl Record {
-    /// Hands out the lowest fresh term above `above`.
+    /// Claims the lowest unused term above `above`; returns the new record and the term.
     ///
     /// ```
     /// use mangotray::term;
@@ -87,7 +87,7 @@
         (record, term)
     }
 
-    /// Names a claimed term as held in advance, in place of that VM's older ones.
+    /// Adds a reservation, which replaces earlier ones of the same VM.
     #[must_use]
     pub fn reserve(mut self, holder: Holder) -> Self {
         self.reserved.retain(|other| other.vm != holder.vm);
@@ -97,7 +97,7 @@
         self
     }
 
-    /// Writes a promotion down; `None` if a later or the same one is known.
+    /// Records a promotion; `None` if the same or a later one is already recorded.
     ///
     /// ```
     /// use mangotray::term;
@@ -124,7 +124,7 @@
         })
     }
 
-    /// The term that an attempt whose answer was lost has been given, if it shows.
+    /// Returns the term of an attempt whose answer was lost, if it is the last claim.
     ///
     /// ```
     /// use mangotray::term;
@@ -140,7 +140,7 @@
     }
 }
 
-/// Claims terms of one group for one process.
+/// Claims terms of one group on behalf of one process.
 pub struct Registry {
     store: sync::Arc<dyn store::Store>,
     key: CompactString,
@@ -150,7 +150,7 @@
 }
 
 impl Registry {
-    /// Builds the registry of a group; nothing is read yet.
+    /// Creates the registry of a group without reading from the store.
     #[must_use]
     pub fn new(
         store: sync::Arc<dyn store::Store>,
@@ -167,21 +167,21 @@
         }
     }
 
-    /// Claims a fresh term above `above` that nobody else ever gets.
+    /// Claims an unused term above `above`; no other claim returns the same term.
     ///
     /// # Errors
     ///
-    /// `NotRun` when nothing was claimed; `Unknown` when a term may have been used
-    /// up, which does no harm: it is never handed out again.
+    /// `NotRun` if nothing was claimed; `Unknown` if a term may have been claimed, which is
+    /// harmless, since that term is not handed out again.
     pub async fn claim(&self, above: id::Term) -> Result<id::Term, store::Failure> {
         self.claim_with(above, |record, _| record).await
     }
 
-    /// Claims one term in advance unless one above `above` is held; returns the held one.
+    /// Claims a term in advance unless one above `above` is already held; returns the held term.
     ///
     /// # Errors
     ///
-    /// As `claim`.
+    /// Same as for [`Self::claim`].
     pub async fn reserve(&self, above: id::Term) -> Result<id::Term, store::Failure> {
         if let Some(term) = self.held().filter(|term| *term > above) {
             return Ok(term);
@@ -193,25 +193,25 @@
         Ok(term)
     }
 
-    /// Term claimed in advance, if any; it stays held.
+    /// Returns the term claimed in advance, if any, and keeps it held.
     #[must_use]
     pub fn held(&self) -> Option<id::Term> {
         *self.lock_held()
     }
 
-    /// Hands over the term claimed in advance, once; needs no store.
+    /// Takes the term claimed in advance, without access to the store.
     ///
-    /// One that is not above `above` is of no use any more and is dropped.
+    /// A term that is not above `above` is outdated and dropped.
     pub fn take_reserved(&self, above: id::Term) -> Option<id::Term> {
         let held = self.lock_held().take();
         held.filter(|term| *term > above)
     }
 
-    /// Writes down that `instance` was promoted with `term`.
+    /// Records in the store that `instance` was promoted with `term`.
     ///
     /// # Errors
     ///
-    /// `NotRun` or `Unknown`; repeating the call is safe.
+    /// `NotRun` or `Unknown`; the call can be repeated safely.
     pub async fn publish(&self, term: id::Term, instance: id::Index) -> Result<(), store::Failure> {
         let promotion = Reign {
             holder: self.holder(term),
@@ -229,11 +229,12 @@
         Err(contention())
     }
 
-    /// Last promotion that was written down; a hint, as promotions go on without the store.
+    /// Last recorded promotion. Only a hint, since promotions continue during an outage of the
+    /// store.
     ///
     /// # Errors
     ///
-    /// `NotRun` when the store cannot be read.
+    /// `NotRun` if the store cannot be read.
     pub async fn current(&self) -> Result<Option<Reign>, store::Failure> {
         Ok(self.load().await?.0.current)
     }
@@ -267,7 +268,9 @@
     }
 
     fn lock_held(&self) -> sync::MutexGuard<'_, Option<id::Term>> {
-        self.held.lock().expect("no thread panics with it")
+        self.held
+            .lock()
+            .expect("no thread panics while holding the lock")
     }
 
     fn log_claim(&self, term: id::Term, how: &str) -> id::Term {
@@ -289,7 +292,7 @@
         record: &Record,
         version: store::Version,
     ) -> Result<store::Swap, store::Failure> {
-        let value = serde_json::to_vec(record).expect("a record is plain data");
+        let value = serde_json::to_vec(record).expect("a record can always be serialized");
         self.store
             .swap(&self.key, value.into(), version, None)
             .await
@@ -309,7 +312,7 @@
 }
 
 fn contention() -> store::Failure {
-    store::Failure::NotRun("the group's terms are contended".into())
+    store::Failure::NotRun("too many concurrent updates of the group's terms".into())
 }
 
 #[cfg(test)]
--- a/src/term/tests.rs
+++ b/src/term/tests.rs
@@ -25,7 +25,8 @@
     prop::collection::vec(fate, 0..24)
 }
 
-/// Claims of one process; `true` stands for one by way of a reservation.
+/// Makes the claims of one process and returns the terms; for each `true` a term is reserved and
+/// then taken.
 async fn claims(registry: &term::Registry, steps: &[bool]) -> Vec<u64> {
     let mut terms = Vec::new();
     for reserve in steps {
@@ -40,9 +41,9 @@
 }
 
 proptest! {
-    // Symptom: two primaries of one group hold the same term.
-    // Events: two VMs claim at once; answers are lost, swaps land late or never.
-    // Cause: a claimer takes a term that it cannot prove to be its own.
+    // Guards against two primaries of one group with the same term. Two VMs claim at the same time
+    // while answers are lost and swaps take effect late or never; a claim must not return a term
+    // that the store has not confirmed as its own.
     #[test]
     fn no_term_is_handed_out_twice(
         fates in fates(),
@@ -58,7 +59,7 @@
         prop_assert_eq!(unique.len(), terms.len());
     }
 
-    // The same with one process that claims twice at once, as probers may.
+    // The same with concurrent claims by one process, which probers may make.
     #[test]
     fn concurrent_claims_of_one_registry_are_unique(
         fates in fates(),
@@ -82,9 +83,8 @@
     }
 }
 
-// Symptom: a failover waits although the store has handed out a term.
-// Events: every answer to a swap is lost, reads still work.
-// Cause: the claim is settled by reading its own attempt back.
+// Guards against a failover that waits although the store has recorded its claim. All answers to
+// swaps are lost while reads work, so the claim has to find its own attempt by reading the record.
 #[test]
 fn a_claim_whose_answer_was_lost_is_found_by_reading_back() {
     let store = fake::Fake::new(&[fake::Fate::Lost; 2]);
@@ -103,9 +103,8 @@
     );
 }
 
-// Symptom: no primary can be promoted while the store is down.
-// Events: a term is reserved, then the store fails, then the primary.
-// Cause: without a term in hand nobody can claim one in an outage.
+// Guards against an outage of the store that prevents promotions. The store fails after a term was
+// reserved and then the primary fails; no term can be claimed during the outage.
 #[test]
 fn a_reserved_term_is_used_once_without_the_store() {
     let store = fake::Fake::new(&[]);
--- a/src/witness.rs
+++ b/src/witness.rs
@@ -1,29 +1,31 @@
-//! What a VM can testify about its own contact with the platform's store.
+//! Reports of a VM about its own contact with the platform's store.
 //!
-//! The same testimony serves two opposite ends: a VM whose lease cannot be renewed keeps
-//! its seats while most of its witnesses have had no contact either, and another may take
-//! these seats over only when enough of them have. One witness cannot serve both.
+//! The reports are used in two opposite ways: a VM that cannot renew its lease keeps its seats
+//! while a majority of its witnesses have had no contact either, and another VM may take over these
+//! seats only when enough of the witnesses have had contact. No witness can count for both.
 
 use std::time;
 
 use crate::id;
 
-/// Witnesses of a VM's seats. A majority outlives the loss of one of three failure
-/// domains together with the owner, and the replacement of any three witnesses while the
-/// store is out. They are chosen like serving sets, over all known VMs but the owner, so
-/// that they seldom change: each change rewrites the owner's entries.
+/// Number of witnesses for a VM's seats.
+///
+/// A majority survives the loss of one of three failure domains together with the owner, and the
+/// replacement of any three witnesses during an outage of the store. Witnesses are chosen like
+/// serving sets, from all known VMs except the owner, so that they rarely change: each change
+/// rewrites the owner's entries in the store.
 pub const COUNT: usize = 7;
 
-/// Testimony of one VM at the moment it answers.
+/// Report of one VM, as of the time of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Report {
-    /// It has had no contact for this long, by its own clock.
+    /// Time without contact, by the VM's own clock.
     pub silent: time::Duration,
-    /// Whether there was a contact before that since its process started.
+    /// Whether there was any contact since the VM's process started.
     pub contacted: bool,
 }
 
-/// A VM's record of its own contact with the store.
+/// Records a VM's own contact with the store.
 ///
 /// ```
 /// use std::time::Duration;
@@ -41,7 +43,7 @@
 }
 
 impl Witness {
-    /// A process that started now and remembers nothing of earlier ones.
+    /// Creates the record of a process that starts at `now`, without any contact.
     #[must_use]
     pub fn new(now: id::Time) -> Self {
         Self {
@@ -50,14 +52,14 @@
         }
     }
 
-    /// Notes an answered renewal, whatever the answer. Reads do not count: while only
-    /// writes fail, no seat can change hands and all owners have to keep theirs.
+    /// Records a lease renewal that the store answered, whatever the answer. Reads do not count:
+    /// while only writes fail, no seat can change its owner and all owners have to keep theirs.
     pub fn contact(&mut self, answered: id::Time) {
         self.last = self.last.max(Some(answered));
     }
 
-    /// The testimony as of now. Without a contact it reaches back to the start of the
-    /// process only: an earlier process on this VM may have testified otherwise.
+    /// Returns the report as of `now`. Without any contact it reaches back only to the start of the
+    /// process, since an earlier process on this VM may have had contact.
     #[must_use]
     pub fn report(&self, now: id::Time) -> Report {
         let since = self.last.unwrap_or(self.started);
