--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -9,7 +9,7 @@
 
 use crate::id;
 
-const BUCKETS: u32 = 10;
+const BUCKETS_PER_WINDOW: u32 = 10;
 
 /// When the breaker opens and for how long.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -207,14 +207,14 @@
     }
 
     fn ratio_exceeded(&mut self, now: id::Time) -> bool {
-        self.trim(now);
+        self.drop_expired(now);
         let failures: u32 = self.buckets.iter().map(|bucket| bucket.failures).sum();
         let successes: u32 = self.buckets.iter().map(|bucket| bucket.successes).sum();
         let samples = failures + successes;
         samples >= self.limits.samples && failures * 100 >= samples * self.limits.percent
     }
 
-    fn trim(&mut self, now: id::Time) {
+    fn drop_expired(&mut self, now: id::Time) {
         let window = self.limits.window;
         while self
             .buckets
@@ -227,13 +227,13 @@
 
     /// The bucket of this moment; counts per bucket keep the memory bounded.
     fn bucket(&mut self, now: id::Time) -> &mut Bucket {
-        self.trim(now);
-        let width = self.limits.window / BUCKETS;
-        let stale = self
+        self.drop_expired(now);
+        let width = self.limits.window / BUCKETS_PER_WINDOW;
+        let expired = self
             .buckets
             .back()
             .is_none_or(|bucket| bucket.start + width <= now);
-        if stale {
+        if expired {
             self.buckets.push_back(Bucket {
                 start: now,
                 successes: 0,
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -29,10 +29,10 @@
     /// ```
     /// use std::time::Duration;
     /// use mangotray::{choice, endpoint};
-    /// let well = endpoint::Health::default();
-    /// let mut ill = well;
-    /// ill.fail(Duration::ZERO, 0.0);
-    /// let members = [ill, well].map(|health| choice::Member { health, tried: false });
+    /// let healthy = endpoint::Health::default();
+    /// let mut failing = healthy;
+    /// failing.fail(Duration::ZERO, 0.0);
+    /// let members = [failing, healthy].map(|health| choice::Member { health, tried: false });
     /// assert_eq!(choice::Choice::new(&members, Duration::ZERO).member, Some(1));
     /// ```
     #[must_use]
@@ -42,8 +42,8 @@
             all.filter(|(_, member)| !member.tried)
         };
         let due = |member: &Member| !member.health.closed() && member.health.due(now);
-        let well = untried().find(|(_, member)| member.health.closed());
-        let chosen = well.or_else(|| untried().find(|(_, member)| due(member)));
+        let healthy = untried().find(|(_, member)| member.health.closed());
+        let chosen = healthy.or_else(|| untried().find(|(_, member)| due(member)));
         let member = chosen.map(|(index, _)| index);
         let probes = members.iter().enumerate();
         let probes = probes.filter(|(index, other)| due(other) && Some(*index) != member);
--- a/src/path.rs
+++ b/src/path.rs
@@ -26,7 +26,7 @@
 use crate::upstream;
 
 /// Wait that a caller is told after a refusal for lack of an instance.
-const RETRY: time::Duration = time::Duration::from_millis(500);
+const RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
 /// What came of sending a batch to one instance.
 pub enum Sent {
@@ -57,7 +57,7 @@
 }
 
 impl Place {
-    fn seen(board: &board::Board, index: id::Index) -> Option<Self> {
+    fn from_board(board: &board::Board, index: id::Index) -> Option<Self> {
         let incarnation = board.status(index)?.incarnation;
         Some(Self { index, incarnation })
     }
@@ -97,34 +97,40 @@
                 let floor = board.floor(since)?;
                 let stamp = board.status(leader.index)?.stamp;
                 let usable = board.seen()[leader.index].failures == 0;
-                let place = Place::seen(board, leader.index)?;
-                (stamp >= floor && usable && has_witness(board, leader)).then_some(place)
+                let place = Place::from_board(board, leader.index)?;
+                (stamp >= floor && usable && has_answering_replica(board, leader)).then_some(place)
             });
-        let place = found.await.ok_or_else(|| self.unled())?;
-        self.confirmable(batch).then_some(place).ok_or_else(slow)
+        let place = found.await.ok_or_else(|| self.primary_refusal())?;
+        self.can_confirm_in_time(batch)
+            .then_some(place)
+            .ok_or_else(slow_replicas)
     }
 
     /// Refusal of a write after the wait for a primary.
-    fn unled(&self) -> outcome::Outcome {
+    fn primary_refusal(&self) -> outcome::Outcome {
         let board = self.group.watch.board();
-        let answering = board.seen().iter().filter(|seen| answers(seen)).count();
+        let answering = board
+            .seen()
+            .iter()
+            .filter(|seen| is_answering(seen))
+            .count();
         if answering >= board.majority() {
             return no_primary();
         }
         let detail = "too few instances answer to confirm a write".into();
-        outcome::Outcome::not_run(reason::Reason::NoMajority, detail, Some(RETRY))
+        outcome::Outcome::not_run(reason::Reason::NoMajority, detail, Some(RETRY_AFTER))
     }
 
     /// Whether a write is likely to be confirmed in time.
-    fn confirmable(&self, batch: &batch::Batch) -> bool {
+    fn can_confirm_in_time(&self, batch: &batch::Batch) -> bool {
         let writes = matches!(batch.class, class::Class::Write | class::Class::Begin);
         if !writes || self.group.policy == policy::Policy::UnsafeAck {
             return true;
         }
         let now = self.group.clock.now();
-        let behind = behind(&self.group.watch.board(), now);
+        let stalled = replica_stall(&self.group.watch.board(), now);
         let left = batch.deadline.saturating_sub(now);
-        self.group.confirmations().allows(left, behind, now)
+        self.group.confirmations().allows(left, stalled, now)
     }
 
     /// Where a read goes, why, and the stamp it must include.
@@ -140,7 +146,7 @@
             let place = self.primary(batch).await?;
             return Ok((place, route::Why::Policy, stamp::Stamp::default()));
         }
-        let (since, why) = self.freshness(batch);
+        let (since, why) = self.sample_requirement(batch);
         let token = batch.token;
         let own = batch.own.unwrap_or_default();
         let found = self
@@ -151,16 +157,16 @@
                 let index = self.group.choose(board, floor, failed)?;
                 let fallback = board.leader().is_some_and(|leader| leader.index == index);
                 let why = if fallback { route::Why::Fallback } else { why };
-                Some((Place::seen(board, index)?, why, floor))
+                Some((Place::from_board(board, index)?, why, floor))
             });
         found.await.ok_or_else(|| {
             let detail = "no instance is fresh enough within the deadline".into();
-            outcome::Outcome::not_run(reason::Reason::NoInstance, detail, Some(RETRY))
+            outcome::Outcome::not_run(reason::Reason::NoInstance, detail, Some(RETRY_AFTER))
         })
     }
 
     /// Time after which a sample must have started to prove enough for the read.
-    fn freshness(&self, batch: &batch::Batch) -> (id::Time, route::Why) {
+    fn sample_requirement(&self, batch: &batch::Batch) -> (id::Time, route::Why) {
         if batch.token.is_some() {
             return (id::Time::ZERO, route::Why::Token);
         }
@@ -190,13 +196,13 @@
         writes: bool,
         reply: reply::Reply,
     ) -> Answer {
-        let led = self
+        let is_primary = self
             .group
             .watch
             .board()
             .leader()
             .is_some_and(|leader| leader.index == index);
-        let needed = (writes || led) && self.group.policy != policy::Policy::UnsafeAck;
+        let needed = (writes || is_primary) && self.group.policy != policy::Policy::UnsafeAck;
         // A failed batch has changed nothing, unless it committed something before.
         let shown = reply.error.is_none() || batch.mixed;
         let Some(stamp) = reply.stamp.filter(|_| needed && shown) else {
@@ -235,9 +241,9 @@
         let pool = self.group.pool(index);
         let _waiting = pool.enter();
         let ticket = self.ticket(batch, held.is_some());
-        let kept = held.as_ref().is_some_and(|guard| guard.slot.is_some());
-        let slot = self.slot(index, kept, ticket);
-        let slot = match self.before(batch.deadline, slot).await {
+        let has_slot = held.as_ref().is_some_and(|guard| guard.slot.is_some());
+        let slot = self.slot(index, has_slot, ticket);
+        let slot = match self.run_until(batch.deadline, slot).await {
             Some(Ok(slot)) => slot,
             Some(Err(refusal)) => return Sent::Refused(refusal),
             None => return Sent::Late,
@@ -275,10 +281,10 @@
     async fn slot(
         &self,
         index: id::Index,
-        kept: bool,
+        has_slot: bool,
         ticket: admission::Ticket,
     ) -> Result<Option<slots::Slot>, outcome::Outcome> {
-        if kept {
+        if has_slot {
             return Ok(None);
         }
         self.group.pool(index).slot(ticket).await.map(Some)
@@ -291,16 +297,16 @@
         slot: Option<slots::Slot>,
         batch: &batch::Batch,
     ) -> Sent {
-        let ready = self.ready(place, held, slot);
-        match self.before(batch.deadline, ready).await {
+        let connecting = self.connect(place, held, slot);
+        match self.run_until(batch.deadline, connecting).await {
             Some(Ok(guard)) => self.exchange(guard, &batch.frames, batch.deadline).await,
-            Some(Err(failure)) => Sent::Unsent(words(failure)),
+            Some(Err(failure)) => Sent::Unsent(failure_detail(failure)),
             None => Sent::Late,
         }
     }
 
     /// A connection together with a slot; the slot goes back with the connection.
-    async fn ready(
+    async fn connect(
         &self,
         place: Place,
         held: Option<pool::Guard>,
@@ -328,7 +334,7 @@
             return Sent::Late;
         }
         let run = guard.connection.run(frames);
-        match self.before(deadline, run).await {
+        match self.run_until(deadline, run).await {
             Some(Ok(reply)) => Sent::Answered(reply, guard),
             Some(Err(upstream::Failure::NotRun(detail))) => Sent::Unsent(detail),
             Some(Err(upstream::Failure::Unknown(detail))) => Sent::Lost(detail),
@@ -352,7 +358,7 @@
 
     /// Runs a task until the deadline or the end of this proxy's share, whichever comes
     /// first. Another proxy may use the share after its end.
-    async fn before<T>(&self, deadline: id::Time, task: impl Future<Output = T>) -> Option<T> {
+    async fn run_until<T>(&self, deadline: id::Time, task: impl Future<Output = T>) -> Option<T> {
         let timer = async {
             loop {
                 let end = deadline.min(self.group.until());
@@ -400,40 +406,40 @@
 
 /// Whether any replica can still confirm: with none answering, a write could only end
 /// unknown, so it is better refused before it runs.
-fn has_witness(board: &board::Board, leader: board::Leader) -> bool {
+fn has_answering_replica(board: &board::Board, leader: board::Leader) -> bool {
     let mut seen = board.seen().iter().enumerate();
-    seen.any(|(index, seen)| index != leader.index && answers(seen))
+    seen.any(|(index, seen)| index != leader.index && is_answering(seen))
 }
 
-fn answers(seen: &board::Seen) -> bool {
+fn is_answering(seen: &board::Seen) -> bool {
     seen.failures == 0 && seen.last.is_some()
 }
 
 /// For how long even the best replica has stood still behind the primary.
-fn behind(board: &board::Board, now: id::Time) -> time::Duration {
+fn replica_stall(board: &board::Board, now: id::Time) -> time::Duration {
     let leader = board.leader().map(|leader| leader.index);
     let replicas = board.seen().iter().enumerate();
-    let replicas = replicas.filter(|(index, seen)| Some(*index) != leader && answers(seen));
-    let still = replicas.map(|(_, seen)| {
+    let replicas = replicas.filter(|(index, seen)| Some(*index) != leader && is_answering(seen));
+    let stalls = replicas.map(|(_, seen)| {
         seen.behind
             .map_or(id::Time::ZERO, |since| now.saturating_sub(since))
     });
-    still.min().unwrap_or_default()
+    stalls.min().unwrap_or_default()
 }
 
-fn words(failure: upstream::Failure) -> CompactString {
+fn failure_detail(failure: upstream::Failure) -> CompactString {
     match failure {
         upstream::Failure::NotRun(detail) | upstream::Failure::Unknown(detail) => detail,
     }
 }
 
 /// Refusal of a write that could not be confirmed in time.
-fn slow() -> outcome::Outcome {
+fn slow_replicas() -> outcome::Outcome {
     let detail = "the replicas are too slow to confirm a write within the deadline".into();
     outcome::Outcome::not_run(
         reason::Reason::NoMajority,
         detail,
-        Some(enrol::jittered(RETRY)),
+        Some(enrol::jittered(RETRY_AFTER)),
     )
 }
 
@@ -441,5 +447,5 @@
 #[must_use]
 pub fn no_primary() -> outcome::Outcome {
     let detail = "no primary can take writes at the moment".into();
-    outcome::Outcome::not_run(reason::Reason::NoPrimary, detail, Some(RETRY))
+    outcome::Outcome::not_run(reason::Reason::NoPrimary, detail, Some(RETRY_AFTER))
 }
--- a/src/resend.rs
+++ b/src/resend.rs
@@ -39,7 +39,7 @@
     pub fn new(class: class::Class, attempt: Attempt) -> Self {
         let reads = matches!(class, class::Class::Read | class::Class::BeginRead);
         match attempt {
-            Ok(Err(outcome)) if elsewhere(&outcome) => Self::Next(outcome),
+            Ok(Err(outcome)) if allows_next_member(&outcome) => Self::Next(outcome),
             Ok(answer) => Self::Done(answer),
             Err(dial::Failure::Unsent) => Self::Next(no_server()),
             Err(dial::Failure::Lost) if reads => Self::Next(unknown(dial::Failure::Lost)),
@@ -59,18 +59,19 @@
 #[must_use]
 pub fn ended(attempt: &Attempt) -> bool {
     match attempt {
-        Ok(Err(outcome)) => refused_for(outcome, reason::Reason::NoServer),
+        Ok(Err(outcome)) => is_refused_for(outcome, reason::Reason::NoServer),
         Ok(Ok(_)) => false,
         Err(_) => true,
     }
 }
 
 /// Whether a peer's refusal only means that another member has to be asked.
-fn elsewhere(outcome: &outcome::Outcome) -> bool {
-    refused_for(outcome, reason::Reason::NoServer) || refused_for(outcome, reason::Reason::Draining)
+fn allows_next_member(outcome: &outcome::Outcome) -> bool {
+    is_refused_for(outcome, reason::Reason::NoServer)
+        || is_refused_for(outcome, reason::Reason::Draining)
 }
 
-fn refused_for(outcome: &outcome::Outcome, wanted: reason::Reason) -> bool {
+fn is_refused_for(outcome: &outcome::Outcome, wanted: reason::Reason) -> bool {
     matches!(outcome, outcome::Outcome::NotRun { reason, .. } if *reason == wanted)
 }
 
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -19,7 +19,7 @@
 /// Retries that an idle budget holds.
 const BURST: u32 = 10;
 /// Retries a second that are always allowed; else a nearly idle proxy could never retry.
-const FLOOR_PER_SECOND: u32 = 1;
+const MIN_RETRIES_PER_SECOND: u32 = 1;
 
 /// Token bucket that bounds retries to a tenth of the first attempts, plus a small floor.
 ///
@@ -84,14 +84,14 @@
     pub fn bound(firsts: u64, elapsed: time::Duration) -> u64 {
         firsts / u64::from(FIRSTS_PER_RETRY)
             + u64::from(BURST)
-            + u64::from(FLOOR_PER_SECOND) * elapsed.as_secs()
+            + u64::from(MIN_RETRIES_PER_SECOND) * elapsed.as_secs()
     }
 
     fn refill(&mut self, now: id::Time) {
         let seconds = now.saturating_sub(self.refilled).as_secs();
         self.refilled += time::Duration::from_secs(seconds);
         let seconds = u32::try_from(seconds).unwrap_or(u32::MAX).min(BURST);
-        self.deposit(seconds * FLOOR_PER_SECOND * FIRSTS_PER_RETRY);
+        self.deposit(seconds * MIN_RETRIES_PER_SECOND * FIRSTS_PER_RETRY);
     }
 
     fn deposit(&mut self, tenths: u32) {
@@ -197,7 +197,7 @@
     backoff: &mut Backoff,
     random: &mut fastrand::Rng,
 ) -> Decision {
-    if !repeatable(attempt, outcome) || attempt.number >= MAX_ATTEMPTS {
+    if !is_retryable(attempt, outcome) || attempt.number >= MAX_ATTEMPTS {
         return Decision::GiveUp;
     }
     let hint = match outcome {
@@ -212,7 +212,7 @@
 }
 
 /// Whether sending it again is safe and can change the outcome.
-fn repeatable(attempt: &Attempt, outcome: &outcome::Outcome) -> bool {
+fn is_retryable(attempt: &Attempt, outcome: &outcome::Outcome) -> bool {
     if attempt.pinned {
         return false;
     }
@@ -220,14 +220,14 @@
         // The transaction that they end died with its connection.
         (class::Class::Commit | class::Class::Rollback, _) => false,
         (_, outcome::Outcome::NotRun { reason, .. })
-        | (class::Class::Read, outcome::Outcome::Unknown { reason, .. }) => passing(*reason),
+        | (class::Class::Read, outcome::Outcome::Unknown { reason, .. }) => is_transient(*reason),
         (_, outcome::Outcome::Unknown { .. }) => false,
     }
 }
 
 /// Whether the reason may go away by itself. An overloaded queue is left to the caller:
 /// asking it again from here would add to its load.
-fn passing(reason: reason::Reason) -> bool {
+fn is_transient(reason: reason::Reason) -> bool {
     match reason {
         reason::Reason::NoPrimary
         | reason::Reason::NoInstance
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -114,7 +114,7 @@
 }
 
 #[derive(Default)]
-struct Load {
+struct Counts {
     firsts: u64,
     sent: u64,
     served: u64,
@@ -137,12 +137,12 @@
     let outage = ms(5_000)..ms(15_000);
     let mut random = fastrand::Rng::with_seed(11);
     let mut budget = retry::Budget::new(ms(0));
-    let mut load = Load::default();
+    let mut counts = Counts::default();
     let mut events = arrivals(12_500);
     while let Some(cmp::Reverse((now, number, deadline))) = events.pop() {
-        load.sent += 1;
+        counts.sent += 1;
         if number == 1 {
-            load.firsts += 1;
+            counts.firsts += 1;
             budget.first();
         }
         if outage.contains(&now) {
@@ -164,16 +164,16 @@
                 events.push(cmp::Reverse((now + after, number + 1, deadline)));
             }
         } else {
-            load.served += 1;
+            counts.served += 1;
         }
-        let bound = retry::Budget::bound(load.firsts, now);
-        assert!(load.sent - load.firsts <= bound, "at {now:?}");
+        let bound = retry::Budget::bound(counts.firsts, now);
+        assert!(counts.sent - counts.firsts <= bound, "at {now:?}");
     }
     println!(
         "{} first attempts, {} sent, {} served",
-        load.firsts, load.sent, load.served
+        counts.firsts, counts.sent, counts.served
     );
-    assert_eq!(load.firsts, 12_500);
-    assert!(load.sent > load.firsts + 400, "the outage made retries");
-    assert!(load.sent * 10 <= load.firsts * 11 + 10 * 35);
+    assert_eq!(counts.firsts, 12_500);
+    assert!(counts.sent > counts.firsts + 400, "the outage made retries");
+    assert!(counts.sent * 10 <= counts.firsts * 11 + 10 * 35);
 }
--- a/src/route.rs
+++ b/src/route.rs
@@ -76,13 +76,13 @@
     leader: Option<board::Leader>,
     candidates: &[Candidate],
 ) -> Option<id::Index> {
-    let leads = |index| leader.is_some_and(|leader| leader.index == index);
+    let is_primary = |index| leader.is_some_and(|leader| leader.index == index);
     candidates
         .iter()
         .filter(|candidate| candidate.usable && !candidate.leaving)
         .filter(|candidate| candidate.stamp.is_some_and(|stamp| stamp >= floor))
         .min_by_key(|candidate| {
-            let primary = leads(candidate.index);
+            let primary = is_primary(candidate.index);
             (primary, candidate.load, !candidate.near, candidate.index)
         })
         .map(|candidate| candidate.index)
