--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -1,32 +1,35 @@
 //! Circuit breaker of one instance.
 //!
-//! What goes wrong without it: an instance that hangs keeps every request for its whole
-//! deadline, and each holds a slot and a caller. The breaker refuses at once after a few
-//! failures, lets one trial through after a pause, and closes again when it succeeds.
+//! Without it, every request to an instance that hangs waits until its deadline, holding a slot
+//! and blocking its caller. After a number of failures in a row, or a high failure ratio in a
+//! sliding window, the breaker opens and refuses requests at once. After a pause it admits one
+//! trial request, and closes again when the trial succeeds.
 
 use std::collections;
 use std::time;
 
 use crate::id;
 
+/// Number of buckets that the sliding window is divided into.
 const BUCKETS_PER_WINDOW: u32 = 10;
 
-/// When the breaker opens and for how long.
+/// Thresholds for opening the breaker, and the length of its pauses.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Limits {
-    /// Failures in a row that open it.
+    /// Number of failures in a row that opens the breaker.
     pub consecutive: u32,
     /// Length of the sliding window for the failure ratio.
     #[serde(with = "humantime_serde")]
     pub window: time::Duration,
-    /// Samples in the window below which the ratio says nothing.
+    /// Minimum number of results in the window for the failure ratio to be used.
     pub samples: u32,
-    /// Failures in the window that open it, in percent.
+    /// Failure ratio in the window that opens the breaker, in percent.
     pub percent: u32,
-    /// First pause before a trial.
+    /// Pause before the first trial, before jitter.
     #[serde(with = "humantime_serde")]
     pub pause: time::Duration,
-    /// Longest pause; each failed trial doubles the pause up to it.
+    /// Maximum pause, before jitter; each failed trial doubles the pause up to this limit. Also
+    /// the time after which a trial without a result is replaced.
     #[serde(with = "humantime_serde")]
     pub ceiling: time::Duration,
 }
@@ -44,30 +47,31 @@
     }
 }
 
-/// Leave to send one request; handed back with its result.
+/// Permission to send one request; passed back with the request's result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     epoch: u64,
 }
 
-/// State of the breaker at a moment.
+/// State of the breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Requests pass.
+    /// Requests are admitted.
     Closed,
-    /// No request passes before `until`.
+    /// No request is admitted before `until`.
     Open {
-        /// Time of the next trial.
+        /// Earliest time of the next trial.
         until: id::Time,
     },
-    /// One trial request is under way; given up for lost at `until`.
+    /// One trial request is running; it is considered lost at `until`.
     HalfOpen {
-        /// When another trial may start if the first never reports.
+        /// When another trial may start if the running one has reported no result.
         until: id::Time,
     },
 }
 
+/// Results of one part of the sliding window.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     start: id::Time,
@@ -97,9 +101,9 @@
 pub struct Breaker {
     limits: Limits,
     state: State,
-    /// Grows with each change of state. A result from before the change says nothing
-    /// about the instance now: without it, an answer that was on its way when the
-    /// breaker opened would close it.
+    /// Incremented with each change of state. Results of requests from an earlier epoch are
+    /// ignored; otherwise a late answer to a request sent before the breaker opened would close
+    /// it, although it says nothing about the instance's current state.
     epoch: u64,
     consecutive: u32,
     buckets: collections::VecDeque<Bucket>,
@@ -133,7 +137,7 @@
         self.state
     }
 
-    /// Whether a request sent now would be let through; takes no trial.
+    /// Whether a request sent at `now` would be admitted. Doesn't start a trial.
     #[must_use]
     pub fn passes(&self, now: id::Time) -> bool {
         match self.state {
@@ -142,10 +146,11 @@
         }
     }
 
-    /// Leave for one request, or `None` while the breaker is open or on trial.
+    /// Returns a permit for one request, or `None` while the breaker is open or a trial is
+    /// running.
     ///
-    /// A permit of a trial that never reports is replaced after a pause: a trial whose
-    /// caller went away would otherwise keep the instance out for ever.
+    /// A trial that reports no result is replaced after `Limits::ceiling`: a trial whose caller
+    /// disconnected would otherwise exclude the instance for good.
     pub fn permit(&mut self, now: id::Time) -> Option<Permit> {
         if !self.passes(now) {
             return None;
@@ -158,7 +163,7 @@
         Some(Permit { epoch: self.epoch })
     }
 
-    /// The request was answered; closes the breaker if it was the trial.
+    /// Records that the request was answered. Closes the breaker if the request was the trial.
     pub fn success(&mut self, permit: Permit, now: id::Time) {
         if permit.epoch != self.epoch {
             return;
@@ -171,8 +176,8 @@
         }
     }
 
-    /// The request failed; may open the breaker. `random` spreads the trials of many
-    /// proxies, which would otherwise all meet the recovering instance at once.
+    /// Records that the request failed, which may open the breaker. `random` adds jitter to the
+    /// pause, so that the trials of many proxies don't reach a recovering instance all at once.
     pub fn failure(&mut self, permit: Permit, now: id::Time, random: &mut fastrand::Rng) {
         if permit.epoch != self.epoch {
             return;
@@ -199,7 +204,7 @@
         self.enter(State::Closed);
     }
 
-    /// Waits between half a pause and a whole one and a half.
+    /// Opens the breaker for a random time between 0.5 and 1.5 times the current pause.
     fn open(&mut self, now: id::Time, random: &mut fastrand::Rng) {
         self.consecutive = 0;
         let pause = self.pause.mul_f64(0.5 + random.f64());
@@ -225,7 +230,8 @@
         }
     }
 
-    /// The bucket of this moment; counts per bucket keep the memory bounded.
+    /// Returns the bucket for `now`. Counting per bucket instead of storing each result keeps
+    /// memory use bounded.
     fn bucket(&mut self, now: id::Time) -> &mut Bucket {
         self.drop_expired(now);
         let width = self.limits.window / BUCKETS_PER_WINDOW;
--- a/src/breaker/tests.rs
+++ b/src/breaker/tests.rs
@@ -85,9 +85,9 @@
     assert!(longest > ceiling / 2 && longest <= ceiling * 3 / 2);
 }
 
-/// Symptom: an instance that hangs is taken back again and again. Events: a request is
-/// sent, others fail and open the breaker, a trial starts, the first request's answer
-/// arrives at last. Cause: the late answer was counted as the trial's.
+/// Guards against an instance that hangs being put back into use repeatedly: a request is sent,
+/// others fail and open the breaker, a trial starts, and then the late answer to the first
+/// request is counted as the trial's.
 #[test]
 fn a_result_from_before_the_change_is_ignored() {
     let mut random = random();
@@ -104,8 +104,8 @@
     assert_matches!(breaker.state(), breaker::State::Open { .. });
 }
 
-/// Symptom: a healthy instance gets no requests for good. Events: the trial's caller
-/// goes away before the answer. Cause: nobody reports, and nobody else may try.
+/// Guards against a healthy instance that never gets requests again: the trial's caller
+/// disconnects before the answer, so no result is reported and no other trial may start.
 #[test]
 fn a_lost_trial_is_replaced() {
     let (mut breaker, until) = opened(&mut random());
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,30 +1,33 @@
-//! Decision which member of a serving set gets a session.
+//! Choice of the member of a group's serving set (the proxies that serve it) for a request.
 
 use crate::endpoint;
 use crate::id;
 
-/// What is known of one member of the serving set, in the set's order.
+/// State of one member of the serving set. Members are listed in the set's order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// What its last attempts showed.
+    /// Circuit breaker state, from the results of recent attempts.
     pub health: endpoint::Health,
-    /// Whether this request was already refused or left unanswered there.
+    /// Whether this member has already refused the request or left it unanswered.
     pub tried: bool,
 }
 
-/// Where a request goes, and which members are worth a fresh attempt beside it.
+/// The member that gets a request, and the members to probe at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Choice {
-    /// Index of the chosen member; `None` when no untried one may be reached.
+    /// Index of the chosen member. `None` when every untried member has an open circuit whose
+    /// pause is not over, or when all members have been tried.
     pub member: Option<usize>,
-    /// Members whose circuit is open and whose pause is over.
+    /// Indexes of the other members whose circuit is open and whose pause is over.
     pub probes: Vec<usize>,
 }
 
 impl Choice {
-    /// Chooses the first healthy member not yet tried, else the first whose pause is
-    /// over. The order of the set is kept, so all proxies lead a group's work to the
-    /// same member while it is well, and its few upstream connections suffice.
+    /// Chooses the first untried member whose circuit is closed, or else the first untried
+    /// member whose pause is over.
+    ///
+    /// The order of the set decides, so all proxies send a group's requests to the same member
+    /// while it is healthy, and its small number of upstream connections is enough.
     ///
     /// ```
     /// use std::time::Duration;
--- a/src/path.rs
+++ b/src/path.rs
@@ -1,4 +1,8 @@
-//! Choice of an instance for a batch, and the exchange with it.
+//! Choice of an instance for a batch, sending the batch to it, and confirmation of the result.
+//!
+//! A batch that may write goes to the primary, a read to any instance that is fresh enough. A
+//! write is answered only when its record is seen on a majority of the group, so that a failover
+//! doesn't lose it; the policy `unsafe-ack` omits this wait.
 
 use std::sync;
 use std::time;
@@ -25,34 +29,36 @@
 use crate::stamp;
 use crate::upstream;
 
-/// Wait that a caller is told after a refusal for lack of an instance.
+/// Retry delay suggested to the caller when no suitable instance is available.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
-/// What came of sending a batch to one instance.
+/// Result of sending a batch to one instance.
 pub enum Sent {
-    /// The whole answer, with the connection it came over.
+    /// The complete answer, with the connection that it arrived on.
     Answered(reply::Reply, pool::Guard),
-    /// Nothing left this proxy.
+    /// Nothing of the batch ran: it was not sent, or the instance did not run it. Holds the
+    /// error.
     Unsent(CompactString),
-    /// Some of it may have run.
+    /// The connection failed after the batch was sent; some of it may have run. Holds the
+    /// error.
     Lost(CompactString),
-    /// The time ended while it was running.
+    /// The deadline, or this proxy's share of the instance, ended while the batch was running.
     Expired,
-    /// The deadline passed before anything was sent.
+    /// The deadline, or this proxy's share of the instance, ended before anything was sent.
     Late,
-    /// The queue before the instance refused it.
+    /// The instance's admission queue refused the batch.
     Refused(outcome::Outcome),
 }
 
-/// An instance as it was when it was chosen.
+/// A chosen instance, with its incarnation at the time of the choice.
 ///
-/// The incarnation belongs to the choice: an instance that has been started anew since
-/// may have lost the records for which it was chosen.
+/// The incarnation is part of the choice: an instance that has been restarted since then may
+/// have lost the records for which it was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Place {
     /// Index of the instance.
     pub index: id::Index,
-    /// Start of its process, as seen in the same look at the board.
+    /// Incarnation of its process, from the same state of the board as the choice.
     pub incarnation: id::Incarnation,
 }
 
@@ -63,7 +69,7 @@
     }
 }
 
-/// Ways from this proxy into one group.
+/// Sends the batches of this proxy to the instances of one group.
 pub struct Path {
     /// The group.
     pub group: sync::Arc<group::Group>,
@@ -72,18 +78,20 @@
 type Answer = Result<reply::Reply, outcome::Outcome>;
 
 impl Path {
-    /// Ways into `group`.
+    /// A path to the instances of `group`.
     #[must_use]
     pub fn new(group: sync::Arc<group::Group>) -> Self {
         Self { group }
     }
 
-    /// The primary for a batch that may write. For a transaction, a sample taken after
-    /// its arrival must show that no later term has begun, so that it does not read
-    /// from a primary that has been replaced.
+    /// Waits for a primary that can take a batch that may write.
+    ///
+    /// For a transaction, a sample taken after its arrival must show that no later term has
+    /// begun, so that the transaction does not read from a primary that has been replaced.
     ///
     /// # Errors
-    /// When no primary can confirm writes before the deadline, or not in time.
+    /// When no usable primary with an answering replica is found before the deadline, or when
+    /// the replicas are too slow to confirm a write in the time left.
     pub async fn primary(&self, batch: &batch::Batch) -> Result<Place, outcome::Outcome> {
         let since = match batch.class {
             class::Class::Begin => batch.arrived,
@@ -106,7 +114,7 @@
             .ok_or_else(slow_replicas)
     }
 
-    /// Refusal of a write after the wait for a primary.
+    /// Refusal when the wait for a primary ended without one: lack of a majority, or of a primary.
     fn primary_refusal(&self) -> outcome::Outcome {
         let board = self.group.watch.board();
         let answering = board
@@ -121,7 +129,7 @@
         outcome::Outcome::not_run(reason::Reason::NoMajority, detail, Some(RETRY_AFTER))
     }
 
-    /// Whether a write is likely to be confirmed in time.
+    /// Whether a write is likely to be confirmed before the batch's deadline.
     fn can_confirm_in_time(&self, batch: &batch::Batch) -> bool {
         let writes = matches!(batch.class, class::Class::Write | class::Class::Begin);
         if !writes || self.group.policy == policy::Policy::UnsafeAck {
@@ -133,7 +141,9 @@
         self.group.confirmations().allows(left, stalled, now)
     }
 
-    /// Where a read goes, why, and the stamp it must include.
+    /// Waits for an instance that can serve a read. Returns the instance, the reason for the
+    /// choice, and the floor: the stamp that the read must include. Instances in `failed` have
+    /// failed this batch before.
     ///
     /// # Errors
     /// When no instance is fresh enough before the deadline.
@@ -165,7 +175,7 @@
         })
     }
 
-    /// Time after which a sample must have started to prove enough for the read.
+    /// Earliest start of a sample that is recent enough for the read, and the reason to log.
     fn sample_requirement(&self, batch: &batch::Batch) -> (id::Time, route::Why) {
         if batch.token.is_some() {
             return (id::Time::ZERO, route::Why::Token);
@@ -184,11 +194,13 @@
         }
     }
 
-    /// Waits until a replica is seen to hold what the primary has shown. Answers of
-    /// replicas need no wait: a record that was shipped is on two instances.
+    /// Waits until the latest record that an answer reflects is seen on a majority of the group.
+    ///
+    /// A read from the primary waits too, since it may have returned an unconfirmed record. An
+    /// answer of a replica needs no wait: a record that was shipped to it is on two instances.
     ///
     /// # Errors
-    /// When the record is not confirmed before the deadline: its outcome is unknown.
+    /// When the record is not confirmed before the deadline; the outcome is then unknown.
     pub async fn confirm(
         &self,
         batch: &batch::Batch,
@@ -203,7 +215,7 @@
             .leader()
             .is_some_and(|leader| leader.index == index);
         let needed = (writes || is_primary) && self.group.policy != policy::Policy::UnsafeAck;
-        // A failed batch has changed nothing, unless it committed something before.
+        // A failed batch changed nothing, unless an earlier part of it was committed.
         let shown = reply.error.is_none() || batch.mixed;
         let Some(stamp) = reply.stamp.filter(|_| needed && shown) else {
             return Ok(reply);
@@ -230,7 +242,10 @@
         ))
     }
 
-    /// Runs a batch on an instance, over the held connection if there is one.
+    /// Runs a batch on an instance, over the `held` connection if there is one.
+    ///
+    /// Waits for a slot first. The circuit breaker then applies to all but writes, and the
+    /// result is recorded in it.
     pub async fn send(
         &self,
         place: Place,
@@ -248,7 +263,8 @@
             Some(Err(refusal)) => return Sent::Refused(refusal),
             None => return Sent::Late,
         };
-        // Asked for after the wait, so that a trial says how the instance is now.
+        // Taken after the wait for a slot, so that a trial request tests the instance's current
+        // state.
         let permit = pool.permit();
         if permit.is_none() && ticket.priority != admission::Priority::Write {
             return Sent::Unsent("the instance has failed too often of late".into());
@@ -265,8 +281,9 @@
         slots::ticket(batch, pinned, aged)
     }
 
-    /// What an attempt says of the instance; nothing if it was not the instance's fault.
-    /// A write that ends at the deadline may have waited for another caller's locks.
+    /// Result of an attempt for the circuit breaker; `None` when it says nothing about the
+    /// instance. A write that is still running at the deadline may have waited for another
+    /// caller's locks, so it doesn't count as a failure.
     fn success(&self, sent: &Sent, batch: &batch::Batch) -> Option<bool> {
         let reads = matches!(batch.class, class::Class::Read | class::Class::BeginRead);
         match sent {
@@ -277,7 +294,7 @@
         }
     }
 
-    /// The slot for one statement; none when the transaction has kept its own.
+    /// Waits for a slot; `None` when the transaction's connection already has one.
     async fn slot(
         &self,
         index: id::Index,
@@ -305,7 +322,8 @@
         }
     }
 
-    /// A connection together with a slot; the slot goes back with the connection.
+    /// Returns the `held` connection or one from the pool, with a slot attached. The slot is
+    /// released with the connection.
     async fn connect(
         &self,
         place: Place,
@@ -328,8 +346,8 @@
         frames: &[frame::Frame],
         deadline: id::Time,
     ) -> Sent {
-        // Checked before the first byte leaves: a process that was paused must not send
-        // what it had in hand after its share has gone to another proxy.
+        // Checked right before sending: a process that was paused must not send the batch after
+        // its share of the instance has been given to another proxy.
         if self.group.clock.now() >= deadline.min(self.group.until()) {
             return Sent::Late;
         }
@@ -342,7 +360,8 @@
         }
     }
 
-    /// Waits until the group is known to be led otherwise, or to be led still.
+    /// Waits until the group has a primary other than `index`, or until a sample taken from now
+    /// on confirms the current one. Returns at the batch's deadline at the latest.
     pub async fn await_change(&self, index: id::Index, batch: &batch::Batch) {
         let since = self.group.clock.now();
         let changed = self
@@ -356,8 +375,9 @@
         changed.await;
     }
 
-    /// Runs a task until the deadline or the end of this proxy's share, whichever comes
-    /// first. Another proxy may use the share after its end.
+    /// Runs a task until the deadline or the end of this proxy's share of the instances,
+    /// whichever comes first; `None` when the task has not finished by then. After its end,
+    /// another proxy may use the share.
     async fn run_until<T>(&self, deadline: id::Time, task: impl Future<Output = T>) -> Option<T> {
         let timer = async {
             loop {
@@ -372,7 +392,7 @@
         future::or(task.map(Some), timer).await
     }
 
-    /// Logs and counts a routing decision.
+    /// Logs a routing decision, and counts it if it is for a read outside of a transaction.
     pub fn log(
         &self,
         batch: &batch::Batch,
@@ -404,8 +424,8 @@
     }
 }
 
-/// Whether any replica can still confirm: with none answering, a write could only end
-/// unknown, so it is better refused before it runs.
+/// Whether any replica answers. Without one no write can be confirmed and its outcome would be
+/// unknown, so it is refused before it runs.
 fn has_answering_replica(board: &board::Board, leader: board::Leader) -> bool {
     let mut seen = board.seen().iter().enumerate();
     seen.any(|(index, seen)| index != leader.index && is_answering(seen))
@@ -415,7 +435,8 @@
     seen.failures == 0 && seen.last.is_some()
 }
 
-/// For how long even the best replica has stood still behind the primary.
+/// How long the answering replicas have been behind the primary without progress: the shortest
+/// such time among them.
 fn replica_stall(board: &board::Board, now: id::Time) -> time::Duration {
     let leader = board.leader().map(|leader| leader.index);
     let replicas = board.seen().iter().enumerate();
@@ -433,7 +454,7 @@
     }
 }
 
-/// Refusal of a write that could not be confirmed in time.
+/// Refusal of a write because the replicas are too slow to confirm it in time.
 fn slow_replicas() -> outcome::Outcome {
     let detail = "the replicas are too slow to confirm a write within the deadline".into();
     outcome::Outcome::not_run(
@@ -443,7 +464,7 @@
     )
 }
 
-/// Refusal of a batch that needs the primary.
+/// Refusal of a batch that needs the primary while there is none.
 #[must_use]
 pub fn no_primary() -> outcome::Outcome {
     let detail = "no primary can take writes at the moment".into();
--- a/src/resend.rs
+++ b/src/resend.rs
@@ -1,4 +1,5 @@
-//! Decision whether a batch may be sent once more after an attempt at a peer.
+//! Decides whether a batch may be sent to another member of the serving set (the proxies that
+//! serve the group) after an attempt at one peer.
 
 use std::time;
 
@@ -8,24 +9,25 @@
 use crate::peer;
 use crate::reason;
 
-/// Pause before the members of a serving set are tried once more.
+/// Delay before all members of a serving set are tried again.
 pub const PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// What an attempt at one peer came to.
+/// Result of an attempt at one peer.
 pub type Attempt = Result<peer::Answer, dial::Failure>;
 
-/// What to do after an attempt outside of a transaction.
+/// What to do after an attempt for a batch outside of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The answer is final.
     Done(peer::Answer),
-    /// Another member may be tried; the outcome stands when there is none.
+    /// Another member may be tried; if there is none, this outcome is final.
     Next(outcome::Outcome),
 }
 
 impl Verdict {
-    /// Judges an attempt. Only what surely did not run, or only reads, may run at
-    /// another member: a write that was sent may have run, however its connection broke.
+    /// Evaluates an attempt. Another member may be tried only if the batch is known not to have
+    /// run, or if it only reads: a write that was sent may have run, whichever way its
+    /// connection failed.
     ///
     /// ```
     /// use mangotray::{class, dial, resend};
@@ -48,8 +50,8 @@
     }
 }
 
-/// Whether an attempt shows that the peer no longer has the session, and with it an
-/// open transaction.
+/// Whether an attempt shows that the peer no longer has the session, and that a transaction open
+/// in it has therefore ended.
 ///
 /// ```
 /// use mangotray::{dial, resend};
@@ -65,7 +67,8 @@
     }
 }
 
-/// Whether a peer's refusal only means that another member has to be asked.
+/// Whether a peer refused only because it doesn't serve the group or is draining, so that
+/// another member may run the batch.
 fn allows_next_member(outcome: &outcome::Outcome) -> bool {
     is_refused_for(outcome, reason::Reason::NoServer)
         || is_refused_for(outcome, reason::Reason::Draining)
@@ -75,7 +78,7 @@
     matches!(outcome, outcome::Outcome::NotRun { reason, .. } if *reason == wanted)
 }
 
-/// Refusal of a batch that no member could take.
+/// Refusal of a batch because no member could be reached or none accepted it.
 #[must_use]
 pub fn no_server() -> outcome::Outcome {
     outcome::Outcome::NotRun {
@@ -85,7 +88,7 @@
     }
 }
 
-/// Refusal of a batch whose transaction ended with its connection.
+/// Refusal of a batch whose transaction was lost with its connection.
 #[must_use]
 pub fn lost() -> outcome::Outcome {
     outcome::Outcome::NotRun {
@@ -95,7 +98,7 @@
     }
 }
 
-/// Outcome of a batch that was sent and not answered.
+/// Outcome of a batch that was sent but not answered; it may have run.
 #[must_use]
 pub fn unknown(failure: dial::Failure) -> outcome::Outcome {
     let (reason, detail) = match failure {
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,7 +1,8 @@
-//! Whether, and when, a request without an answer is sent again.
+//! Retry policy: whether, and after which delay, a failed request is sent again.
 //!
-//! Retries of one layer multiply those of the next: only the proxy that talks to the
-//! upstream or to the serving peer decides here, once for each hop of its own.
+//! A retry needs an outcome that makes it safe, time left before the deadline, and a retry in
+//! the group's token bucket. Retries at one layer multiply those of the next, so only the proxy
+//! that talks to the upstream or to the serving peer retries, each for its own hop.
 
 use std::time;
 
@@ -10,21 +11,22 @@
 use crate::outcome;
 use crate::reason;
 
-/// First attempts that pay for one retry.
+/// Number of first attempts that add one retry to the budget.
 pub const FIRSTS_PER_RETRY: u32 = 10;
 
-/// Attempts in all after which a request is given up, whatever the budget says.
+/// Maximum number of attempts for a request, including the first, whatever the budget allows.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// Retries that an idle budget holds.
+/// Maximum number of retries that the budget holds.
 const BURST: u32 = 10;
-/// Retries a second that are always allowed; else a nearly idle proxy could never retry.
+/// Retries per second that the budget gains regardless of the load; a nearly idle proxy could
+/// not retry otherwise.
 const MIN_RETRIES_PER_SECOND: u32 = 1;
 
-/// Token bucket that bounds retries to a tenth of the first attempts, plus a small floor.
+/// Token bucket that limits retries to a tenth of the first attempts, plus a small constant rate.
 ///
-/// Without it, every request of an outage is sent several times, and the upstream that
-/// comes back meets a multiple of its load and fails again.
+/// Without this limit, every request that fails in an outage is sent several times, and the
+/// recovering upstream gets a multiple of its normal load and fails again.
 ///
 /// ```
 /// use std::time::Duration;
@@ -37,13 +39,13 @@
 /// ```
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Budget {
-    /// Tenths of a retry.
+    /// Available retries, in tenths of a retry.
     balance: u32,
     refilled: id::Time,
 }
 
 impl Budget {
-    /// A full budget.
+    /// A full budget, refilled from `now` on.
     ///
     /// ```
     /// use std::time::Duration;
@@ -58,12 +60,12 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Adds the credit for a first attempt: a tenth of a retry.
     pub fn first(&mut self) {
         self.deposit(1);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Takes one retry from the budget; `false` if none is left.
     pub fn spend(&mut self, now: id::Time) -> bool {
         self.refill(now);
         let allowed = self.balance >= FIRSTS_PER_RETRY;
@@ -73,8 +75,8 @@
         allowed
     }
 
-    /// Most retries that may have been allowed `elapsed` after the start, given the
-    /// first attempts; the bound that tests and alarms compare with.
+    /// Maximum number of retries that the budget can have allowed at `elapsed` after its start,
+    /// given `firsts` first attempts. Tests and alarms compare with this bound.
     ///
     /// ```
     /// use std::time::Duration;
@@ -99,7 +101,7 @@
     }
 }
 
-/// Pauses between the attempts of one request: decorrelated jitter.
+/// Delays between the attempts of one request: exponential backoff with decorrelated jitter.
 ///
 /// ```
 /// use mangotray::retry;
@@ -121,12 +123,13 @@
 }
 
 impl Backoff {
-    /// Shortest pause.
+    /// Minimum delay.
     pub const BASE: time::Duration = time::Duration::from_millis(5);
-    /// Longest pause.
+    /// Maximum delay.
     pub const CEILING: time::Duration = time::Duration::from_millis(500);
 
-    /// The next pause, drawn between the shortest and three times the previous one.
+    /// Returns the next delay: random between `BASE` and three times the previous delay, and at
+    /// most `CEILING`.
     pub fn next(&mut self, random: &mut fastrand::Rng) -> time::Duration {
         let span = (self.previous * 3).saturating_sub(Self::BASE);
         let pause = Self::BASE + span.mul_f64(random.f64());
@@ -135,36 +138,38 @@
     }
 }
 
-/// The attempt that just failed.
+/// A failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Attempt {
     /// Class of the batch.
     pub class: class::Class,
-    /// True when the batch belongs to an open transaction; it can run nowhere else.
+    /// Whether the batch belongs to an open transaction, so that it cannot run on another
+    /// connection.
     pub pinned: bool,
-    /// Number of the attempt, the first being 1.
+    /// Number of the attempt, starting at 1.
     pub number: u32,
-    /// When the answer is due.
+    /// Deadline of the request.
     pub deadline: id::Time,
 }
 
-/// What to do about it.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    /// Send it again after a pause.
+    /// Send the request again after a delay.
     Again {
-        /// Length of the pause.
+        /// Length of the delay.
         after: time::Duration,
     },
-    /// Hand the outcome to the caller.
+    /// Return the outcome to the caller.
     GiveUp,
 }
 
-/// Decides about a failed attempt; takes a retry from the budget only for `Again`.
+/// Decides whether a failed attempt is retried. Takes a retry from the budget only for `Again`.
 ///
-/// A request that may have run is repeated only if it is proven to read: a repeated
-/// booking would be a second booking.
+/// A request that may have run is retried only if it is known to be a read: a repeated write
+/// could take effect twice, for example as a second booking. The delay is at least the one that
+/// the outcome suggests.
 ///
 /// ```
 /// use std::time::Duration;
@@ -211,13 +216,13 @@
     Decision::Again { after }
 }
 
-/// Whether sending it again is safe and can change the outcome.
+/// Whether a retry is safe and may have another outcome.
 fn is_retryable(attempt: &Attempt, outcome: &outcome::Outcome) -> bool {
     if attempt.pinned {
         return false;
     }
     match (attempt.class, outcome) {
-        // The transaction that they end died with its connection.
+        // The transaction that they would end was lost with its connection.
         (class::Class::Commit | class::Class::Rollback, _) => false,
         (_, outcome::Outcome::NotRun { reason, .. })
         | (class::Class::Read, outcome::Outcome::Unknown { reason, .. }) => is_transient(*reason),
@@ -225,8 +230,8 @@
     }
 }
 
-/// Whether the reason may go away by itself. An overloaded queue is left to the caller:
-/// asking it again from here would add to its load.
+/// Whether the cause may clear without action. `Overload` is not retried here, since that would
+/// add to the load of the queue; the retry is left to the caller.
 fn is_transient(reason: reason::Reason) -> bool {
     match reason {
         reason::Reason::NoPrimary
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -58,8 +58,8 @@
     )
 }
 
-/// Symptom: a booking stands twice. Events: the write runs, its answer is lost, the
-/// proxy sends it again. Cause: an unknown outcome was taken for "not run".
+/// Guards against a booking that is made twice: the write runs, its answer is lost, and the
+/// proxy sends it again because it treats the unknown outcome as "not run".
 #[test]
 fn only_a_read_is_repeated_after_an_unknown_outcome() {
     for class in CLASSES {
@@ -120,7 +120,7 @@
     served: u64,
 }
 
-/// One attempt at `at`; the reverse order makes the heap give the earliest first.
+/// Time, number and deadline of an attempt. `Reverse` makes the heap return the earliest first.
 type Event = cmp::Reverse<(id::Time, u32, id::Time)>;
 
 fn arrivals(count: u64) -> collections::BinaryHeap<Event> {
@@ -129,9 +129,9 @@
         .collect()
 }
 
-/// Symptom: an upstream that comes back from an outage fails again at once. Events: all
-/// requests of a 10 s outage fail, and are repeated while it lasts and after its end.
-/// Cause: retries multiply the load, as nothing bounds them together.
+/// Guards against an upstream that fails again right after an outage: all requests during an
+/// outage of 10 s fail and are retried until after its end, and without a common limit the
+/// retries multiply the load.
 #[test]
 fn load_through_an_outage_stays_within_the_budget() {
     let outage = ms(5_000)..ms(15_000);
@@ -174,6 +174,9 @@
         counts.firsts, counts.sent, counts.served
     );
     assert_eq!(counts.firsts, 12_500);
-    assert!(counts.sent > counts.firsts + 400, "the outage made retries");
+    assert!(
+        counts.sent > counts.firsts + 400,
+        "too few retries during the outage"
+    );
     assert!(counts.sent * 10 <= counts.firsts * 11 + 10 * 35);
 }
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,48 +1,51 @@
-//! Choice of the instance that serves a request.
+//! Choice of the instance that serves a read, and the reasons that a choice is logged with.
+//!
+//! A read has a floor: the stamp (term and log position) that an instance must have reached to
+//! answer it. Any usable instance at or above the floor may serve the read.
 
 use crate::board;
 use crate::id;
 use crate::stamp;
 
-/// What is known of one instance at the moment of the choice.
+/// State of one instance at the time of the choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Candidate {
     /// Index of the instance.
     pub index: id::Index,
-    /// Last stamp seen of it, in its present incarnation.
+    /// Latest stamp that the current incarnation of the instance has reported.
     pub stamp: Option<stamp::Stamp>,
-    /// Whether it answers and its circuit breaker lets requests pass.
+    /// Whether the instance answers and its circuit breaker admits requests.
     pub usable: bool,
-    /// Whether it is on its way out of service.
+    /// Whether the instance is being taken out of service; it gets no new requests.
     pub leaving: bool,
-    /// Whether it is in the proxy's own failure domain.
+    /// Whether the instance is in the same failure domain as the proxy.
     pub near: bool,
-    /// Requests running or queued before it on this proxy.
+    /// Number of requests that this proxy has running on the instance or queued for it.
     pub load: usize,
 }
 
-/// Why an instance was chosen; a stable, documented set.
+/// Why an instance was chosen. The names appear in logs and are stable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Why {
-    /// The transaction runs there.
+    /// The request belongs to a transaction that is open on this instance.
     Pinned,
-    /// Writes go to the primary.
+    /// The request may write, and writes go to the primary.
     Primary,
-    /// A replica includes the caller's token.
+    /// A replica that has reached the stamp in the caller's token.
     Token,
-    /// A replica includes every write confirmed before the request.
+    /// A replica that has every write confirmed before the request arrived.
     Sampled,
-    /// A replica is within the declared age.
+    /// A replica within the age limit that applies to the read.
     Aged,
-    /// No replica is fresh enough; the primary is.
+    /// No usable replica is fresh enough, so the primary serves the read.
     Fallback,
-    /// The policy sends all such requests to the primary.
+    /// The consistency policy sends this kind of read to the primary.
     Policy,
 }
 
 impl Why {
-    /// Name used in logs and metrics.
+    /// Name used in logs.
     ///
     /// ```
     /// assert_eq!(mangotray::route::Why::Sampled.name(), "sampled");
@@ -61,9 +64,11 @@
     }
 }
 
-/// Chooses the instance for a read that must include `floor`: a replica where one is
-/// fresh enough, since the primary's slots are needed for writes; the least loaded
-/// first, the nearer one among equals.
+/// Chooses the instance for a read that must include `floor`.
+///
+/// Replicas are preferred, since the primary's slots are needed for writes. Among replicas
+/// the least loaded is chosen; ties go to one in the proxy's own failure domain, then to the
+/// lowest index. Returns `None` when no usable instance has reached `floor`.
 ///
 /// ```
 /// use mangotray::{route, stamp};
--- a/src/route/tests.rs
+++ b/src/route/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of an instance.
+//! Tests of the choice of an instance for a read.
 
 use super::Candidate;
 use super::read;
