--- a/src/directory.rs
+++ b/src/directory.rs
@@ -58,7 +58,7 @@
     entries: arc_swap::ArcSwap<Entries>,
     roster: arc_swap::ArcSwap<roster::Roster>,
     draining: atomic::AtomicBool,
-    forwarded: sync::Arc<()>,
+    forwarded_work: sync::Arc<()>,
 }
 
 impl Directory {
@@ -70,7 +70,7 @@
             entries: arc_swap::ArcSwap::default(),
             roster: arc_swap::ArcSwap::default(),
             draining: atomic::AtomicBool::new(false),
-            forwarded: sync::Arc::default(),
+            forwarded_work: sync::Arc::default(),
         }
     }
 
@@ -94,13 +94,13 @@
     /// Counts work of a peer, or its open transaction, while the result lives.
     #[must_use]
     pub fn enter(&self) -> sync::Arc<()> {
-        self.forwarded.clone()
+        self.forwarded_work.clone()
     }
 
     /// Whether work of peers is under way.
     #[must_use]
     pub fn busy(&self) -> bool {
-        sync::Arc::strong_count(&self.forwarded) > 1
+        sync::Arc::strong_count(&self.forwarded_work) > 1
     }
 
     /// The groups in force.
--- a/src/enrol.rs
+++ b/src/enrol.rs
@@ -18,13 +18,13 @@
 pub const PREFIX: &str = "vm/";
 
 /// Time between renewals: two may fail before the lease ends.
-const RENEW_EVERY: time::Duration = time::Duration::from_secs(3);
+const RENEWAL_INTERVAL: time::Duration = time::Duration::from_secs(3);
 
 /// Wait after a failed renewal, so that the end of an outage is noticed soon.
-const RETRY_EVERY: time::Duration = time::Duration::from_secs(1);
+const RETRY_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Leases remembered: seats may still stand under the one before.
-const REMEMBERED: usize = 4;
+const MAX_GRANTS: usize = 4;
 
 /// What a VM tells about itself.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -69,7 +69,7 @@
     grants: sync::Mutex<Vec<grant::Grant>>,
     witness: sync::Mutex<witness::Witness>,
     registered: async_lock::Mutex<bool>,
-    announced: sync::Mutex<Option<store::Lease>>,
+    registered_lease: sync::Mutex<Option<store::Lease>>,
 }
 
 impl Enrolment {
@@ -89,7 +89,7 @@
             grants: sync::Mutex::default(),
             witness: sync::Mutex::new(witness::Witness::new(now)),
             registered: async_lock::Mutex::new(false),
-            announced: sync::Mutex::default(),
+            registered_lease: sync::Mutex::default(),
         }
     }
 
@@ -97,10 +97,10 @@
     pub async fn run(&self) {
         loop {
             let pause = match self.renew().await {
-                Ok(()) => RENEW_EVERY,
+                Ok(()) => RENEWAL_INTERVAL,
                 Err(failure) => {
                     tracing::warn!(?failure, "the VM's lease could not be renewed");
-                    RETRY_EVERY
+                    RETRY_INTERVAL
                 }
             };
             async_io::Timer::after(jittered(pause)).await;
@@ -135,8 +135,8 @@
     /// The lease that the stored record names. Others take a lease for gone that the
     /// record does not name, so seats must not be claimed under a newer one before.
     #[must_use]
-    pub fn announced(&self) -> Option<store::Lease> {
-        lock(&self.announced).clone()
+    pub fn registered_lease(&self) -> Option<store::Lease> {
+        lock(&self.registered_lease).clone()
     }
 
     /// The leases under which seats may stand, newest first.
@@ -146,7 +146,7 @@
     }
 
     /// Takes in a peer's testimony about the store, asked for and answered then.
-    pub fn testimony(
+    pub fn record_report(
         &self,
         vm: &id::Vm,
         asked: id::Time,
@@ -183,22 +183,22 @@
         if let Some(lease) = self.lease()
             && self.store.renew(&lease).await?
         {
-            self.contact();
+            self.record_contact();
             if let Some(grant) = lock(&self.grants).first_mut() {
                 grant.renewed(sent);
             }
-            return self.register_once().await;
+            return self.register_if_needed().await;
         }
         let sent = self.clock.now();
         let lease = self.store.grant(self.limits.ttl).await?;
-        self.contact();
+        self.record_contact();
         let fresh = grant::Grant::new(lease, sent, self.limits.clone());
-        self.remember(fresh);
+        self.push_grant(fresh);
         *self.registered.lock().await = false;
-        self.register_once().await
+        self.register_if_needed().await
     }
 
-    async fn register_once(&self) -> Result<(), store::Failure> {
+    async fn register_if_needed(&self) -> Result<(), store::Failure> {
         let mut registered = self.registered.lock().await;
         if !*registered {
             self.register().await?;
@@ -211,7 +211,7 @@
         let Some(lease) = self.lease() else {
             return Ok(());
         };
-        let record = self.stamped_record(&lease);
+        let record = self.record_with_lease(&lease);
         let key = key(&record.vm);
         let seen = self.store.get(&key).await?;
         let version = seen.map_or(0, |entry| entry.version);
@@ -219,26 +219,26 @@
         let swap = self.store.swap(&key, value.into(), version, Some(&lease));
         match swap.await? {
             store::Swap::Stored => {
-                *lock(&self.announced) = Some(lease);
+                *lock(&self.registered_lease) = Some(lease);
                 Ok(())
             }
             store::Swap::Conflict => Err(store::Failure::NotRun("the record changed".into())),
         }
     }
 
-    fn stamped_record(&self, lease: &store::Lease) -> Record {
+    fn record_with_lease(&self, lease: &store::Lease) -> Record {
         let mut record = self.lock_record();
         record.lease = Some(lease.clone());
         record.clone()
     }
 
-    fn remember(&self, fresh: grant::Grant) {
+    fn push_grant(&self, fresh: grant::Grant) {
         let mut grants = lock(&self.grants);
         grants.insert(0, fresh);
-        grants.truncate(REMEMBERED);
+        grants.truncate(MAX_GRANTS);
     }
 
-    fn contact(&self) {
+    fn record_contact(&self) {
         lock(&self.witness).contact(self.clock.now());
     }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -19,13 +19,13 @@
 use crate::tracker;
 
 /// Time between two reads of the roster by a proxy whose turn it is.
-const POLL: time::Duration = time::Duration::from_secs(1);
+const POLL_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// The same while no roster is known.
-const POLL_FIRST: time::Duration = time::Duration::from_millis(200);
+const INITIAL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Longest wait after a failed read.
-const POLL_LONGEST: time::Duration = time::Duration::from_secs(4);
+const MAX_POLL_INTERVAL: time::Duration = time::Duration::from_secs(4);
 
 /// Keeps the serving sets as the catalog and the roster say.
 pub struct Fleet {
@@ -34,13 +34,13 @@
     inventory: sync::Arc<dyn store::Inventory>,
     tracker: sync::Mutex<tracker::Tracker>,
     failures: atomic::AtomicU32,
-    known: async_lock::Mutex<Known>,
+    applied: async_lock::Mutex<Applied>,
     retired: sync::Mutex<Vec<sync::Arc<entry::Entry>>>,
 }
 
 /// What the entries were last brought in line with.
 #[derive(Default)]
-struct Known {
+struct Applied {
     catalog: catalog::Catalog,
     candidates: Vec<placement::Candidate>,
 }
@@ -62,7 +62,7 @@
             inventory,
             tracker: sync::Mutex::new(tracker),
             failures: atomic::AtomicU32::new(0),
-            known: async_lock::Mutex::default(),
+            applied: async_lock::Mutex::default(),
             retired: sync::Mutex::default(),
         }
     }
@@ -75,17 +75,17 @@
 
     /// Puts a catalog in force.
     pub async fn install(&self, catalog: catalog::Catalog) {
-        let mut known = self.known.lock().await;
+        let mut applied = self.applied.lock().await;
         self.lock().declared(&catalog);
-        known.catalog = catalog;
-        self.settle(&mut known, true);
+        applied.catalog = catalog;
+        self.apply_changes(&mut applied, true);
     }
 
     /// Reads the roster if it is this proxy's turn, and follows the passing of time.
     /// True if the roster is a new one. What was known stays while the store is down.
     pub async fn poll(&self) -> bool {
-        let fresh = self.due() && self.read().await;
-        self.follow().await;
+        let fresh = self.start_read_if_due() && self.read_roster().await;
+        self.refresh().await;
         fresh
     }
 
@@ -94,11 +94,11 @@
     pub fn pause(&self) -> time::Duration {
         let failures = self.failures.load(atomic::Ordering::Relaxed);
         let first = match self.lock().mark(id::Time::ZERO) {
-            Some(_) => POLL,
-            None => POLL_FIRST,
+            Some(_) => POLL_INTERVAL,
+            None => INITIAL_POLL_INTERVAL,
         };
         let doubled = first.saturating_mul(2_u32.saturating_pow(failures));
-        enrol::jittered(doubled.min(POLL_LONGEST))
+        enrol::jittered(doubled.min(MAX_POLL_INTERVAL))
     }
 
     /// Proxies that may be alive, this one among them.
@@ -135,7 +135,7 @@
     pub async fn heard(&self, sign: &evidence::Sign) {
         self.lock().heard(sign, self.now());
         if sign.draining {
-            self.follow().await;
+            self.refresh().await;
         }
     }
 
@@ -148,7 +148,7 @@
     pub async fn update(&self, update: roster::Update, asked: id::Time) -> bool {
         let fresh = self.lock().update(update, asked);
         if fresh {
-            self.follow().await;
+            self.refresh().await;
         }
         fresh
     }
@@ -157,12 +157,12 @@
     pub async fn pushed(&self, update: roster::Update) -> bool {
         let fresh = self.lock().pushed(update, self.now());
         if fresh {
-            self.follow().await;
+            self.refresh().await;
         }
         fresh
     }
 
-    fn due(&self) -> bool {
+    fn start_read_if_due(&self) -> bool {
         let now = self.now();
         let mut tracker = self.lock();
         let due = tracker.due(now);
@@ -172,7 +172,7 @@
         due
     }
 
-    async fn read(&self) -> bool {
+    async fn read_roster(&self) -> bool {
         let started = self.now();
         let Ok(entries) = self.directory.shared().store.list(enrol::PREFIX).await else {
             self.failures.fetch_add(1, atomic::Ordering::Relaxed);
@@ -190,14 +190,14 @@
     }
 
     /// Brings the entries in line with what is now known of the proxies.
-    async fn follow(&self) {
-        let mut known = self.known.lock().await;
-        self.settle(&mut known, false);
+    async fn refresh(&self) {
+        let mut applied = self.applied.lock().await;
+        self.apply_changes(&mut applied, false);
     }
 
-    fn settle(&self, known: &mut Known, always: bool) {
-        let (roster, candidates) = self.judge();
-        let changed = roster != *self.directory.roster() || candidates != known.candidates;
+    fn apply_changes(&self, applied: &mut Applied, always: bool) {
+        let (roster, candidates) = self.current_view();
+        let changed = roster != *self.directory.roster() || candidates != applied.candidates;
         if !changed && !always {
             return;
         }
@@ -206,12 +206,12 @@
             tracing::info!(target: "mangotray::placement", proxies = roster.records.len(),
                 leaving = leaving.count(), "roster changed");
         }
-        known.candidates = candidates;
+        applied.candidates = candidates;
         self.directory.set_roster(roster);
-        self.reconcile(known);
+        self.reconcile(applied);
     }
 
-    fn judge(&self) -> (roster::Roster, Vec<placement::Candidate>) {
+    fn current_view(&self) -> (roster::Roster, Vec<placement::Candidate>) {
         let now = self.now();
         let mut tracker = self.lock();
         if self.enrolment.sign().draining {
@@ -231,13 +231,13 @@
     }
 
     /// Brings the entries in line with the catalog and the roster.
-    fn reconcile(&self, known: &Known) {
+    fn reconcile(&self, applied: &Applied) {
         let old = self.directory.entries();
         let roster = self.directory.roster();
         let mut new = directory::Entries::new();
-        for declared in &known.catalog.groups {
+        for declared in &applied.catalog.groups {
             let entry = self.keep_or_start(&old, declared);
-            self.assign(&entry, &known.candidates, &roster);
+            self.assign(&entry, &applied.candidates, &roster);
             new.insert(declared.database.clone(), entry);
         }
         for (database, entry) in old.iter() {
@@ -256,8 +256,8 @@
         old: &directory::Entries,
         declared: &database::Group,
     ) -> sync::Arc<entry::Entry> {
-        let known = old.get(&declared.database);
-        if let Some(entry) = known.filter(|entry| same_seats(entry, declared)) {
+        let current = old.get(&declared.database);
+        if let Some(entry) = current.filter(|entry| same_seat_count(entry, declared)) {
             if **entry.declared.load() != *declared {
                 entry.redeclare(declared);
             }
@@ -320,7 +320,7 @@
 }
 
 /// Whether the group's seats are cut as before; if not, they are given back first.
-fn same_seats(entry: &entry::Entry, declared: &database::Group) -> bool {
+fn same_seat_count(entry: &entry::Entry, declared: &database::Group) -> bool {
     let old = entry.declared.load();
     let count = |group: &database::Group| placement::count(group.connections, group.slots);
     old.name == declared.name && count(&old) == count(declared)
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -20,7 +20,7 @@
 use crate::store;
 
 /// Silent peers that are asked again in each round, besides the round's own.
-const SUSPECTS: usize = 3;
+const MAX_SUSPECTS_PER_ROUND: usize = 3;
 
 /// This proxy's part in the exchange with the others.
 pub struct Gossip {
@@ -62,7 +62,7 @@
     /// Exchanges with peers for ever.
     pub async fn run(self: sync::Arc<Self>) {
         loop {
-            self.turn();
+            self.run_round();
             async_io::Timer::after(enrol::jittered(spread::INTERVAL)).await;
         }
     }
@@ -97,7 +97,7 @@
         });
         let live = self.fleet.live();
         let actions = self.lock().heard(file.as_ref(), self.now(), &live);
-        self.act(actions);
+        self.spawn_actions(actions);
         self.install().await;
     }
 
@@ -123,7 +123,7 @@
             let file = news.answer.file.as_ref();
             file.map_or_else(Vec::new, |file| node.learn(file, &live))
         };
-        self.act(actions);
+        self.spawn_actions(actions);
         self.install().await;
         if let Some(update) = news.roster
             && self.fleet.pushed(update).await
@@ -132,26 +132,30 @@
         }
     }
 
-    fn turn(self: &sync::Arc<Self>) {
+    fn run_round(self: &sync::Arc<Self>) {
         let live = self.fleet.live();
         let actions = self.lock().tick(self.now(), &live);
-        self.act(actions);
-        let suspects = self.fleet.suspects().into_iter().take(SUSPECTS);
-        self.act(suspects.map(spread::Action::Exchange).collect());
-        let lonely = live.len() == 1 || self.lock().state().file().is_none();
-        if lonely && let Some(seed) = self.seed() {
+        self.spawn_actions(actions);
+        let suspects = self
+            .fleet
+            .suspects()
+            .into_iter()
+            .take(MAX_SUSPECTS_PER_ROUND);
+        self.spawn_actions(suspects.map(spread::Action::Exchange).collect());
+        let needs_seed = live.len() == 1 || self.lock().state().file().is_none();
+        if needs_seed && let Some(seed) = self.next_seed() {
             let gossip = self.clone();
             self.spawn(async move { gossip.exchange(seed, None).await });
         }
     }
 
-    fn seed(&self) -> Option<net::SocketAddr> {
+    fn next_seed(&self) -> Option<net::SocketAddr> {
         let round = self.round.fetch_add(1, atomic::Ordering::Relaxed);
-        let place = round.checked_rem(self.seeds.len())?;
-        self.seeds.get(place).copied()
+        let index = round.checked_rem(self.seeds.len())?;
+        self.seeds.get(index).copied()
     }
 
-    fn act(self: &sync::Arc<Self>, actions: Vec<spread::Action>) {
+    fn spawn_actions(self: &sync::Arc<Self>, actions: Vec<spread::Action>) {
         for action in actions {
             let gossip = self.clone();
             self.spawn(async move { gossip.perform(action).await });
@@ -207,11 +211,11 @@
             return;
         };
         let endpoint = self.directory.shared().peers.endpoint(member.address);
-        let told = match endpoint.connection().await {
+        let delivered = match endpoint.connection().await {
             Some(connection) => connection.announce(news).await.is_ok(),
             None => false,
         };
-        if !told {
+        if !delivered {
             self.fleet.missed(vm);
         }
     }
@@ -229,13 +233,13 @@
             None => None,
         };
         match (news, vm) {
-            (Some(news), _) => self.told(news, asked).await,
+            (Some(news), _) => self.handle_answer(news, asked).await,
             (None, Some(vm)) => self.fleet.missed(vm),
             (None, None) => tracing::warn!(%address, "seed does not answer"),
         }
     }
 
-    async fn told(self: &sync::Arc<Self>, news: peer::News, asked: id::Time) {
+    async fn handle_answer(self: &sync::Arc<Self>, news: peer::News, asked: id::Time) {
         self.fleet.heard(&news.sign).await;
         // First, so that what follows has members to go to.
         if let Some(update) = news.roster
@@ -247,7 +251,7 @@
         let actions = self
             .lock()
             .answered(&news.sign.vm, &news.answer, self.now(), &live);
-        self.act(actions);
+        self.spawn_actions(actions);
         self.install().await;
     }
 
--- a/src/keeper.rs
+++ b/src/keeper.rs
@@ -15,20 +15,20 @@
 use crate::witness;
 
 /// Time between two looks at the clock and the leases.
-const TICK: time::Duration = time::Duration::from_millis(200);
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
 /// Time between two reads of the record while it is not as it should be.
-const READ_UNSETTLED: time::Duration = time::Duration::from_secs(1);
+const UNSETTLED_READ_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Time between two reads of a settled record. All keepers together then make
 /// `3 * groups / 30 s` calls, well below the service's budget.
-const READ_SETTLED: time::Duration = time::Duration::from_secs(30);
+const SETTLED_READ_INTERVAL: time::Duration = time::Duration::from_secs(30);
 
 /// Time between two rounds of questions to the witnesses.
-const ASK_EVERY: time::Duration = time::Duration::from_secs(1);
+const WITNESS_QUERY_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Time left on the seats below which the witnesses are asked.
-const UNCERTAIN: time::Duration = time::Duration::from_secs(5);
+const WITNESS_QUERY_THRESHOLD: time::Duration = time::Duration::from_secs(5);
 
 /// Keeps the seats of one group.
 pub struct Keeper {
@@ -40,7 +40,7 @@
     book: share::Book,
     seats: usize,
     next_read: id::Time,
-    next_question: id::Time,
+    next_witness_query: id::Time,
     next_step: id::Time,
     draining: Option<seat::Index>,
 }
@@ -63,7 +63,7 @@
             clock: shared.clock.clone(),
             seats,
             next_read: id::Time::ZERO,
-            next_question: id::Time::ZERO,
+            next_witness_query: id::Time::ZERO,
             next_step: id::Time::ZERO,
             draining: None,
             directory,
@@ -78,11 +78,11 @@
     /// a seat back that the other still uses. So it waits for those before it.
     pub async fn run(mut self, before: Vec<sync::Arc<entry::Entry>>) {
         while !before.iter().all(|entry| entry.finished()) {
-            async_io::Timer::after(TICK).await;
+            async_io::Timer::after(TICK_INTERVAL).await;
         }
         while !self.finished() {
-            self.turn().await;
-            async_io::Timer::after(TICK).await;
+            self.run_once().await;
+            async_io::Timer::after(TICK_INTERVAL).await;
         }
         self.entry.set_runtime(None);
         self.entry.finish();
@@ -92,7 +92,7 @@
         self.entry.retired() && self.book.is_empty()
     }
 
-    async fn turn(&mut self) {
+    async fn run_once(&mut self) {
         let wanted = self.entry.wanted(&self.directory.shared().vm, self.seats);
         let idle = wanted == 0 && self.book.is_empty();
         if idle {
@@ -100,7 +100,7 @@
             return;
         }
         self.finish_drain();
-        self.ask_if_due().await;
+        self.query_witnesses_if_due().await;
         // A serving set that has just formed takes its seats one after the other.
         for _ in 0..=self.seats {
             self.read_if_due(wanted).await;
@@ -118,9 +118,9 @@
         }
         let settled = self.book.held().count() == wanted && self.draining.is_none();
         let pause = if settled {
-            READ_SETTLED
+            SETTLED_READ_INTERVAL
         } else {
-            READ_UNSETTLED
+            UNSETTLED_READ_INTERVAL
         };
         self.next_read = now + enrol::jittered(pause);
         let key = seat::key(&self.entry.name);
@@ -137,7 +137,7 @@
 
     /// Takes the next step; true when the record has changed and another may follow.
     async fn advance(&mut self, wanted: usize) -> bool {
-        let Some(lease) = self.enrolment.announced() else {
+        let Some(lease) = self.enrolment.registered_lease() else {
             return false;
         };
         if self.clock.now() < self.next_step {
@@ -166,7 +166,7 @@
             ?answer, seats = seats.len(), "proposed seats");
         let stored = matches!(answer, Ok(store::Swap::Stored));
         if !stored {
-            self.rest();
+            self.delay_next_step();
         }
         // Read back whatever the answer: it may have been lost.
         self.next_read = id::Time::ZERO;
@@ -174,12 +174,12 @@
     }
 
     /// Spares the store: the next step waits a while.
-    fn rest(&mut self) {
-        self.next_step = self.clock.now() + enrol::jittered(READ_UNSETTLED);
+    fn delay_next_step(&mut self) {
+        self.next_step = self.clock.now() + enrol::jittered(UNSETTLED_READ_INTERVAL);
     }
 
     async fn check(&mut self, owner: &seat::Seat) {
-        self.rest();
+        self.delay_next_step();
         let Ok(found) = self.store.get(&enrol::key(&owner.vm)).await else {
             return;
         };
@@ -194,7 +194,7 @@
             tracing::warn!(target: "mangotray::placement", vm = %owner.vm, seat = owner.seat,
                 group = %self.entry.name, "the lease of a seat's owner is gone");
             self.book.gone(&owner.lease, self.clock.now());
-            self.next_question = id::Time::ZERO;
+            self.next_witness_query = id::Time::ZERO;
         }
     }
 
@@ -217,18 +217,18 @@
     }
 
     /// Asks the witnesses while a lease may end or another's is gone.
-    async fn ask_if_due(&mut self) {
+    async fn query_witnesses_if_due(&mut self) {
         let now = self.clock.now();
-        if now < self.next_question || !self.uncertain(now) {
+        if now < self.next_witness_query || !self.needs_witnesses(now) {
             return;
         }
-        self.next_question = now + ASK_EVERY;
+        self.next_witness_query = now + WITNESS_QUERY_INTERVAL;
         for vm in self.book.witnesses() {
-            self.ask(&vm).await;
+            self.query_witness(&vm).await;
         }
     }
 
-    async fn ask(&mut self, vm: &id::Vm) {
+    async fn query_witness(&mut self, vm: &id::Vm) {
         let asked = self.clock.now();
         let report = if *vm == self.directory.shared().vm {
             Some(self.enrolment.report())
@@ -236,26 +236,26 @@
             self.directory.ask(vm).await
         };
         if let Some(report) = report {
-            self.note(vm, asked, report);
+            self.record_report(vm, asked, report);
         }
     }
 
-    fn note(&mut self, vm: &id::Vm, asked: id::Time, report: witness::Report) {
+    fn record_report(&mut self, vm: &id::Vm, asked: id::Time, report: witness::Report) {
         let answered = self.clock.now();
-        self.enrolment.testimony(vm, asked, answered, report);
+        self.enrolment.record_report(vm, asked, answered, report);
         self.book.report(vm, asked, report);
     }
 
-    fn uncertain(&self, now: id::Time) -> bool {
+    fn needs_witnesses(&self, now: id::Time) -> bool {
         let grants = self.enrolment.grants();
         let ends_soon = |seat| {
             let until = self.book.until(seat, now, &grants);
-            until.is_none_or(|until| until < now + UNCERTAIN)
+            until.is_none_or(|until| until < now + WITNESS_QUERY_THRESHOLD)
         };
-        self.book.held().any(ends_soon) || !self.entry_settled()
+        self.book.held().any(ends_soon) || !self.holds_wanted_seats()
     }
 
-    fn entry_settled(&self) -> bool {
+    fn holds_wanted_seats(&self) -> bool {
         let wanted = self.entry.wanted(&self.directory.shared().vm, self.seats);
         self.book.held().count() >= wanted
     }
--- a/src/member.rs
+++ b/src/member.rs
@@ -188,7 +188,7 @@
         self.records
             .iter()
             .map(|(vm, record)| {
-                let (state, cause) = self.judge(vm, record, now);
+                let (state, cause) = self.assess(vm, record, now);
                 Member {
                     vm: vm.clone(),
                     domain: record.domain().clone(),
@@ -238,7 +238,7 @@
         self.records.entry(vm.clone()).or_default()
     }
 
-    fn judge(&self, vm: &id::Vm, record: &evidence::Evidence, now: id::Time) -> (State, Cause) {
+    fn assess(&self, vm: &id::Vm, record: &evidence::Evidence, now: id::Time) -> (State, Cause) {
         let leaving = self.leaving(vm, record);
         if *vm == self.vm {
             return leaving.unwrap_or((State::Live, Cause::Own));
@@ -246,7 +246,7 @@
         self.dead(record, now)
             .or(leaving)
             .or_else(|| self.suspect(record, now))
-            .unwrap_or((State::Live, proof(record, now)))
+            .unwrap_or((State::Live, live_cause(record, now)))
     }
 
     fn leaving(&self, vm: &id::Vm, record: &evidence::Evidence) -> Option<(State, Cause)> {
@@ -298,7 +298,7 @@
     }
 }
 
-fn proof(record: &evidence::Evidence, now: id::Time) -> Cause {
+fn live_cause(record: &evidence::Evidence, now: id::Time) -> Cause {
     if record.heard() {
         Cause::Heartbeat
     } else if record.leased(now) {
--- a/src/member/tests.rs
+++ b/src/member/tests.rs
@@ -41,7 +41,7 @@
     view
 }
 
-fn judged(view: &member::View, vm: &str, now: u64) -> (member::State, member::Cause) {
+fn assessed(view: &member::View, vm: &str, now: u64) -> (member::State, member::Cause) {
     let members = view.members(at(now));
     let member = members.iter().find(|member| member.vm == vm).unwrap();
     (member.state, member.cause)
@@ -63,10 +63,10 @@
     let mut view = view();
     view.listed(&[listing("a", false)], at(10));
     view.heard(&sign("b"), at(39));
-    assert_eq!(judged(&view, "c", 39).0, member::State::Live);
+    assert_eq!(assessed(&view, "c", 39).0, member::State::Live);
     let dead = (member::State::Dead, member::Cause::Delisted);
-    assert_eq!(judged(&view, "c", 40), dead);
-    assert_eq!(judged(&view, "b", 40).0, member::State::Live);
+    assert_eq!(assessed(&view, "c", 40), dead);
+    assert_eq!(assessed(&view, "b", 40).0, member::State::Live);
     assert_eq!(view.destroyed(at(40)), ["c"]);
     view.listed(&[listing("a", false)], at(700));
     assert!(view.members(at(700)).iter().all(|member| member.vm != "c"));
@@ -78,7 +78,7 @@
     view.heard(&sign("new"), at(5));
     view.listed(&[listing("a", false)], at(6));
     let live = (member::State::Live, member::Cause::Heartbeat);
-    assert_eq!(judged(&view, "new", 60), live);
+    assert_eq!(assessed(&view, "new", 60), live);
 }
 
 #[test]
@@ -86,11 +86,11 @@
     let mut view = view();
     let leaving = (member::State::Leaving, member::Cause::Announced);
     view.listed(&[listing("a", true)], at(10));
-    assert_eq!(judged(&view, "a", 10), leaving);
+    assert_eq!(assessed(&view, "a", 10), leaving);
     view.listed(&[listing("a", false)], at(12));
-    assert_eq!(judged(&view, "a", 12), leaving);
+    assert_eq!(assessed(&view, "a", 12), leaving);
     view.listed(&[listing("a", false)], at(40));
-    assert_eq!(judged(&view, "a", 40).0, member::State::Live);
+    assert_eq!(assessed(&view, "a", 40).0, member::State::Live);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     };
     view.declared(&catalog);
     let withdrawn = (member::State::Leaving, member::Cause::Withdrawn);
-    assert_eq!(judged(&view, "b", 1), withdrawn);
+    assert_eq!(assessed(&view, "b", 1), withdrawn);
     catalog.vms.clear();
     view.declared(&catalog);
     let mut last = sign("b");
@@ -110,13 +110,13 @@
     view.heard(&last, at(2));
     view.heard(&sign("b"), at(2));
     let draining = (member::State::Leaving, member::Cause::Draining);
-    assert_eq!(judged(&view, "b", 2), draining);
+    assert_eq!(assessed(&view, "b", 2), draining);
     last.incarnation = 2;
     last.draining = false;
     view.heard(&last, at(3));
-    assert_eq!(judged(&view, "b", 3).0, member::State::Live);
+    assert_eq!(assessed(&view, "b", 3).0, member::State::Live);
     view.drain();
-    assert_eq!(judged(&view, "own", 3).0, member::State::Leaving);
+    assert_eq!(assessed(&view, "own", 3).0, member::State::Leaving);
 }
 
 /// Symptom: a healthy VM loses its groups. Events: the link to it breaks while it renews
@@ -127,10 +127,10 @@
     view.missed(&"a".into(), at(1));
     view.leases(&["a", "b", "c"].map(sign), at(6));
     let unreachable = (member::State::Suspect, member::Cause::Unreachable);
-    assert_eq!(judged(&view, "a", 6), unreachable);
+    assert_eq!(assessed(&view, "a", 6), unreachable);
     view.leases(&["b", "c"].map(sign), at(7));
     let dead = (member::State::Dead, member::Cause::SilentAndGone);
-    assert_eq!(judged(&view, "a", 7), dead);
+    assert_eq!(assessed(&view, "a", 7), dead);
 }
 
 /// Symptom: at the end of an outage of the store nobody is thought to live. Events: all
@@ -141,7 +141,7 @@
     view.leases(&[], at(10));
     for vm in ["a", "b", "c"] {
         view.heard(&sign(vm), at(10));
-        assert_eq!(judged(&view, vm, 10).0, member::State::Live);
+        assert_eq!(assessed(&view, vm, 10).0, member::State::Live);
     }
 }
 
@@ -152,12 +152,12 @@
     let mut view = view();
     view.missed(&"a".into(), at(1));
     let dead = (member::State::Dead, member::Cause::Silence);
-    assert_eq!(judged(&view, "a", 20), dead);
+    assert_eq!(assessed(&view, "a", 20), dead);
     view.missed(&"b".into(), at(1));
     view.missed(&"c".into(), at(1));
     for vm in ["a", "b", "c"] {
         let isolated = (member::State::Suspect, member::Cause::Isolated);
-        assert_eq!(judged(&view, vm, 20), isolated);
+        assert_eq!(assessed(&view, vm, 20), isolated);
     }
 }
 
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -27,7 +27,7 @@
 pub type Sequence = u64;
 
 /// Longest time a forwarded batch may have left; longer ones are cut to it.
-pub const LONGEST: time::Duration = time::Duration::from_hours(24);
+pub const MAX_TIME_LEFT: time::Duration = time::Duration::from_hours(24);
 
 pub use service::{Peer, PeerClient, PeerRequest, PeerResponse};
 
@@ -129,7 +129,7 @@
             session: 0,
             open: None,
             sequence: 0,
-            remaining: batch.deadline.saturating_sub(now).min(LONGEST),
+            remaining: batch.deadline.saturating_sub(now).min(MAX_TIME_LEFT),
             request: batch.request,
             caller: batch.caller,
             frames: batch.frames.clone(),
@@ -155,7 +155,7 @@
             token: self.token,
             own: self.own,
             arrived: now,
-            deadline: now + self.remaining.min(LONGEST),
+            deadline: now + self.remaining.min(MAX_TIME_LEFT),
         }
     }
 }
@@ -188,10 +188,10 @@
     /// ```
     #[must_use]
     pub fn abandon(&self) -> bool {
-        self.turn(ABANDONED)
+        self.transition(ABANDONED)
     }
 
-    fn turn(&self, to: u8) -> bool {
+    fn transition(&self, to: u8) -> bool {
         let order = atomic::Ordering::AcqRel;
         let result = self
             .0
@@ -202,7 +202,7 @@
 
 impl serde::Serialize for Mark {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        if !self.turn(WRITTEN) {
+        if !self.transition(WRITTEN) {
             return Err(serde::ser::Error::custom("the sender has given up"));
         }
         serializer.serialize_unit()
