--- a/src/directory.rs
+++ b/src/directory.rs
@@ -1,4 +1,4 @@
-//! The groups that this proxy knows, by database name, and the way to each.
+//! Directory of the known groups, by database name, and access to each of them.
 
 use std::collections;
 use std::sync;
@@ -30,29 +30,29 @@
 /// Known groups by database name.
 pub type Entries = collections::BTreeMap<CompactString, sync::Arc<entry::Entry>>;
 
-/// What the groups of one process have in common.
+/// Resources shared by all groups of a process.
 pub struct Shared {
     /// Name of this VM.
     pub vm: id::Vm,
-    /// Number of this process.
+    /// Incarnation number of this process.
     pub incarnation: id::Incarnation,
     /// Failure domain of this VM.
     pub domain: id::Domain,
     /// The platform's store.
     pub store: sync::Arc<dyn store::Store>,
-    /// Time.
+    /// Source of the current time.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// Baseline or the product's own rules.
+    /// Consistency policy: one of the baselines or the default.
     pub policy: policy::Policy,
-    /// Timeouts of the paths to the instances.
+    /// Options, such as timeouts, of the connections to the instances.
     pub control: control::Options,
-    /// Connections to the other proxies.
+    /// Connection pool to the other proxies.
     pub peers: sync::Arc<forward::Pool>,
-    /// Where tasks run.
+    /// Executor of background tasks.
     pub executor: sync::Arc<async_executor::Executor<'static>>,
 }
 
-/// The groups in force, replaced as a whole when the configuration changes.
+/// The current groups, replaced as a whole when the configuration changes.
 pub struct Directory {
     shared: Shared,
     entries: arc_swap::ArcSwap<Entries>,
@@ -62,7 +62,7 @@
 }
 
 impl Directory {
-    /// A directory without groups.
+    /// Creates a directory without groups.
     #[must_use]
     pub fn new(shared: Shared) -> Self {
         Self {
@@ -74,64 +74,64 @@
         }
     }
 
-    /// What the groups have in common.
+    /// The resources shared by all groups.
     #[must_use]
     pub fn shared(&self) -> &Shared {
         &self.shared
     }
 
-    /// Takes no new work from peers from now on.
+    /// Stops accepting new work from peers.
     pub fn drain(&self) {
         self.draining.store(true, atomic::Ordering::Release);
     }
 
-    /// Whether no new work of peers is taken.
+    /// Whether new work from peers is rejected.
     #[must_use]
     pub fn draining(&self) -> bool {
         self.draining.load(atomic::Ordering::Acquire)
     }
 
-    /// Counts work of a peer, or its open transaction, while the result lives.
+    /// Returns a guard that counts a peer's work, or its open transaction, until it is dropped.
     #[must_use]
     pub fn enter(&self) -> sync::Arc<()> {
         self.forwarded_work.clone()
     }
 
-    /// Whether work of peers is under way.
+    /// Whether work of peers is in progress.
     #[must_use]
     pub fn busy(&self) -> bool {
         sync::Arc::strong_count(&self.forwarded_work) > 1
     }
 
-    /// The groups in force.
+    /// The current groups.
     #[must_use]
     pub fn entries(&self) -> sync::Arc<Entries> {
         self.entries.load_full()
     }
 
-    /// Replaces the groups in force.
+    /// Replaces all groups.
     pub fn set_entries(&self, entries: Entries) {
         self.entries.store(sync::Arc::new(entries));
     }
 
-    /// The proxies as last known.
+    /// The last known roster of proxies.
     #[must_use]
     pub fn roster(&self) -> sync::Arc<roster::Roster> {
         self.roster.load_full()
     }
 
-    /// Replaces what is known of the proxies.
+    /// Replaces the roster.
     pub fn set_roster(&self, roster: roster::Roster) {
         self.roster.store(sync::Arc::new(roster));
     }
 
-    /// One group by its database name.
+    /// Looks up a group by its database name.
     #[must_use]
     pub fn entry(&self, database: &str) -> Option<sync::Arc<entry::Entry>> {
         self.entries.load().get(database).cloned()
     }
 
-    /// VMs that testify about the store for this VM's seats of a group.
+    /// Witnesses for this VM's seats of a group: VMs that report their contact with the store.
     #[must_use]
     pub fn witnesses(&self, group: &str) -> Vec<id::Vm> {
         let mut vms = self.roster.load().first(group, witness::COUNT);
@@ -139,7 +139,7 @@
         vms
     }
 
-    /// Asks a peer for its testimony about the store.
+    /// Queries a peer for its report on its contact with the store; `None` if it does not answer.
     pub async fn ask(&self, vm: &id::Vm) -> Option<witness::Report> {
         let member = self.roster.load().member(vm)?;
         let connection = self
@@ -152,7 +152,7 @@
         Some(news.witness)
     }
 
-    /// What this proxy tells its peers when it asks for their testimony alone.
+    /// Digest with which this proxy requests only a peer's witness report.
     #[must_use]
     pub fn digest(&self) -> peer::Digest {
         peer::Digest {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Uses a share of a group's instances until the given time, or gives it up.
+    /// Serves a group within `limit` until the time `until`, or stops serving it on `None`.
     pub fn serve(
         &self,
         entry: &entry::Entry,
@@ -184,14 +184,14 @@
             }
             (Some(group), None) => {
                 tracing::info!(target: "mangotray::placement", group = %entry.name,
-                    "serving the group no longer");
+                    "stopped serving the group");
                 group.revoke();
                 entry.set_runtime(None);
             }
             (None, Some(until)) if limit.connections > 0 => {
                 tracing::info!(target: "mangotray::placement", group = %entry.name,
                     connections = limit.connections, slots = limit.slots, rank,
-                    "serving the group");
+                    "started serving the group");
                 let group = self.start(&entry.declared.load(), limit, rank);
                 group.set_share(limit, until);
                 entry.set_runtime(Some(group));
@@ -241,7 +241,7 @@
         sync::Arc::new(control)
     }
 
-    /// State of every group that is served here, for operators.
+    /// State of every group that this proxy serves, for operators.
     #[must_use]
     pub fn status(&self) -> Vec<admin::Group> {
         let entries = self.entries.load();
@@ -260,7 +260,7 @@
     }
 }
 
-/// Ways to all groups, for callers.
+/// Access to all groups, for callers.
 pub struct Everywhere(pub sync::Arc<Directory>);
 
 impl lane::Switch for Everywhere {
@@ -278,8 +278,8 @@
     }
 }
 
-/// Ways to the groups that are served here, for work that peers forward: it must not
-/// be forwarded on, or two proxies with different views could pass it round for ever.
+/// Access to the groups that this proxy serves itself, for work that peers forward. Such work
+/// is not forwarded again, or proxies with different views could forward it in a loop.
 pub struct Here(pub sync::Arc<Directory>);
 
 impl lane::Switch for Here {
--- a/src/enrol.rs
+++ b/src/enrol.rs
@@ -1,4 +1,4 @@
-//! Registration of this VM in the platform's store, under its one lease.
+//! Registers this VM in the platform's store, in a record bound to the VM's lease.
 
 use std::net;
 use std::sync;
@@ -20,35 +20,35 @@
 /// Time between renewals: two may fail before the lease ends.
 const RENEWAL_INTERVAL: time::Duration = time::Duration::from_secs(3);
 
-/// Wait after a failed renewal, so that the end of an outage is noticed soon.
+/// Delay after a failed renewal; short, so that the end of an outage is noticed soon.
 const RETRY_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Leases remembered: seats may still stand under the one before.
+/// Maximum number of leases kept: seats may still be held under an earlier one.
 const MAX_GRANTS: usize = 4;
 
-/// What a VM tells about itself.
+/// Registration record of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Record {
     /// Name of the VM.
     pub vm: id::Vm,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Number of the process.
+    /// Incarnation number of the process.
     pub incarnation: id::Incarnation,
-    /// Where it accepts callers.
+    /// Address at which it accepts callers.
     pub callers: net::SocketAddr,
-    /// Where it accepts other proxies.
+    /// Address at which it accepts other proxies.
     pub peers: net::SocketAddr,
-    /// Where it answers operators.
+    /// Address of its admin interface.
     pub admin: net::SocketAddr,
-    /// True once it is shutting down: it takes no new work.
+    /// Whether it is shutting down and accepts no new work.
     pub draining: bool,
-    /// Lease that the record is bound to.
+    /// Lease to which the record is bound.
     pub lease: Option<store::Lease>,
 }
 
 impl Record {
-    /// What the record shows about the VM's process.
+    /// Heartbeat data of the VM's process.
     #[must_use]
     pub fn sign(&self) -> evidence::Sign {
         evidence::Sign {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Keeps the lease and the record bound to it.
+/// Maintains the VM's lease and the record bound to it.
 pub struct Enrolment {
     store: sync::Arc<dyn store::Store>,
     clock: sync::Arc<dyn clock::Clock>,
@@ -73,7 +73,7 @@
 }
 
 impl Enrolment {
-    /// Registration of `record`; nothing is stored yet.
+    /// Creates the registration of `record` without storing it.
     #[must_use]
     pub fn new(
         store: sync::Arc<dyn store::Store>,
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Keeps the registration for ever, through outages of the store.
+    /// Renews the registration, retrying through outages of the store; never returns.
     pub async fn run(&self) {
         loop {
             let pause = match self.renew().await {
                 Ok(()) => RENEWAL_INTERVAL,
                 Err(failure) => {
-                    tracing::warn!(?failure, "the VM's lease could not be renewed");
+                    tracing::warn!(?failure, "cannot renew the VM's lease");
                     RETRY_INTERVAL
                 }
             };
@@ -107,17 +107,17 @@
         }
     }
 
-    /// Marks the VM as draining, so that peers send nothing new.
+    /// Marks the VM as draining, so that peers send it no new work.
     pub async fn drain(&self) {
         self.lock_record().draining = true;
         if let Err(failure) = self.register().await {
-            tracing::warn!(?failure, "peers could not be told of the drain");
+            tracing::warn!(?failure, "cannot store the draining state");
             // The next renewal tries again.
             *self.registered.lock().await = false;
         }
     }
 
-    /// Removes the registration, so that peers need not wait for the lease to end.
+    /// Revokes the lease, so that peers need not wait for it to expire.
     pub async fn leave(&self) {
         let lease = self.lease();
         if let Some(lease) = lease {
@@ -132,20 +132,21 @@
         grants.first().map(|grant| grant.lease().clone())
     }
 
-    /// The lease that the stored record names. Others take a lease for gone that the
-    /// record does not name, so seats must not be claimed under a newer one before.
+    /// The lease that the stored record names. Other VMs treat a lease that the record does not
+    /// name as ended, so seats must not be claimed under a newer lease before it is stored.
     #[must_use]
     pub fn registered_lease(&self) -> Option<store::Lease> {
         lock(&self.registered_lease).clone()
     }
 
-    /// The leases under which seats may stand, newest first.
+    /// The leases under which seats may be held, newest first.
     #[must_use]
     pub fn grants(&self) -> Vec<grant::Grant> {
         lock(&self.grants).clone()
     }
 
-    /// Takes in a peer's testimony about the store, asked for and answered then.
+    /// Records a peer's report on its contact with the store, requested at `asked` and received
+    /// at `answered`.
     pub fn record_report(
         &self,
         vm: &id::Vm,
@@ -159,26 +160,26 @@
             .for_each(|grant| grant.report(vm, asked, answered, report));
     }
 
-    /// This VM's own testimony.
+    /// This VM's report on its own contact with the store.
     #[must_use]
     pub fn report(&self) -> witness::Report {
         lock(&self.witness).report(self.clock.now())
     }
 
-    /// What this VM shows its peers with each call.
+    /// Heartbeat data that this VM sends to its peers with each call.
     #[must_use]
     pub fn sign(&self) -> evidence::Sign {
         self.lock_record().sign()
     }
 
-    /// Bounds that leases are reckoned with.
+    /// Limits from which the validity of leases is computed.
     #[must_use]
     pub fn limits(&self) -> &grant::Limits {
         &self.limits
     }
 
     async fn renew(&self) -> Result<(), store::Failure> {
-        // Counted from before the call: the service may have taken it at any time since.
+        // The validity counts from before the call: the store may execute it at any time after.
         let sent = self.clock.now();
         if let Some(lease) = self.lease()
             && self.store.renew(&lease).await?
@@ -215,7 +216,7 @@
         let key = key(&record.vm);
         let seen = self.store.get(&key).await?;
         let version = seen.map_or(0, |entry| entry.version);
-        let value = serde_json::to_vec(&record).expect("a record is plain data");
+        let value = serde_json::to_vec(&record).expect("record serialises to JSON");
         let swap = self.store.swap(&key, value.into(), version, Some(&lease));
         match swap.await? {
             store::Swap::Stored => {
@@ -251,7 +252,7 @@
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
 
-/// Key of a VM's registration.
+/// Store key of a VM's registration.
 ///
 /// ```
 /// assert_eq!(mangotray::enrol::key("entry-1"), "vm/entry-1");
@@ -261,8 +262,8 @@
     format_compact!("{PREFIX}{vm}")
 }
 
-/// Spreads periodic work of many VMs that started at one moment, such as the end of an
-/// outage, so that they do not call the store in step.
+/// Varies a period at random by up to 20 % in either direction, so that many VMs that start at
+/// the same moment, for example at the end of an outage, do not call the store in step.
 ///
 /// ```
 /// use std::time::Duration;
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,4 +1,4 @@
-//! This proxy as one of many: who else there is, and which groups fall to whom.
+//! Tracks the other proxies and assigns groups to the proxies that serve them.
 
 use std::sync;
 use std::sync::atomic;
@@ -18,16 +18,16 @@
 use crate::store;
 use crate::tracker;
 
-/// Time between two reads of the roster by a proxy whose turn it is.
+/// Time between two polls. A poll reads the roster only when this proxy is due to do so.
 const POLL_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// The same while no roster is known.
+/// Time between two polls while no roster is known.
 const INITIAL_POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Longest wait after a failed read.
+/// Upper bound, before jitter, of the time between polls, which doubles with each failed read.
 const MAX_POLL_INTERVAL: time::Duration = time::Duration::from_secs(4);
 
-/// Keeps the serving sets as the catalog and the roster say.
+/// Keeps the serving sets in line with the catalog and the roster.
 pub struct Fleet {
     directory: sync::Arc<directory::Directory>,
     enrolment: sync::Arc<enrol::Enrolment>,
@@ -38,7 +38,7 @@
     retired: sync::Mutex<Vec<sync::Arc<entry::Entry>>>,
 }
 
-/// What the entries were last brought in line with.
+/// Catalog and candidates to which the directory's entries were last updated.
 #[derive(Default)]
 struct Applied {
     catalog: catalog::Catalog,
@@ -46,7 +46,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known yet.
+    /// Creates a fleet without a catalog or a roster.
     #[must_use]
     pub fn new(
         directory: sync::Arc<directory::Directory>,
@@ -67,13 +67,13 @@
         }
     }
 
-    /// The groups that this keeps.
+    /// The directory of groups that this fleet updates.
     #[must_use]
     pub fn directory(&self) -> &sync::Arc<directory::Directory> {
         &self.directory
     }
 
-    /// Puts a catalog in force.
+    /// Applies a catalog.
     pub async fn install(&self, catalog: catalog::Catalog) {
         let mut applied = self.applied.lock().await;
         self.lock().declared(&catalog);
@@ -81,15 +81,15 @@
         self.apply_changes(&mut applied, true);
     }
 
-    /// Reads the roster if it is this proxy's turn, and follows the passing of time.
-    /// True if the roster is a new one. What was known stays while the store is down.
+    /// Reads the roster if this proxy is due to do so, and updates the states that depend on
+    /// time. Returns whether the roster is new. A failed read of the store keeps the last roster.
     pub async fn poll(&self) -> bool {
         let fresh = self.start_read_if_due() && self.read_roster().await;
         self.refresh().await;
         fresh
     }
 
-    /// Time until the next poll.
+    /// Time until the next poll: doubled after each failed read, with jitter.
     #[must_use]
     pub fn pause(&self) -> time::Duration {
         let failures = self.failures.load(atomic::Ordering::Relaxed);
@@ -101,37 +101,37 @@
         enrol::jittered(doubled.min(MAX_POLL_INTERVAL))
     }
 
-    /// Proxies that may be alive, this one among them.
+    /// Proxies that may be alive, including this one.
     #[must_use]
     pub fn live(&self) -> Vec<id::Vm> {
         self.lock().live(self.now())
     }
 
-    /// Whether this proxy watches the store.
+    /// Whether this proxy is one of those that watch the store.
     #[must_use]
     pub fn watches(&self) -> bool {
         self.lock().watches(self.now())
     }
 
-    /// Proxies to be asked again soon.
+    /// Suspected proxies, to be queried again soon.
     #[must_use]
     pub fn suspects(&self) -> Vec<id::Vm> {
         self.lock().suspects(self.now())
     }
 
-    /// Which roster is held.
+    /// Mark that identifies the roster held here, if any.
     #[must_use]
     pub fn mark(&self) -> Option<roster::Mark> {
         self.lock().mark(self.now())
     }
 
-    /// What a peer that holds that roster lacks.
+    /// Update for a peer that holds the roster identified by `peer`, if it needs one.
     #[must_use]
     pub fn answer(&self, peer: Option<roster::Mark>) -> Option<roster::Update> {
         self.lock().answer(peer, self.now())
     }
 
-    /// Takes in a heartbeat.
+    /// Records a received heartbeat.
     pub async fn heard(&self, sign: &evidence::Sign) {
         self.lock().heard(sign, self.now());
         if sign.draining {
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Notes that a proxy did not answer.
+    /// Records that a proxy did not answer.
     pub fn missed(&self, vm: &id::Vm) {
         self.lock().missed(vm, self.now());
     }
 
-    /// Takes in a peer's answer to a question asked at that time; true if it is news.
+    /// Applies a peer's answer to a request sent at `asked`; returns whether the roster is new.
     pub async fn update(&self, update: roster::Update, asked: id::Time) -> bool {
         let fresh = self.lock().update(update, asked);
         if fresh {
@@ -153,7 +153,7 @@
         fresh
     }
 
-    /// Takes in a roster that a peer pushed; true if it is news.
+    /// Applies a roster that a peer pushed; returns whether it is new.
     pub async fn pushed(&self, update: roster::Update) -> bool {
         let fresh = self.lock().pushed(update, self.now());
         if fresh {
@@ -182,14 +182,14 @@
         let listings = self.inventory.vms().await;
         let mut tracker = self.lock();
         let listings = listings.unwrap_or_else(|_| tracker.newest().listings.clone());
-        // Before anybody has registered there is nothing to tell.
+        // There is no roster to distribute before the first proxy has registered.
         if entries.is_empty() && tracker.mark(started).is_none() {
             return false;
         }
         tracker.take(roster::Roster::new(&entries, &listings), started)
     }
 
-    /// Brings the entries in line with what is now known of the proxies.
+    /// Updates the entries if the roster or the candidates have changed.
     async fn refresh(&self) {
         let mut applied = self.applied.lock().await;
         self.apply_changes(&mut applied, false);
@@ -230,7 +230,7 @@
         guard.unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Brings the entries in line with the catalog and the roster.
+    /// Updates the entries to match the catalog and the roster.
     fn reconcile(&self, applied: &Applied) {
         let old = self.directory.entries();
         let roster = self.directory.roster();
@@ -277,7 +277,7 @@
         entry
     }
 
-    /// Entries of the same group that may still hold seats.
+    /// Earlier entries of the same group, which may still hold seats.
     fn predecessors(
         &self,
         old: &directory::Entries,
@@ -319,7 +319,8 @@
     }
 }
 
-/// Whether the group's seats are cut as before; if not, they are given back first.
+/// Whether the group keeps its name and its number of seats. If not, the old entry's seats are
+/// released before a new entry takes any.
 fn same_seat_count(entry: &entry::Entry, declared: &database::Group) -> bool {
     let old = entry.declared.load();
     let count = |group: &database::Group| placement::count(group.connections, group.slots);
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,6 +1,6 @@
-//! Passes configuration, roster and heartbeats between the proxies.
+//! Gossip: exchanges configuration, roster and heartbeats between the proxies.
 //!
-//! The decisions are in `spread` and `tracker`; this carries them out.
+//! `spread` and `tracker` decide what to send and to whom; this module does the I/O.
 
 use std::net;
 use std::sync;
@@ -19,10 +19,10 @@
 use crate::spread;
 use crate::store;
 
-/// Silent peers that are asked again in each round, besides the round's own.
+/// Maximum number of suspected peers queried in each round, in addition to the regular ones.
 const MAX_SUSPECTS_PER_ROUND: usize = 3;
 
-/// This proxy's part in the exchange with the others.
+/// Gossip endpoint of this proxy.
 pub struct Gossip {
     directory: sync::Arc<directory::Directory>,
     enrolment: sync::Arc<enrol::Enrolment>,
@@ -31,12 +31,14 @@
     seeds: Vec<net::SocketAddr>,
     round: atomic::AtomicUsize,
     node: sync::Mutex<spread::Node>,
-    /// Held while a file is put in force, so that an older one never comes second.
+    /// Held while a configuration file is applied, so that an older one is never applied after a
+    /// newer one.
     installing: async_lock::Mutex<()>,
 }
 
 impl Gossip {
-    /// A part that has heard of nobody; `seeds` are asked while it has not.
+    /// Creates an endpoint that knows no peers. The `seeds` are queried while it knows no other
+    /// live proxy or holds no configuration.
     #[must_use]
     pub fn new(
         enrolment: sync::Arc<enrol::Enrolment>,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Exchanges with peers for ever.
+    /// Runs gossip rounds; never returns.
     pub async fn run(self: sync::Arc<Self>) {
         loop {
             self.run_round();
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Reads the roster for ever, when it is this proxy's turn.
+    /// Polls the roster and pushes each new one to peers; never returns.
     pub async fn poll(self: sync::Arc<Self>) {
         loop {
             if self.fleet.poll().await {
@@ -83,7 +85,7 @@
         self.fleet.watches()
     }
 
-    /// Takes in what the store answered to a watch or a read of the configuration.
+    /// Handles the store's answer to a watch or a read of the configuration.
     pub async fn stored(self: &sync::Arc<Self>, entry: Option<&store::Entry>) {
         let file = entry.and_then(|entry| match apply::File::decode(&entry.value) {
             Ok(file) => Some(revision::File {
@@ -91,7 +93,7 @@
                 text: file.text,
             }),
             Err(error) => {
-                tracing::error!(%error, "stored configuration is not readable");
+                tracing::error!(%error, "cannot decode the stored configuration");
                 None
             }
         });
@@ -101,7 +103,7 @@
         self.install().await;
     }
 
-    /// Answers a peer's question.
+    /// Answers a peer's digest.
     pub async fn asked(&self, digest: peer::Digest) -> peer::News {
         self.fleet.heard(&digest.sign).await;
         let now = self.now();
@@ -113,7 +115,7 @@
         self.news(answer, self.fleet.answer(digest.roster))
     }
 
-    /// Takes in what a peer pushed.
+    /// Handles news pushed by a peer.
     pub async fn announced(self: &sync::Arc<Self>, news: peer::News) {
         self.fleet.heard(&news.sign).await;
         let live = self.fleet.live();
@@ -189,7 +191,8 @@
         self.announce(vm, self.news(answer, None)).await;
     }
 
-    /// Pushes a roster of new content on, down a tree as with the configuration.
+    /// Pushes the current roster to this proxy's children in the distribution tree, as is done
+    /// for the configuration.
     fn push_roster(self: &sync::Arc<Self>) {
         let now = self.now();
         let Some(update) = self.fleet.answer(None) else {
@@ -235,13 +238,13 @@
         match (news, vm) {
             (Some(news), _) => self.handle_answer(news, asked).await,
             (None, Some(vm)) => self.fleet.missed(vm),
-            (None, None) => tracing::warn!(%address, "seed does not answer"),
+            (None, None) => tracing::warn!(%address, "seed did not answer"),
         }
     }
 
     async fn handle_answer(self: &sync::Arc<Self>, news: peer::News, asked: id::Time) {
         self.fleet.heard(&news.sign).await;
-        // First, so that what follows has members to go to.
+        // The roster goes first: the actions below look up member addresses in it.
         if let Some(update) = news.roster
             && self.fleet.update(update, asked).await
         {
@@ -255,7 +258,7 @@
         self.install().await;
     }
 
-    /// Puts the newest file held in force.
+    /// Applies the newest configuration file held, unless it is already applied.
     async fn install(&self) {
         let _guard = self.installing.lock().await;
         let held = self.lock().state().file().cloned();
@@ -269,7 +272,7 @@
                 tracing::info!(target: "mangotray::placement", revision = file.revision,
                     "configuration in force");
             }
-            Err(faults) => tracing::error!(?faults, "stored configuration is refused"),
+            Err(faults) => tracing::error!(?faults, "stored configuration is invalid"),
         }
     }
 
--- a/src/keeper.rs
+++ b/src/keeper.rs
@@ -1,4 +1,8 @@
-//! Acquires, uses and gives back this VM's seats of one group.
+//! Acquires, uses and releases this VM's seats of one group.
+//!
+//! A seat is a fixed part of the limits of a group's instances. The seat record in the store
+//! names the owner of each seat. The owner may use it while its lease is valid and, when the
+//! lease cannot be renewed, while most of its witnesses have had no contact with the store either.
 
 use std::sync;
 use std::time;
@@ -14,20 +18,21 @@
 use crate::store;
 use crate::witness;
 
-/// Time between two looks at the clock and the leases.
+/// Time between two checks of the clock and the leases.
 const TICK_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Time between two reads of the record while it is not as it should be.
+/// Time between two reads of the seat record while this VM does not hold the wanted number of
+/// seats or is releasing one; also the delay after a rejected proposal or a check of an owner.
 const UNSETTLED_READ_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Time between two reads of a settled record. All keepers together then make
-/// `3 * groups / 30 s` calls, well below the service's budget.
+/// Time between two reads of a settled seat record. All keepers together then make
+/// `3 * groups / 30 s` calls, well below the store's call budget.
 const SETTLED_READ_INTERVAL: time::Duration = time::Duration::from_secs(30);
 
-/// Time between two rounds of questions to the witnesses.
+/// Time between two rounds of queries to the witnesses.
 const WITNESS_QUERY_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Time left on the seats below which the witnesses are asked.
+/// Remaining validity of a held seat below which the witnesses are queried.
 const WITNESS_QUERY_THRESHOLD: time::Duration = time::Duration::from_secs(5);
 
 /// Keeps the seats of one group.
@@ -46,7 +51,7 @@
 }
 
 impl Keeper {
-    /// A keeper that has read nothing yet.
+    /// Creates a keeper that has not read the seat record yet.
     #[must_use]
     pub fn new(
         directory: sync::Arc<directory::Directory>,
@@ -72,10 +77,11 @@
         }
     }
 
-    /// Keeps the seats until the group is given up and its last seat given back.
+    /// Runs until the group is retired and its last seat is released.
     ///
-    /// Two keepers of one VM would take each other's seats for their own: one could give
-    /// a seat back that the other still uses. So it waits for those before it.
+    /// Two keepers on one VM would treat each other's seats as their own, so that one could
+    /// release a seat that the other still uses. A new keeper therefore waits until those of
+    /// the entries in `before` have finished.
     pub async fn run(mut self, before: Vec<sync::Arc<entry::Entry>>) {
         while !before.iter().all(|entry| entry.finished()) {
             async_io::Timer::after(TICK_INTERVAL).await;
@@ -101,7 +107,7 @@
         }
         self.finish_drain();
         self.query_witnesses_if_due().await;
-        // A serving set that has just formed takes its seats one after the other.
+        // In a newly formed serving set, the seats are acquired one at a time.
         for _ in 0..=self.seats {
             self.read_if_due(wanted).await;
             self.use_seats();
@@ -131,11 +137,12 @@
         let record = found.map_or(Ok(Vec::new()), |entry| seat::decode(&entry.value));
         match record {
             Ok(record) => self.book.read(version, record, self.clock.now()),
-            Err(error) => tracing::error!(%error, key = %key, "record of seats is not readable"),
+            Err(error) => tracing::error!(%error, key = %key, "cannot decode the seat record"),
         }
     }
 
-    /// Takes the next step; true when the record has changed and another may follow.
+    /// Takes the next step; returns whether the seat record has changed and another step may
+    /// follow.
     async fn advance(&mut self, wanted: usize) -> bool {
         let Some(lease) = self.enrolment.registered_lease() else {
             return false;
@@ -168,12 +175,12 @@
         if !stored {
             self.delay_next_step();
         }
-        // Read back whatever the answer: it may have been lost.
+        // Reads the record again in every case: the answer to a stored proposal may be lost.
         self.next_read = id::Time::ZERO;
         stored
     }
 
-    /// Spares the store: the next step waits a while.
+    /// Delays the next step to limit the load on the store.
     fn delay_next_step(&mut self) {
         self.next_step = self.clock.now() + enrol::jittered(UNSETTLED_READ_INTERVAL);
     }
@@ -186,13 +193,13 @@
         let record = found.map(|entry| serde_json::from_slice::<enrol::Record>(&entry.value));
         let lease = match record {
             Some(Ok(record)) => record.lease,
-            // Nothing follows from a record that cannot be read.
+            // A record that cannot be decoded says nothing about the lease.
             Some(Err(_)) => return,
             None => None,
         };
         if lease.as_ref() != Some(&owner.lease) {
             tracing::warn!(target: "mangotray::placement", vm = %owner.vm, seat = owner.seat,
-                group = %self.entry.name, "the lease of a seat's owner is gone");
+                group = %self.entry.name, "lease of a seat's owner has ended");
             self.book.gone(&owner.lease, self.clock.now());
             self.next_witness_query = id::Time::ZERO;
         }
@@ -200,7 +207,7 @@
 
     fn start_drain(&mut self, seat: seat::Index) {
         tracing::info!(target: "mangotray::placement", group = %self.entry.name, seat,
-            "giving a seat back");
+            "releasing a seat");
         self.draining = Some(seat);
     }
 
@@ -216,7 +223,8 @@
         }
     }
 
-    /// Asks the witnesses while a lease may end or another's is gone.
+    /// Queries the witnesses while a held seat may soon expire, or while wanted seats are missing
+    /// because an owner whose lease has ended may still use them.
     async fn query_witnesses_if_due(&mut self) {
         let now = self.clock.now();
         if now < self.next_witness_query || !self.needs_witnesses(now) {
@@ -260,7 +268,7 @@
         self.book.held().count() >= wanted
     }
 
-    /// Seats among `seats` that may be used now, with the time at which each ends.
+    /// Seats among `seats` that may be used now, with the time at which each expires.
     fn usable(&self, seats: impl Iterator<Item = seat::Index>) -> Vec<(seat::Index, id::Time)> {
         let now = self.clock.now();
         let grants = self.enrolment.grants();
@@ -269,8 +277,8 @@
             .collect()
     }
 
-    /// Lets the group use the seats. One that is being given back takes no new work, but
-    /// what runs on it may end in good order.
+    /// Sets the group's limit from the seats. A seat that is being released takes no new work,
+    /// but work that already runs on it may finish.
     fn use_seats(&self) {
         let held = self.usable(self.book.held());
         let ending = self.usable(self.draining.into_iter());
@@ -278,7 +286,7 @@
         let seats: Vec<_> = held.iter().map(|(seat, _)| *seat).collect();
         let declared = self.entry.declared.load();
         let mut limit = entry::limit(declared.connections, declared.slots, self.seats, &seats);
-        // Open transactions need the slots of a seat until they have ended.
+        // Open transactions need the slots of a draining seat until they have ended.
         let ending: Vec<_> = ending.iter().map(|(seat, _)| *seat).collect();
         limit.slots +=
             entry::limit(declared.connections, declared.slots, self.seats, &ending).slots;
--- a/src/member.rs
+++ b/src/member.rs
@@ -1,15 +1,17 @@
-//! View of the VMs, merged from sources that disagree.
+//! Membership view: the state of every VM, merged from sources that can disagree.
 //!
-//! The platform's list lags and goes out; leases tell whether a VM reaches the store, not
-//! whether it reaches us; heartbeats tell about one link. What each can prove:
+//! The platform's list lags and can be unavailable; a lease shows whether a VM reaches the
+//! store, not whether it reaches this VM; heartbeats cover a single link. The sources are
+//! weighed as follows:
 //!
-//! - Whoever says that a VM is leaving is believed at once, for as long as it says so.
-//! - A heartbeat proves life. Missing ones prove death only together with a lease that is
-//!   gone, or while most other VMs are still heard.
-//! - Absence from the list proves that a VM was destroyed only after the list's lag, and
-//!   only against silence. An empty list proves nothing: the platform is out.
+//! - A VM counts as leaving as soon as any source says so, for as long as it says so.
+//! - A heartbeat proves that a VM is alive. Missed heartbeats prove that it is dead only if
+//!   its lease has also ended, or while most other VMs still send theirs.
+//! - Absence from the list proves that a VM was destroyed only after the list's maximum lag,
+//!   and only if the VM is also silent. An empty list proves nothing: it means that the
+//!   platform has an outage.
 //!
-//! A wrong view costs time, never safety: who may use an instance is settled in `share`.
+//! A wrong view costs time but not safety: `share` decides who may use an instance.
 
 use std::collections;
 use std::time;
@@ -21,71 +23,71 @@
 use crate::placement;
 use crate::store;
 
-/// Silence after which other VMs are preferred.
+/// Time without a heartbeat after which a VM is suspect and others are preferred.
 pub const SUSPECT_AFTER: time::Duration = time::Duration::from_millis(1_500);
-/// Time after which a destroyed VM is forgotten.
+/// Time off the platform's list after which a destroyed VM's record is removed.
 const FORGET_AFTER: time::Duration = time::Duration::from_mins(10);
 
-/// Whether a VM takes work.
+/// Whether a VM accepts work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes work.
+    /// Accepts work.
     Live,
-    /// Keeps its place in serving sets, but others are preferred.
+    /// Remains in serving sets, but other VMs are preferred.
     Suspect,
-    /// Ends what it has and takes no new work.
+    /// Finishes its current work and accepts no new work.
     Leaving,
-    /// Takes no work.
+    /// Accepts no work.
     Dead,
 }
 
-/// What a state rests on, for the log.
+/// Reason for a VM's state, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// This VM itself.
+    /// It is the local VM.
     Own,
-    /// A heartbeat, and none missed for long.
+    /// A heartbeat was received and none has been missing for long.
     Heartbeat,
-    /// Its lease at the store.
+    /// It holds a lease in the store.
     Lease,
-    /// The platform's list alone.
+    /// Only the platform's list names it.
     Listed,
     /// Missed heartbeats.
     Silence,
-    /// Missed heartbeats, though its lease lives: the link is at fault.
+    /// Missed heartbeats while its lease is valid: the link has failed.
     Unreachable,
-    /// Most VMs are silent: this VM is the one cut off.
+    /// At least half of the VMs are silent: the local VM is the isolated one.
     Isolated,
-    /// Its lease is gone, nothing else is known.
+    /// Its lease has ended and no heartbeat was ever received.
     LeaseGone,
-    /// Missed heartbeats, and its lease is gone.
+    /// Missed heartbeats, and its lease has ended.
     SilentAndGone,
-    /// The platform no longer lists it: destroyed.
+    /// The platform no longer lists it: it was destroyed.
     Delisted,
-    /// The platform has announced that it goes away.
+    /// The platform has announced its removal.
     Announced,
-    /// The operators' file no longer names it.
+    /// The operators' configuration file no longer names it.
     Withdrawn,
-    /// Its own heartbeat says that it shuts down.
+    /// It reports that it is shutting down.
     Draining,
 }
 
-/// A VM as judged at one moment.
+/// State of a VM at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Member {
     /// Name of the VM.
     pub vm: id::Vm,
-    /// Failure domain, as last told by any source.
+    /// Failure domain, as last reported by any source.
     pub domain: id::Domain,
-    /// Judgement.
+    /// Whether it accepts work.
     pub state: State,
-    /// What it rests on.
+    /// Reason for the state.
     pub cause: Cause,
 }
 
-/// All VMs, as seen by one. Times are of its monotonic clock.
+/// All VMs as seen by the local VM. Times are those of its monotonic clock.
 ///
 /// ```
 /// use std::time::Duration;
@@ -110,7 +112,7 @@
 }
 
 impl View {
-    /// The view of a VM that knows only itself.
+    /// Creates a view that contains only the local VM.
     ///
     /// ```
     /// use std::time::Duration;
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Takes in the platform's list as read now.
+    /// Records the platform's list as read at `now`. An empty list is ignored.
     pub fn listed(&mut self, list: &[store::Listing], now: id::Time) {
         if list.is_empty() {
             return;
@@ -149,12 +151,12 @@
         });
     }
 
-    /// Takes in the operators' file.
+    /// Records the VMs that the operators' configuration file names.
     pub fn declared(&mut self, catalog: &catalog::Catalog) {
         self.declared.clone_from(&catalog.vms);
     }
 
-    /// Takes in all live lease entries, as read now. Entries that are missing are gone.
+    /// Records all live lease entries as read at `now`. The leases of all other VMs have ended.
     pub fn leases(&mut self, signs: &[evidence::Sign], now: id::Time) {
         for record in self.records.values_mut() {
             record.lease_ended(now);
@@ -164,25 +166,25 @@
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Records a received heartbeat.
     pub fn heard(&mut self, sign: &evidence::Sign, now: id::Time) {
         self.record(&sign.vm).hear(sign, now);
     }
 
-    /// Notes that a heartbeat of this VM was due and did not come.
+    /// Records that an expected heartbeat of `vm` was not received.
     pub fn missed(&mut self, vm: &id::Vm, now: id::Time) {
         if let Some(record) = self.records.get_mut(vm) {
             record.miss(now);
         }
     }
 
-    /// Notes that this VM itself shuts down.
+    /// Records that the local VM is shutting down.
     pub fn drain(&mut self) {
         let vm = self.vm.clone();
         self.record(&vm).drain();
     }
 
-    /// All VMs with their states, by name.
+    /// All VMs with their states at `now`, sorted by name.
     #[must_use]
     pub fn members(&self, now: id::Time) -> Vec<Member> {
         self.records
@@ -199,9 +201,9 @@
             .collect()
     }
 
-    /// VMs to choose serving sets from. Suspects stay, as they mostly come back: moving
-    /// their groups twice would cost more than preferring others meanwhile. VMs that only
-    /// the platform has told of do not count: upstreams may be among them.
+    /// VMs from which serving sets are chosen. Suspects are included because they mostly
+    /// recover: moving their groups twice would cost more than preferring other VMs meanwhile.
+    /// VMs known only from the platform's list are excluded because some may be upstreams.
     #[must_use]
     pub fn candidates(&self, now: id::Time) -> Vec<placement::Candidate> {
         let proxy = |vm: &id::Vm| *vm == self.vm || self.records[vm].signed();
@@ -216,7 +218,7 @@
             .collect()
     }
 
-    /// VMs that the platform has destroyed, for `share::Book::destroyed`.
+    /// VMs that the platform has destroyed, as input for `share::Book::destroyed`.
     #[must_use]
     pub fn destroyed(&self, now: id::Time) -> Vec<id::Vm> {
         self.records
@@ -226,8 +228,8 @@
             .collect()
     }
 
-    /// Whether an upstream gets no new work: the operators' file marks it, or the platform
-    /// announces that the VM of its name goes away.
+    /// Whether an upstream gets no new work: the operators' configuration file marks it as
+    /// leaving, or the platform has announced the removal of the VM with the upstream's name.
     #[must_use]
     pub fn withdrawn(&self, instance: &database::Instance) -> bool {
         let record = self.records.get(&instance.name);
@@ -288,7 +290,7 @@
         Some((State::Suspect, cause))
     }
 
-    /// Whether at least half of the VMs that heartbeats are exchanged with are silent.
+    /// Whether at least half of the VMs that exchange heartbeats with the local VM are silent.
     fn isolated(&self, now: id::Time) -> bool {
         let probed = |record: &&evidence::Evidence| record.probed() && !record.destroyed(now);
         let probed: Vec<&evidence::Evidence> = self.records.values().filter(probed).collect();
--- a/src/member/tests.rs
+++ b/src/member/tests.rs
@@ -29,7 +29,8 @@
     }
 }
 
-/// A view of `own` that has heard, and read as listed and leased, `a`, `b` and `c`.
+/// View of the VM `own`, in which `a`, `b` and `c` are listed, hold leases and have sent a
+/// heartbeat at time 0.
 fn view() -> member::View {
     let mut view = member::View::new("own".into(), "d".into());
     let names = ["a", "b", "c"];
@@ -47,10 +48,10 @@
     (member.state, member.cause)
 }
 
-/// Symptom: no VM takes work. Events: the platform goes out and answers an empty list, or
-/// none for an hour. Cause: absence was taken for death.
+/// Guards against all VMs being removed during an outage of the platform, which then answers
+/// with an empty list, or with none for an hour.
 #[test]
-fn an_empty_or_old_list_makes_nobody_vanish() {
+fn an_empty_or_old_list_removes_no_vm() {
     let mut view = view();
     view.listed(&[], at(60));
     view.listed(&[], at(3_600));
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn an_announcement_counts_at_once_and_outlives_a_list_that_lags() {
+fn an_announcement_applies_at_once_and_outlasts_a_lagging_list() {
     let mut view = view();
     let leaving = (member::State::Leaving, member::Cause::Announced);
     view.listed(&[listing("a", true)], at(10));
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn the_file_and_the_vm_itself_can_withdraw_it() {
+fn the_configuration_file_and_the_vm_itself_can_withdraw_it() {
     let mut view = view();
     let mut catalog = catalog::Catalog {
         vms: vec!["own".into(), "a".into()],
@@ -119,10 +120,10 @@
     assert_eq!(assessed(&view, "own", 3).0, member::State::Leaving);
 }
 
-/// Symptom: a healthy VM loses its groups. Events: the link to it breaks while it renews
-/// its lease. Cause: one link was taken for the VM.
+/// Guards against a healthy VM losing its groups when only the link to it fails: it still
+/// renews its lease.
 #[test]
-fn silent_but_leased_is_suspect_silent_and_gone_is_dead() {
+fn silent_but_leased_is_suspect_silent_and_unleased_is_dead() {
     let mut view = view();
     view.missed(&"a".into(), at(1));
     view.leases(&["a", "b", "c"].map(sign), at(6));
@@ -133,8 +134,8 @@
     assert_eq!(assessed(&view, "a", 7), dead);
 }
 
-/// Symptom: at the end of an outage of the store nobody is thought to live. Events: all
-/// leases have ended. Cause: a lease tells of the way to the store, a heartbeat of life.
+/// Guards against all VMs counting as dead at the end of a store outage, when all leases have
+/// ended. A lease shows only that a VM reaches the store; a heartbeat shows that it is alive.
 #[test]
 fn heard_without_a_lease_is_live() {
     let mut view = view();
@@ -145,10 +146,10 @@
     }
 }
 
-/// Symptom: a VM that is cut off holds all others for dead and takes their groups. Events:
-/// store and peers fall silent together. Cause: the fault is its own.
+/// Guards against an isolated VM treating all others as dead and taking over their groups:
+/// the store and all peers become unreachable at once, so the failure is on its own side.
 #[test]
-fn who_hears_nobody_suspects_itself() {
+fn an_isolated_vm_only_suspects_the_others() {
     let mut view = view();
     view.missed(&"a".into(), at(1));
     let dead = (member::State::Dead, member::Cause::Silence);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! Calls between the proxies: forwarded work, configuration and observations.
+//! Messages between proxies: forwarded work, configuration and observations.
 
 use std::sync;
 use std::sync::atomic;
@@ -20,13 +20,13 @@
 use crate::stamp;
 use crate::witness;
 
-/// Number of a forwarded session, unique on its connection and drawn by the client.
+/// Identifier of a forwarded session, chosen by the client and unique on its connection.
 pub type Session = u64;
 
-/// Number of a run within its session; grows with each run and is never reused.
+/// Sequence number of a run within its session; increases with each run and is never reused.
 pub type Sequence = u64;
 
-/// Longest time a forwarded batch may have left; longer ones are cut to it.
+/// Maximum time left of a forwarded batch; longer times are reduced to it.
 pub const MAX_TIME_LEFT: time::Duration = time::Duration::from_hours(24);
 
 pub use service::{Peer, PeerClient, PeerRequest, PeerResponse};
@@ -38,70 +38,70 @@
     use crate::outcome;
     use crate::reply;
 
-    /// What a proxy does for another proxy.
+    /// Calls that a proxy answers for other proxies.
     #[tarpc::service]
     pub trait Peer {
         /// Runs a batch in a session of the caller's connection.
         async fn run(run: Run) -> Result<reply::Reply, outcome::Outcome>;
-        /// Ends a session; an open transaction is rolled back.
+        /// Closes a session and rolls back its open transaction, if any.
         async fn close(session: Session);
-        /// Tells what this side knows and learns what the other knows.
+        /// Exchanges the caller's digest for the peer's news.
         async fn exchange(digest: Digest) -> News;
-        /// Pushes news that cannot wait for the next exchange.
+        /// Pushes news without waiting for the next exchange.
         async fn announce(news: News);
-        /// Whether the peer, too, sees the primary of that term as failed.
+        /// Whether the peer also suspects the primary of that term.
         async fn suspects(suspect: Suspect) -> bool;
-        /// Shows that the connection is alive in both directions.
+        /// Checks that the connection works in both directions.
         async fn ping();
     }
 }
 
-/// What the serving side of a peer connection needs from the rest of the proxy.
+/// Operations that the server side of a peer connection needs from the proxy.
 pub trait Handler: Send + Sync {
     /// Lanes into the groups that this proxy serves itself.
     fn switch(&self) -> sync::Arc<dyn lane::Switch>;
 
-    /// Answers a peer's exchange; leaves the text out when the peer already has it.
+    /// Answers a peer's exchange; omits the configuration text if the peer already has it.
     fn exchange(&self, digest: Digest) -> future::BoxFuture<'_, News>;
 
-    /// Takes in news pushed by a peer.
+    /// Handles news pushed by a peer.
     fn announce(&self, news: News) -> future::BoxFuture<'_, ()>;
 
-    /// Whether this proxy sees the primary of that term as failed.
+    /// Whether this proxy suspects the primary of that term.
     fn suspects(&self, suspect: &Suspect) -> bool;
 }
 
 /// One batch of a forwarded session.
 ///
-/// Times of one process mean nothing to another, so only the time left travels;
-/// the receiver counts it from the moment it got the message.
+/// Monotonic times of different processes are not comparable, so the message carries the time
+/// left, which the receiver counts from the receipt of the message.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Run {
-    /// Session on this connection.
+    /// Identifier of the session on this connection.
     pub session: Session,
-    /// Database to open the session for, on its first run.
+    /// Database for which the session is opened; set on its first run only.
     pub open: Option<CompactString>,
-    /// Place of the run in its session.
+    /// Sequence number of the run in its session.
     pub sequence: Sequence,
-    /// Time until the deadline.
+    /// Time left until the deadline.
     pub remaining: time::Duration,
-    /// Number for the logs.
+    /// Request number for the logs.
     pub request: id::Request,
-    /// Number of the caller's session.
+    /// Identifier of the caller's session.
     pub caller: u64,
     /// Frames to send.
     pub frames: Vec<frame::Frame>,
-    /// What the statements need.
+    /// Class of the statements.
     pub class: class::Class,
-    /// Whether it mixes transaction control with other statements.
+    /// Whether the batch mixes transaction control with other statements.
     pub mixed: bool,
     /// Tables that the statements read.
     pub tables: Vec<CompactString>,
     /// Stamp that the answer must include.
     pub token: Option<stamp::Stamp>,
-    /// Last stamp that the session itself has written.
+    /// Stamp of the session's own last write.
     pub own: Option<stamp::Stamp>,
-    /// Records at the sender whether the message has left.
+    /// Records at the sender whether the message was encoded for sending; encoded as a unit.
     pub mark: Mark,
 }
 
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The batch as the receiver sees it, got at time `now` of its own clock.
+    /// Converts to a batch that was received at time `now` of the receiver's clock.
     #[must_use]
     pub fn batch(self, now: id::Time) -> batch::Batch {
         batch::Batch {
@@ -164,18 +164,18 @@
 const WRITTEN: u8 = 1;
 const ABANDONED: u8 = 2;
 
-/// Settles between the sender of a message and the task that writes it whether the
-/// message has left.
+/// Shared state of a message that tells its sender whether the message was written to the
+/// connection.
 ///
-/// When a connection breaks or the deadline passes, the sender must know if the
-/// batch can still run: a wrong "not run" would let the caller run it twice. The
-/// mark turns to "written" when the message is encoded, and a message whose sender
-/// has given up refuses to be encoded.
+/// When a connection breaks or the deadline passes, the sender must know whether the batch can
+/// still run: after a wrong "not run" the caller could run it twice. Encoding the message sets
+/// the state to "written"; encoding an abandoned message fails. Only the first of the two
+/// transitions succeeds.
 #[derive(Clone, Debug, Default)]
 pub struct Mark(sync::Arc<atomic::AtomicU8>);
 
 impl Mark {
-    /// Gives the message up; true when nothing of it was or ever will be sent.
+    /// Abandons the message; returns whether no part of it was or ever will be sent.
     ///
     /// ```
     /// let mark = mangotray::peer::Mark::default();
@@ -216,51 +216,51 @@
     }
 }
 
-/// What a proxy says about itself when it asks for news.
+/// Request of a proxy for a peer's news, with a summary of its own state.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Digest {
-    /// The asking process; the question is a heartbeat.
+    /// Requesting process; the request counts as its heartbeat.
     pub sign: evidence::Sign,
-    /// Configuration held there; `None` when only the testimony is asked for.
+    /// Report on the requester's configuration; `None` if only the witness report is requested.
     pub report: Option<spread::Report>,
-    /// Roster held there, if any.
+    /// Mark of the roster that the requester holds, if any.
     pub roster: Option<roster::Mark>,
 }
 
-/// What a proxy knows that its peers may want to know.
+/// A proxy's current state, sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct News {
-    /// The telling process; the news is a heartbeat.
+    /// Sending process; the message counts as its heartbeat.
     pub sign: evidence::Sign,
-    /// Configuration held there, with the text when the receiver lacks it.
+    /// Configuration that the sender holds, with the text if the receiver lacks it.
     pub answer: spread::Answer,
-    /// Roster held there, if it is fresher than the receiver's.
+    /// Roster that the sender holds, if it is newer than the receiver's.
     pub roster: Option<roster::Update>,
-    /// Primaries that it knows.
+    /// Primaries known to the sender.
     pub primaries: Vec<Primary>,
-    /// What the sender testifies about its contact with the platform's store.
+    /// The sender's report on its contact with the platform's store.
     pub witness: witness::Report,
-    /// Primaries that it sees as failed.
+    /// Primaries that the sender suspects.
     pub suspects: Vec<Suspect>,
 }
 
 /// The primary of one group.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Primary {
-    /// Group that it leads.
+    /// Group of the primary.
     pub group: id::Group,
-    /// Which instance it is.
+    /// Index of its instance.
     pub instance: id::Index,
-    /// Term that it leads in.
+    /// Term in which it is the primary.
     pub term: id::Term,
 }
 
-/// A primary that is seen as failed.
+/// A primary that is suspected to have failed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Suspect {
-    /// Group that it led.
+    /// Group of the suspected primary.
     pub group: id::Group,
-    /// Term that it led in.
+    /// Term in which it became the primary.
     pub term: id::Term,
 }
 
