--- a/src/share.rs
+++ b/src/share.rs
@@ -55,8 +55,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct Mine {
-    ready: id::Time,
+struct OwnSeat {
+    usable_from: id::Time,
     stage: Stage,
 }
 
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 struct Proposal {
     entry: seat::Seat,
-    ready: id::Time,
+    usable_from: id::Time,
 }
 
 /// One VM's view of the seats of one group. Times are of this VM's monotonic clock.
@@ -86,11 +86,11 @@
 pub struct Book {
     vm: id::Vm,
     incarnation: id::Incarnation,
-    seats: usize,
+    seat_count: usize,
     limits: grant::Limits,
     version: Option<store::Version>,
     record: Vec<seat::Seat>,
-    mine: collections::BTreeMap<seat::Index, Mine>,
+    own_seats: collections::BTreeMap<seat::Index, OwnSeat>,
     proposals: Vec<Proposal>,
     suspects: collections::HashMap<store::Lease, suspect::Suspect>,
 }
@@ -113,11 +113,11 @@
         Self {
             vm,
             incarnation,
-            seats,
+            seat_count: seats,
             limits,
             version: None,
             record: Vec::new(),
-            mine: collections::BTreeMap::new(),
+            own_seats: collections::BTreeMap::new(),
             proposals: Vec::new(),
             suspects: collections::HashMap::new(),
         }
@@ -133,11 +133,11 @@
             .filter(|entry| self.owns(entry))
             .map(|entry| entry.seat)
             .collect();
-        self.mine.retain(|seat, _| own.contains(seat));
+        self.own_seats.retain(|seat, _| own.contains(seat));
         for seat in own {
-            let ready = self.ready(seat, now);
-            self.mine.entry(seat).or_insert(Mine {
-                ready,
+            let usable_from = self.usable_from(seat, now);
+            self.own_seats.entry(seat).or_insert(OwnSeat {
+                usable_from,
                 stage: Stage::Held,
             });
         }
@@ -179,18 +179,18 @@
 
     /// Notes that nothing of this VM uses a seat any more that was to be drained.
     pub fn drained(&mut self, seat: seat::Index) {
-        if let Some(mine) = self.mine.get_mut(&seat)
-            && mine.stage == Stage::Draining
+        if let Some(own_seat) = self.own_seats.get_mut(&seat)
+            && own_seat.stage == Stage::Draining
         {
-            mine.stage = Stage::Drained;
+            own_seat.stage = Stage::Drained;
         }
     }
 
     /// Seats that the record gives to this VM and that it does not mean to give back.
     pub fn held(&self) -> impl Iterator<Item = seat::Index> + '_ {
-        self.mine
+        self.own_seats
             .iter()
-            .filter(|(_, mine)| mine.stage == Stage::Held)
+            .filter(|(_, own_seat)| own_seat.stage == Stage::Held)
             .map(|(seat, _)| *seat)
     }
 
@@ -202,7 +202,7 @@
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.mine.is_empty()
+        self.own_seats.is_empty()
     }
 
     /// VMs whose testimony matters to this book, to be asked while an outage lasts or
@@ -227,8 +227,8 @@
         now: id::Time,
         grants: &[grant::Grant],
     ) -> Option<id::Time> {
-        let mine = self.mine.get(&seat)?;
-        if mine.stage == Stage::Drained || now < mine.ready {
+        let own_seat = self.own_seats.get(&seat)?;
+        if own_seat.stage == Stage::Drained || now < own_seat.usable_from {
             return None;
         }
         // A claimant may go by the entry as known or by one that is being stored.
@@ -238,7 +238,7 @@
             .iter()
             .chain(proposed)
             .filter(|entry| entry.seat == seat && self.owns(entry))
-            .map(|entry| until(entry, grants))
+            .map(|entry| usable_until(entry, grants))
             .min()
             .flatten()?;
         (now < until).then_some(until)
@@ -256,8 +256,8 @@
         if self.version.is_none() {
             return Step::Idle;
         }
-        if let Some(seat) = self.drained_seat(now) {
-            return self.vacate(seat);
+        if let Some(seat) = self.returnable_seat(now) {
+            return self.propose_vacant(seat);
         }
         let stale = self.record.iter().find(|entry| {
             self.owns(entry) && (entry.lease != *lease || entry.witnesses != witnesses)
@@ -281,25 +281,25 @@
 
     /// When a seat that has just become this VM's may be used. A proposal that nobody
     /// remembers gets the whole guard interval.
-    fn ready(&self, seat: seat::Index, now: id::Time) -> id::Time {
+    fn usable_from(&self, seat: seat::Index, now: id::Time) -> id::Time {
         self.proposals
             .iter()
             .filter(|proposal| proposal.entry.seat == seat)
-            .map(|proposal| proposal.ready)
+            .map(|proposal| proposal.usable_from)
             .max()
             .unwrap_or(now + self.limits.guard)
     }
 
     /// A drained seat whose guard interval has passed. Given back earlier, it would be
     /// taken for unused while the owner before this VM may still use it.
-    fn drained_seat(&self, now: id::Time) -> Option<seat::Index> {
-        self.mine
+    fn returnable_seat(&self, now: id::Time) -> Option<seat::Index> {
+        self.own_seats
             .iter()
-            .find(|(_, mine)| mine.stage == Stage::Drained && mine.ready <= now)
+            .find(|(_, own_seat)| own_seat.stage == Stage::Drained && own_seat.usable_from <= now)
             .map(|(seat, _)| *seat)
     }
 
-    fn vacate(&self, seat: seat::Index) -> Step {
+    fn propose_vacant(&self, seat: seat::Index) -> Step {
         let keep = |entry: &&seat::Seat| entry.seat != seat;
         Step::Propose {
             expect: self.version.unwrap_or_default(),
@@ -311,14 +311,14 @@
         let Some(seat) = self.held().max() else {
             return Step::Idle;
         };
-        if let Some(mine) = self.mine.get_mut(&seat) {
-            mine.stage = Stage::Draining;
+        if let Some(own_seat) = self.own_seats.get_mut(&seat) {
+            own_seat.stage = Stage::Draining;
         }
         Step::Drain { seat }
     }
 
     fn claim(&mut self, now: id::Time, witnesses: &[id::Vm], lease: &store::Lease) -> Step {
-        let vacant = (0..self.seats).find(|seat| self.entry(*seat).is_none());
+        let vacant = (0..self.seat_count).find(|seat| self.entry(*seat).is_none());
         if let Some(seat) = vacant {
             return self.propose(seat, now, witnesses, lease);
         }
@@ -329,8 +329,8 @@
         };
         let lapsed = self.record.iter().filter(foreign).find(lapsed);
         if let Some(seat) = lapsed.map(|entry| entry.seat) {
-            let ready = now + self.limits.guard;
-            return self.propose(seat, ready, witnesses, lease);
+            let usable_from = now + self.limits.guard;
+            return self.propose(seat, usable_from, witnesses, lease);
         }
         let unseen = |entry: &&seat::Seat| !self.suspects.contains_key(&entry.lease);
         let unchecked = self.record.iter().filter(foreign).find(unseen);
@@ -339,11 +339,11 @@
             .map_or(Step::Idle, |owner| Step::Check { owner })
     }
 
-    /// Writes this VM into a seat; `ready` counts only if it is not its own already.
+    /// Writes this VM into a seat; `usable_from` counts only if it is not its own already.
     fn propose(
         &mut self,
         seat: seat::Index,
-        ready: id::Time,
+        usable_from: id::Time,
         witnesses: &[id::Vm],
         lease: &store::Lease,
     ) -> Step {
@@ -354,7 +354,7 @@
             lease: lease.clone(),
             witnesses: witnesses.to_vec(),
         };
-        self.remember(&entry, ready);
+        self.add_proposal(&entry, usable_from);
         let others = self.record.iter().filter(|other| other.seat != seat);
         Step::Propose {
             expect: self.version.unwrap_or_default(),
@@ -363,13 +363,13 @@
     }
 
     /// One line for each entry: in an outage the same proposal is made again and again.
-    fn remember(&mut self, entry: &seat::Seat, ready: id::Time) {
+    fn add_proposal(&mut self, entry: &seat::Seat, usable_from: id::Time) {
         let known = self.proposals.iter_mut().find(|p| p.entry == *entry);
         match known {
-            Some(proposal) => proposal.ready = proposal.ready.max(ready),
+            Some(proposal) => proposal.usable_from = proposal.usable_from.max(usable_from),
             None => self.proposals.push(Proposal {
                 entry: entry.clone(),
-                ready,
+                usable_from,
             }),
         }
     }
@@ -379,7 +379,7 @@
     }
 }
 
-fn until(entry: &seat::Seat, grants: &[grant::Grant]) -> Option<id::Time> {
+fn usable_until(entry: &seat::Seat, grants: &[grant::Grant]) -> Option<id::Time> {
     grants
         .iter()
         .find(|grant| *grant.lease() == entry.lease)
--- a/src/share/tests.rs
+++ b/src/share/tests.rs
@@ -48,14 +48,14 @@
 /// a minute, reads the answer. Cause: the lease ended long ago, counted from the sending.
 #[test]
 fn counting_from_the_answer_gives_two_users() {
-    assert!(tally(world::Mutation::FromAnswer).conflicts > 0);
+    assert!(tally(world::Mutation::RenewalFromAnswer).conflicts > 0);
 }
 
 /// Symptom: as above, in a partition. Events: an owner and some peers lose the store, the
 /// others keep it. Cause: those in reach all testify to an outage that is only theirs.
 #[test]
 fn a_majority_of_those_in_reach_gives_two_users() {
-    assert!(tally(world::Mutation::Reachable).conflicts > 0);
+    assert!(tally(world::Mutation::ReachableMajority).conflicts > 0);
 }
 
 /// Symptom: as above, as an outage ends. Events: one VM reaches the store again, before
--- a/src/share/tests/world.rs
+++ b/src/share/tests/world.rs
@@ -17,9 +17,9 @@
     /// A seat is used as soon as it has been taken over.
     NoGuard,
     /// A renewal counts from its answer.
-    FromAnswer,
+    RenewalFromAnswer,
     /// The owner asks for a majority of the witnesses in reach, not of all.
-    Reachable,
+    ReachableMajority,
     /// A lease that is gone is enough to take a seat over.
     NoWitness,
 }
@@ -63,7 +63,7 @@
     },
 }
 
-struct Mail<T> {
+struct Message<T> {
     due: u64,
     vm: usize,
     incarnation: u64,
@@ -89,8 +89,8 @@
     incarnation: u64,
     /// Thousandths of real time.
     rate: u32,
-    side: bool,
-    paused: u64,
+    on_store_side: bool,
+    paused_until: u64,
     witness: witness::Witness,
     book: share::Book,
     grants: Vec<grant::Grant>,
@@ -119,8 +119,8 @@
     down_since: Option<u64>,
     store: Store,
     vms: Vec<Vm>,
-    requests: Vec<Mail<Request>>,
-    answers: Vec<Mail<Answer>>,
+    requests: Vec<Message<Request>>,
+    answers: Vec<Message<Answer>>,
     pub tally: Tally,
 }
 
@@ -143,8 +143,8 @@
                 name: format!("vm-{number}").into(),
                 incarnation: 1,
                 rate: rate(&mut random),
-                side: true,
-                paused: 0,
+                on_store_side: true,
+                paused_until: 0,
                 witness: witness::Witness::new(time::Duration::ZERO),
                 book: book(number, 1, mutation),
                 grants: Vec::new(),
@@ -182,10 +182,10 @@
         let vm = self.random.usize(0..VMS);
         match self.random.u64(0..10) {
             0 | 1 => self.switch_store(),
-            2 => self.vms[vm].side = !self.vms[vm].side,
+            2 => self.vms[vm].on_store_side = !self.vms[vm].on_store_side,
             3 => self.split(),
             4 | 5 => self.heal(),
-            6 | 7 => self.vms[vm].paused = self.now + self.random.u64(1_000..60_000),
+            6 | 7 => self.vms[vm].paused_until = self.now + self.random.u64(1_000..60_000),
             8 => self.restart(vm),
             _ => self.vms[vm % CLAIMANTS].wanted = self.random.usize(0..=SEATS),
         }
@@ -199,14 +199,14 @@
     /// The store's side of a partition is `true`.
     fn split(&mut self) {
         for vm in &mut self.vms {
-            vm.side = self.random.bool();
+            vm.on_store_side = self.random.bool();
         }
     }
 
     fn heal(&mut self) {
         self.store.up = true;
         self.down_since = None;
-        self.vms.iter_mut().for_each(|vm| vm.side = true);
+        self.vms.iter_mut().for_each(|vm| vm.on_store_side = true);
     }
 
     fn restart(&mut self, number: usize) {
@@ -238,22 +238,22 @@
         self.now += STEP_MS;
         self.serve_store();
         for number in 0..VMS {
-            if self.vms[number].paused > self.now {
+            if self.vms[number].paused_until > self.now {
                 continue;
             }
-            self.take_answers(number);
+            self.receive_answers(number);
             if (self.now / STEP_MS + number as u64).is_multiple_of(5) {
-                self.work(number);
+                self.run_periodic(number);
             }
             self.use_seats(number);
         }
         self.count();
     }
 
-    fn ask(&mut self, number: usize, body: Request) {
+    fn send_request(&mut self, number: usize, body: Request) {
         let due = self.now + self.delay();
         let incarnation = self.vms[number].incarnation;
-        self.requests.push(Mail {
+        self.requests.push(Message {
             due,
             vm: number,
             incarnation,
@@ -266,7 +266,7 @@
             return;
         }
         let due = self.now + self.delay();
-        self.answers.push(Mail {
+        self.answers.push(Message {
             due,
             vm,
             incarnation,
@@ -278,36 +278,36 @@
         let now = self.now;
         let due: Vec<_> = self
             .requests
-            .extract_if(.., |mail| mail.due <= now)
+            .extract_if(.., |message| message.due <= now)
             .collect();
-        for mail in due {
-            if self.store.up && self.vms[mail.vm].side {
-                let answer = self.store.serve(mail.vm, now, mail.body);
+        for message in due {
+            if self.store.up && self.vms[message.vm].on_store_side {
+                let answer = self.store.serve(message.vm, now, message.body);
                 if let Some(answer) = answer {
-                    self.answer(mail.vm, mail.incarnation, answer);
+                    self.answer(message.vm, message.incarnation, answer);
                 }
             }
         }
     }
 
-    fn take_answers(&mut self, number: usize) {
+    fn receive_answers(&mut self, number: usize) {
         let (time, now) = (self.now, self.local(number));
-        let due = |mail: &mut Mail<Answer>| mail.vm == number && mail.due <= time;
-        let mails: Vec<_> = self.answers.extract_if(.., due).collect();
+        let due = |message: &mut Message<Answer>| message.vm == number && message.due <= time;
+        let messages: Vec<_> = self.answers.extract_if(.., due).collect();
         let vm = &mut self.vms[number];
-        for mail in mails {
-            if mail.incarnation == vm.incarnation {
-                vm.take(mail.body, now, self.mutation, &mut self.tally);
+        for message in messages {
+            if message.incarnation == vm.incarnation {
+                vm.handle(message.body, now, self.mutation, &mut self.tally);
             }
         }
     }
 
     /// What a VM does every second.
-    fn work(&mut self, number: usize) {
+    fn run_periodic(&mut self, number: usize) {
         let now = self.local(number);
         if self.now / STEP_MS % 15 < 5 {
             let lease = self.vms[number].lease.clone();
-            self.ask(
+            self.send_request(
                 number,
                 match lease {
                     Some(lease) => Request::Renew { lease, sent: now },
@@ -317,7 +317,7 @@
         }
         self.poll_peers(number, now);
         if number < CLAIMANTS {
-            self.ask(number, Request::Read);
+            self.send_request(number, Request::Read);
             self.decide(number, now);
         }
     }
@@ -325,7 +325,8 @@
     fn poll_peers(&mut self, number: usize, now: id::Time) {
         for peer in 0..VMS {
             let target = &self.vms[peer];
-            let linked = target.side == self.vms[number].side && target.paused <= self.now;
+            let linked = target.on_store_side == self.vms[number].on_store_side
+                && target.paused_until <= self.now;
             if peer == number || !linked {
                 continue;
             }
@@ -357,9 +358,11 @@
         match vm.book.decide(now, vm.wanted, &witnesses, &lease) {
             share::Step::Idle => {}
             share::Step::Drain { seat } => vm.draining.push(seat),
-            share::Step::Check { owner } => self.ask(number, Request::Check { lease: owner.lease }),
+            share::Step::Check { owner } => {
+                self.send_request(number, Request::Check { lease: owner.lease });
+            }
             share::Step::Propose { expect, seats } => {
-                self.ask(number, Request::Swap { expect, seats });
+                self.send_request(number, Request::Swap { expect, seats });
             }
         }
     }
@@ -369,7 +372,10 @@
         let reachable: Vec<id::Vm> = self
             .vms
             .iter()
-            .filter(|peer| peer.side == self.vms[number].side && peer.paused <= self.now)
+            .filter(|peer| {
+                peer.on_store_side == self.vms[number].on_store_side
+                    && peer.paused_until <= self.now
+            })
             .map(|peer| peer.name.clone())
             .collect();
         let mutation = self.mutation;
@@ -382,7 +388,8 @@
         vm.using = (0..SEATS)
             .filter(|seat| {
                 let allowed = vm.book.until(*seat, now, &vm.grants).is_some();
-                let kept = mutation == Mutation::Reachable && vm.keeps(*seat, now, &reachable);
+                let kept = mutation == Mutation::ReachableMajority
+                    && vm.keeps_with_reachable(*seat, now, &reachable);
                 allowed || kept
             })
             .collect();
@@ -390,7 +397,7 @@
 
     fn count(&mut self) {
         for seat in 0..SEATS {
-            let active = |vm: &&Vm| vm.using.contains(&seat) && vm.paused <= self.now;
+            let active = |vm: &&Vm| vm.using.contains(&seat) && vm.paused_until <= self.now;
             let users = self.vms.iter().filter(active).count() as u64;
             self.tally.uses += users;
             self.tally.conflicts += u64::from(users > 1);
@@ -405,7 +412,7 @@
 }
 
 impl Vm {
-    fn take(&mut self, answer: Answer, now: id::Time, mutation: Mutation, tally: &mut Tally) {
+    fn handle(&mut self, answer: Answer, now: id::Time, mutation: Mutation, tally: &mut Tally) {
         match answer {
             Answer::Granted { lease, sent } => {
                 self.witness.contact(now);
@@ -415,7 +422,7 @@
             }
             Answer::Renewed { lease, sent } => {
                 self.witness.contact(now);
-                let counted = if mutation == Mutation::FromAnswer {
+                let counted = if mutation == Mutation::RenewalFromAnswer {
                     now
                 } else {
                     sent
@@ -446,7 +453,7 @@
     }
 
     /// The mutated rule: goes on with a seat while those in reach testify.
-    fn keeps(&self, seat: seat::Index, now: id::Time, reachable: &[id::Vm]) -> bool {
+    fn keeps_with_reachable(&self, seat: seat::Index, now: id::Time, reachable: &[id::Vm]) -> bool {
         let used = self.using.contains(&seat) && self.book.held().any(|held| held == seat);
         let until = |grant: &grant::Grant| grant.until(reachable);
         used && self.grants.iter().map(until).max() > Some(now)
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -77,9 +77,9 @@
     vm: id::Vm,
     state: revision::State,
     /// When the store was last heard, by this node or one that it heard of.
-    heard: id::Time,
+    store_heard_at: id::Time,
     /// When this node last set out to read the store.
-    tried: id::Time,
+    read_attempted_at: id::Time,
     round: u64,
 }
 
@@ -90,8 +90,8 @@
         Self {
             vm,
             state: revision::State::default(),
-            heard: now,
-            tried: now,
+            store_heard_at: now,
+            read_attempted_at: now,
             round: 0,
         }
     }
@@ -107,7 +107,7 @@
     pub fn report(&self, now: id::Time) -> Report {
         Report {
             digest: self.state.digest(),
-            age: now.saturating_sub(self.heard),
+            age: now.saturating_sub(self.store_heard_at),
         }
     }
 
@@ -118,7 +118,7 @@
         now: id::Time,
         live: &[id::Vm],
     ) -> Vec<Action> {
-        self.heard = now;
+        self.store_heard_at = now;
         file.map_or_else(Vec::new, |file| self.learn(file, live))
     }
 
@@ -151,7 +151,7 @@
 
     /// Answers a peer's report.
     pub fn asked(&mut self, report: &Report, now: id::Time) -> Answer {
-        self.note(report, now);
+        self.record_contact(report, now);
         Answer {
             report: self.report(now),
             file: self.state.newer(&report.digest).cloned(),
@@ -166,7 +166,7 @@
         now: id::Time,
         live: &[id::Vm],
     ) -> Vec<Action> {
-        self.note(&answer.report, now);
+        self.record_contact(&answer.report, now);
         if self.state.newer(&answer.report.digest).is_some() {
             return vec![Action::Push(peer.clone())];
         }
@@ -191,16 +191,21 @@
     pub fn tick(&mut self, now: id::Time, live: &[id::Vm]) -> Vec<Action> {
         self.round += 1;
         let exchange = partner(&self.vm, live, self.round).map(Action::Exchange);
-        let read = silent(&self.vm, self.heard.max(self.tried), now).then_some(Action::Read);
+        let read = silent(
+            &self.vm,
+            self.store_heard_at.max(self.read_attempted_at),
+            now,
+        )
+        .then_some(Action::Read);
         if read.is_some() {
             tracing::info!(vm = %self.vm, "no news of the store, reading it");
-            self.tried = now;
+            self.read_attempted_at = now;
         }
         exchange.into_iter().chain(read).collect()
     }
 
-    fn note(&mut self, report: &Report, now: id::Time) {
-        self.heard = self.heard.max(now.saturating_sub(report.age));
+    fn record_contact(&mut self, report: &Report, now: id::Time) {
+        self.store_heard_at = self.store_heard_at.max(now.saturating_sub(report.age));
     }
 }
 
@@ -241,13 +246,13 @@
         .cloned()
         .collect();
     order.extend(others);
-    let Some(place) = order.iter().position(|other| other == vm) else {
+    let Some(position) = order.iter().position(|other| other == vm) else {
         return Vec::new();
     };
     let others = order[..roots]
         .iter()
-        .filter(|other| place < roots && *other != vm);
-    let children = order.iter().skip(roots + place * FANOUT).take(FANOUT);
+        .filter(|other| position < roots && *other != vm);
+    let children = order.iter().skip(roots + position * FANOUT).take(FANOUT);
     others.chain(children).cloned().collect()
 }
 
@@ -262,10 +267,10 @@
     let own = live.iter().position(|other| other == vm);
     let others = live.len() - usize::from(own.is_some());
     let key = format_compact!("config/exchange/{round}");
-    let place = remainder(placement::score(&key, vm), others)?;
+    let position = remainder(placement::score(&key, vm), others)?;
     // The own place is left out, so that all others are as likely as each other.
-    let skipped = usize::from(own.is_some_and(|own| place >= own));
-    live.get(place + skipped).cloned()
+    let skipped = usize::from(own.is_some_and(|own| position >= own));
+    live.get(position + skipped).cloned()
 }
 
 /// True when there was no news of the store since so long that `vm` reads it itself.
--- a/src/spread/tests.rs
+++ b/src/spread/tests.rs
@@ -37,9 +37,9 @@
 }
 
 /// Nodes, store and network in virtual time.
-struct Net {
+struct Network {
     live: sync::Arc<[id::Vm]>,
-    places: collections::HashMap<id::Vm, usize>,
+    indexes: collections::HashMap<id::Vm, usize>,
     nodes: Vec<spread::Node>,
     queue: collections::BTreeMap<(time::Duration, u64), (usize, Message)>,
     random: fastrand::Rng,
@@ -52,16 +52,16 @@
     reads: u64,
 }
 
-impl Net {
+impl Network {
     fn new(nodes: usize, loss: f64, seed: u64) -> Self {
         let live: sync::Arc<[id::Vm]> = fleet(nodes).into();
         let start = time::Duration::ZERO;
-        let mut net = Self {
+        let mut network = Self {
             nodes: live
                 .iter()
                 .map(|vm| spread::Node::new(vm.clone(), start))
                 .collect(),
-            places: live.iter().cloned().zip(0..).collect(),
+            indexes: live.iter().cloned().zip(0..).collect(),
             live,
             queue: collections::BTreeMap::new(),
             random: fastrand::Rng::with_seed(seed),
@@ -72,17 +72,17 @@
             reads: 0,
         };
         for node in 0..nodes {
-            let first = ms(net.random.u64(..1_000));
-            net.post(first, node, Message::Tick);
+            let first = ms(network.random.u64(..1_000));
+            network.schedule(first, node, Message::Tick);
         }
-        for vm in spread::watchers(&net.live) {
-            let node = net.find(&vm);
-            net.post(spread::WAIT, node, Message::Watch);
+        for vm in spread::watchers(&network.live) {
+            let node = network.index_of(&vm);
+            network.schedule(spread::WAIT, node, Message::Watch);
         }
-        net
+        network
     }
 
-    fn post(&mut self, at: time::Duration, node: usize, message: Message) {
+    fn schedule(&mut self, at: time::Duration, node: usize, message: Message) {
         self.sent += 1;
         self.queue.insert((at, self.sent), (node, message));
     }
@@ -90,7 +90,7 @@
     fn send(&mut self, now: time::Duration, node: usize, message: Message) {
         if self.random.f64() >= self.loss {
             let delay = ms(self.random.u64(1..5));
-            self.post(now + delay, node, message);
+            self.schedule(now + delay, node, message);
         }
     }
 
@@ -102,25 +102,25 @@
             return;
         }
         for vm in spread::watchers(&self.live) {
-            let node = self.find(&vm);
+            let node = self.index_of(&vm);
             self.send(now, node, Message::Store);
         }
     }
 
-    fn find(&self, vm: &id::Vm) -> usize {
-        self.places[vm]
+    fn index_of(&self, vm: &id::Vm) -> usize {
+        self.indexes[vm]
     }
 
-    fn act(&mut self, now: time::Duration, node: usize, actions: Vec<spread::Action>) {
+    fn perform(&mut self, now: time::Duration, node: usize, actions: Vec<spread::Action>) {
         for action in actions {
             match action {
                 spread::Action::Push(vm) => {
                     let file = self.nodes[node].state().file().unwrap().clone();
-                    self.send(now, self.find(&vm), Message::Push(file));
+                    self.send(now, self.index_of(&vm), Message::Push(file));
                 }
                 spread::Action::Exchange(vm) => {
                     let report = self.nodes[node].report(now);
-                    self.send(now, self.find(&vm), Message::Report(node, report));
+                    self.send(now, self.index_of(&vm), Message::Report(node, report));
                 }
                 spread::Action::Read => {
                     self.reads += 1;
@@ -135,11 +135,11 @@
         let before = self.nodes[node].state().digest().revision;
         let actions = match message {
             Message::Tick => {
-                self.post(now + spread::INTERVAL, node, Message::Tick);
+                self.schedule(now + spread::INTERVAL, node, Message::Tick);
                 self.nodes[node].tick(now, &live)
             }
             Message::Watch => {
-                self.post(now + spread::WAIT, node, Message::Watch);
+                self.schedule(now + spread::WAIT, node, Message::Watch);
                 if self.watching {
                     self.send(now, node, Message::Store);
                 }
@@ -161,7 +161,7 @@
             }
         };
         assert!(self.nodes[node].state().digest().revision >= before);
-        self.act(now, node, actions);
+        self.perform(now, node, actions);
     }
 
     fn run(&mut self, until: time::Duration) {
@@ -175,7 +175,7 @@
         }
     }
 
-    fn behind(&self, revision: u64) -> usize {
+    fn count_behind(&self, revision: u64) -> usize {
         self.nodes
             .iter()
             .filter(|node| node.state().digest().revision != revision)
@@ -189,16 +189,16 @@
 #[test]
 fn a_large_fleet_reaches_one_revision_in_time() {
     for seed in 0..3 {
-        let mut net = Net::new(NODES, 0.02, seed);
+        let mut network = Network::new(NODES, 0.02, seed);
         for revision in 1..=3 {
             let at = ms(700 * revision);
-            net.run(at);
-            net.apply(revision, at);
+            network.run(at);
+            network.apply(revision, at);
         }
-        net.run(ms(2_100 + 10_000));
-        assert_eq!(net.behind(3), 0, "seed {seed}");
-        net.run(ms(60_000));
-        assert_eq!(net.reads, 0, "the store was heard of, seed {seed}");
+        network.run(ms(2_100 + 10_000));
+        assert_eq!(network.count_behind(3), 0, "seed {seed}");
+        network.run(ms(60_000));
+        assert_eq!(network.reads, 0, "the store was heard of, seed {seed}");
     }
 }
 
@@ -207,15 +207,15 @@
 // Cause: a healthy exchange between peers says nothing of the store.
 #[test]
 fn others_read_when_the_watchers_lose_the_store() {
-    let mut net = Net::new(NODES, 0.02, 1);
-    net.apply(1, ms(0));
-    net.run(ms(10_000));
-    net.watching = false;
-    net.apply(2, ms(10_000));
-    net.run(ms(10_000) + spread::SILENCE * 2);
-    assert_eq!(net.behind(2), 0);
+    let mut network = Network::new(NODES, 0.02, 1);
+    network.apply(1, ms(0));
+    network.run(ms(10_000));
+    network.watching = false;
+    network.apply(2, ms(10_000));
+    network.run(ms(10_000) + spread::SILENCE * 2);
+    assert_eq!(network.count_behind(2), 0);
     // The first to read spare most of the others.
-    let reads = usize::try_from(net.reads).unwrap();
+    let reads = usize::try_from(network.reads).unwrap();
     assert!(reads < NODES / 2, "{reads} reads");
 }
 
@@ -224,13 +224,13 @@
 // Cause: the file must be had from any peer, not only from the store.
 #[test]
 fn a_node_that_starts_in_an_outage_learns_from_a_peer() {
-    let mut net = Net::new(8, 0.0, 1);
-    net.apply(3, ms(0));
-    net.run(ms(2_000));
-    net.store = None;
-    net.nodes[5] = spread::Node::new(net.live[5].clone(), ms(2_000));
-    net.run(ms(2_000) + spread::INTERVAL * 2);
-    assert_eq!(net.behind(3), 0);
+    let mut network = Network::new(8, 0.0, 1);
+    network.apply(3, ms(0));
+    network.run(ms(2_000));
+    network.store = None;
+    network.nodes[5] = spread::Node::new(network.live[5].clone(), ms(2_000));
+    network.run(ms(2_000) + spread::INTERVAL * 2);
+    assert_eq!(network.count_behind(3), 0);
 }
 
 #[test]
@@ -272,15 +272,15 @@
     assert!(healthy < 1.0);
 
     // Every node is cut off from its peers, for two minutes.
-    let mut net = Net::new(NODES, 1.0, 3);
+    let mut network = Network::new(NODES, 1.0, 3);
     let seconds = 120;
     let mut busiest = 0;
     for second in 1..=seconds {
-        let before = net.reads;
-        net.run(time::Duration::from_secs(second));
-        busiest = cmp::max(busiest, net.reads - before);
+        let before = network.reads;
+        network.run(time::Duration::from_secs(second));
+        busiest = cmp::max(busiest, network.reads - before);
     }
-    assert!(net.reads > 0);
+    assert!(network.reads > 0);
     let busiest = f64::from(u32::try_from(busiest).unwrap());
     assert!(busiest < STORE_READS / 10.0, "{busiest} reads in a second");
 }
