--- a/src/seat.rs
+++ b/src/seat.rs
@@ -1,44 +1,44 @@
-//! Seats of a serving set: the fixed parts that an instance's limits are cut into.
+//! Seats of a group: fixed shares of an instance's connection and statement limits.
 //!
-//! A group has as many seats as `placement::count` says, whoever is alive, and a seat has
-//! at most one user. So the sum over all VMs never exceeds an instance's limits, however
-//! their views of each other differ.
+//! The number of seats is given by `placement::count` and does not depend on which VMs are
+//! live, and a seat has at most one user. The total use by all VMs therefore never exceeds an
+//! instance's limits, even when the VMs disagree on the membership.
 
 use compact_str::CompactString;
 
 use crate::id;
 use crate::store;
 
-/// Number of a seat in its group, from zero.
+/// Zero-based number of a seat within its group.
 pub type Index = usize;
 
-/// A seat with its owner, as stored.
+/// A seat and its owner, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Seat {
-    /// Number of the seat.
+    /// Number of the seat within its group.
     pub seat: Index,
-    /// Owner.
+    /// VM that owns the seat.
     pub vm: id::Vm,
-    /// The owner's process; its successor on the same VM is another owner.
+    /// Incarnation of the owning process; a restarted process on the same VM is a new owner.
     pub incarnation: id::Incarnation,
-    /// The owner's lease; the seat is the owner's for as long as it lives.
+    /// The owner's lease; no other VM may claim the seat while the lease is valid.
     pub lease: store::Lease,
-    /// VMs whose contact with the store decides during an outage.
+    /// VMs whose contact with the store decides whether the seat stays usable in an outage.
     pub witnesses: Vec<id::Vm>,
 }
 
-/// What a seat gives its user at each instance.
+/// Limits that a seat grants its user at each instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Part {
-    /// Connections in all.
+    /// Maximum number of connections, including those for control calls.
     pub connections: usize,
-    /// How many of these are kept for control calls.
+    /// Number of these connections that are reserved for control calls.
     pub control: usize,
-    /// Statements at once.
+    /// Maximum number of concurrent statements.
     pub slots: usize,
 }
 
-/// Key of a group's seats at the store.
+/// Key of a group's seats in the store.
 ///
 /// ```
 /// assert_eq!(mangotray::seat::key("dome-sched-1"), "group/dome-sched-1/seats");
@@ -48,11 +48,12 @@
     compact_str::format_compact!("group/{group}/seats")
 }
 
-/// The seats as stored; an absent value means that all are vacant.
+/// Decodes a stored list of seats. Seats that are not listed are vacant, and so are all seats
+/// if there is no stored value.
 ///
 /// # Errors
 ///
-/// Fails when the value is not a list of seats.
+/// Fails if the value is not a JSON list of seats.
 ///
 /// ```
 /// assert!(mangotray::seat::decode(b"[]").unwrap().is_empty());
@@ -62,11 +63,11 @@
     Ok(serde_json::from_slice(value)?)
 }
 
-/// The value to store for these seats.
+/// Encodes a list of seats as JSON for the store.
 ///
 /// # Errors
 ///
-/// Fails only when memory runs out while writing.
+/// Fails only if memory runs out during serialisation.
 ///
 /// ```
 /// assert_eq!(mangotray::seat::encode(&[]).unwrap(), "[]");
@@ -75,7 +76,8 @@
     Ok(serde_json::to_vec(seats)?.into())
 }
 
-/// Part of an instance's limits that goes with a seat; remainders go to the lower seats.
+/// Share of an instance's limits that belongs to a seat; remainders go to the seats with the
+/// lowest numbers.
 ///
 /// ```
 /// use mangotray::seat;
--- a/src/share.rs
+++ b/src/share.rs
@@ -1,16 +1,19 @@
-//! Who may use the seats of one database group, decided by each VM for itself.
+//! Ownership of the seats of one database group: each VM decides on its own which seats it
+//! may use, so that a seat never has two users.
 //!
-//! Safety, in short. Let `end` be the earliest moment at which the owner's lease may have
-//! ended, and `reach` shorter than `guard` by the clocks' drift.
+//! Let `end` be the earliest time at which the owner's lease may have ended, and let `reach`
+//! be `guard` reduced by the maximum clock drift.
 //!
-//! - The owner uses a seat until `end`, and after it at a time `t` only while a majority
-//!   of the seat's witnesses had no contact with the store between `end` and `t - reach`.
-//! - A claimant that has seen the lease gone waits until all but a minority of the same
-//!   witnesses had contact after that, then writes itself into the record by
-//!   compare-and-swap, then waits for `guard` before it uses the seat.
+//! - The owner uses a seat until `end`. After `end`, it uses the seat at a time `t` only while
+//!   a majority of the seat's witnesses had no contact with the store between `end` and
+//!   `t - reach`.
+//! - A claimant that found the lease gone waits until all but a minority of the same witnesses
+//!   had contact with the store after that. It then writes itself into the record by
+//!   compare-and-swap and waits for `guard` before it uses the seat.
 //!
-//! Both would need one witness that had contact and had none. A seat that its owner gave
-//! back has no user, and may be used at once.
+//! For both to use the seat, at least one witness would have to have had contact and no contact
+//! in the same period, which is impossible. A seat that its owner returned has no user and may
+//! be used at once.
 
 use std::collections;
 
@@ -21,27 +24,27 @@
 use crate::suspect;
 use crate::witness;
 
-/// What to do next about the record of a group's seats.
+/// Next step for the record of a group's seats.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing for now.
+    /// Do nothing until the next call.
     Idle,
-    /// Store `seats` if the record's version is still `expect`, then read it again,
-    /// whatever the answer.
+    /// Store `seats` if the record's version is still `expect`, then read the record again,
+    /// whatever the outcome.
     Propose {
-        /// Version that the proposal rests on.
+        /// Version of the record that the proposal is based on.
         expect: store::Version,
-        /// The whole record.
+        /// The complete new record.
         seats: Vec<seat::Seat>,
     },
-    /// Look at the store whether this owner's lease is gone, then tell `gone`.
+    /// Check at the store whether this owner's lease is gone; if so, call [`Book::gone`].
     Check {
-        /// The owner's entry.
+        /// Entry of the owner to check.
         owner: seat::Seat,
     },
-    /// Start no new work on the seat; tell `drained` when its connections are closed.
+    /// Start no new work on the seat; call [`Book::drained`] when its connections are closed.
     Drain {
-        /// The seat to give back.
+        /// The seat to return.
         seat: seat::Index,
     },
 }
@@ -50,7 +53,7 @@
 enum Stage {
     Held,
     Draining,
-    /// Surely unused; the record is yet to say so.
+    /// No longer used by this VM; the record still names it as the owner.
     Drained,
 }
 
@@ -60,14 +63,14 @@
     stage: Stage,
 }
 
-/// A proposal that may still be stored, even after a call without an answer.
+/// A proposal that may take effect at the store, including one whose call got no answer.
 #[derive(Clone, Debug)]
 struct Proposal {
     entry: seat::Seat,
     usable_from: id::Time,
 }
 
-/// One VM's view of the seats of one group. Times are of this VM's monotonic clock.
+/// One VM's view of the seats of one group. All times are from this VM's monotonic clock.
 ///
 /// ```
 /// use std::time::Duration;
@@ -96,7 +99,7 @@
 }
 
 impl Book {
-    /// A book of a group with so many seats, before the first read.
+    /// Creates the book of a group with `seat_count` seats, before the first read of the record.
     ///
     /// ```
     /// let limits = mangotray::grant::Limits::default();
@@ -107,13 +110,13 @@
     pub fn new(
         vm: id::Vm,
         incarnation: id::Incarnation,
-        seats: usize,
+        seat_count: usize,
         limits: grant::Limits,
     ) -> Self {
         Self {
             vm,
             incarnation,
-            seat_count: seats,
+            seat_count,
             limits,
             version: None,
             record: Vec::new(),
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Takes in the record as read; an answer that was overtaken is dropped.
+    /// Applies a record read from the store; a version older than the known one is ignored.
     pub fn read(&mut self, version: store::Version, record: Vec<seat::Seat>, now: id::Time) {
         if Some(version) < self.version {
             return;
@@ -150,14 +153,14 @@
         self.record = record;
     }
 
-    /// Notes that a foreign owner's lease was found gone by an answer received now.
+    /// Records that another owner's lease was found gone, by an answer received at `answered`.
     pub fn gone(&mut self, lease: &store::Lease, answered: id::Time) {
         self.suspects
             .entry(lease.clone())
             .or_insert_with(|| suspect::Suspect::new(answered));
     }
 
-    /// Notes a witness's testimony, asked for at `asked`.
+    /// Records the report of a witness that was requested at `asked`.
     pub fn report(&mut self, vm: &id::Vm, asked: id::Time, report: witness::Report) {
         let Some(contact) = asked.checked_sub(self.limits.stretch(report.silent)) else {
             return;
@@ -169,15 +172,15 @@
         }
     }
 
-    /// Notes that the platform has destroyed a VM; it will never testify again. Tell it
-    /// before each `decide`, as it counts for the leases seen gone so far.
+    /// Records that the platform has destroyed a VM, which will send no further reports. Call it
+    /// before each `decide`: it applies only to the leases that were found gone so far.
     pub fn destroyed(&mut self, vm: &id::Vm) {
         for suspect in self.suspects.values_mut() {
             suspect.destroyed(vm);
         }
     }
 
-    /// Notes that nothing of this VM uses a seat any more that was to be drained.
+    /// Records that this VM no longer uses a seat that it was told to drain.
     pub fn drained(&mut self, seat: seat::Index) {
         if let Some(own_seat) = self.own_seats.get_mut(&seat)
             && own_seat.stage == Stage::Draining
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Seats that the record gives to this VM and that it does not mean to give back.
+    /// Seats that this VM owns according to the record and is not about to return.
     pub fn held(&self) -> impl Iterator<Item = seat::Index> + '_ {
         self.own_seats
             .iter()
@@ -194,7 +197,7 @@
             .map(|(seat, _)| *seat)
     }
 
-    /// Whether no seat is this VM's in any way, also none that is yet to be given back.
+    /// Whether this VM owns no seat, including seats that are still to be returned.
     ///
     /// ```
     /// let limits = mangotray::grant::Limits::default();
@@ -205,8 +208,8 @@
         self.own_seats.is_empty()
     }
 
-    /// VMs whose testimony matters to this book, to be asked while an outage lasts or
-    /// a lease is gone.
+    /// VMs whose reports this book needs; to be polled during an outage of the store and while
+    /// another owner's lease is gone.
     #[must_use]
     pub fn witnesses(&self) -> collections::BTreeSet<id::Vm> {
         let proposed = self.proposals.iter().map(|proposal| &proposal.entry);
@@ -218,8 +221,8 @@
             .collect()
     }
 
-    /// Until when a seat may be used, or `None` when it may not be used now. By then its
-    /// connections must be closed; ask again after each renewal, report and read.
+    /// Time until which a seat may be used, or `None` if it may not be used at `now`. Its
+    /// connections must be closed by then. Call it again after each renewal, report and read.
     #[must_use]
     pub fn until(
         &self,
@@ -231,7 +234,8 @@
         if own_seat.stage == Stage::Drained || now < own_seat.usable_from {
             return None;
         }
-        // A claimant may go by the entry as known or by one that is being stored.
+        // A claimant may have read the known entry or one of the proposed ones, so the seat is
+        // usable only as long as all of them allow it.
         let proposed = self.proposals.iter().map(|proposal| &proposal.entry);
         let until = self
             .record
@@ -244,8 +248,8 @@
         (now < until).then_some(until)
     }
 
-    /// The next step of a VM that should hold `wanted` seats, under its newest `lease`
-    /// and with these witnesses for what it holds.
+    /// Returns the next step of a VM that should hold `wanted` seats. Its entries are kept up
+    /// to date with its newest `lease` and with `witnesses`.
     pub fn decide(
         &mut self,
         now: id::Time,
@@ -279,8 +283,8 @@
         entry.vm == self.vm && entry.incarnation == self.incarnation
     }
 
-    /// When a seat that has just become this VM's may be used. A proposal that nobody
-    /// remembers gets the whole guard interval.
+    /// Time from which a newly acquired seat may be used. If no proposal for the seat is known,
+    /// the full guard interval applies.
     fn usable_from(&self, seat: seat::Index, now: id::Time) -> id::Time {
         self.proposals
             .iter()
@@ -290,8 +294,8 @@
             .unwrap_or(now + self.limits.guard)
     }
 
-    /// A drained seat whose guard interval has passed. Given back earlier, it would be
-    /// taken for unused while the owner before this VM may still use it.
+    /// A drained seat whose guard interval has passed. If it were returned earlier, another VM
+    /// would use it at once, while the previous owner may still be using it.
     fn returnable_seat(&self, now: id::Time) -> Option<seat::Index> {
         self.own_seats
             .iter()
@@ -339,7 +343,8 @@
             .map_or(Step::Idle, |owner| Step::Check { owner })
     }
 
-    /// Writes this VM into a seat; `usable_from` counts only if it is not its own already.
+    /// Proposes this VM as the owner of a seat. `usable_from` has an effect only if this VM does
+    /// not own the seat yet.
     fn propose(
         &mut self,
         seat: seat::Index,
@@ -362,7 +367,8 @@
         }
     }
 
-    /// One line for each entry: in an outage the same proposal is made again and again.
+    /// Adds a proposal, or updates an equal one: during an outage the same proposal is repeated
+    /// many times and would grow the list.
     fn add_proposal(&mut self, entry: &seat::Seat, usable_from: id::Time) {
         let known = self.proposals.iter_mut().find(|p| p.entry == *entry);
         match known {
--- a/src/share/tests.rs
+++ b/src/share/tests.rs
@@ -36,30 +36,33 @@
     assert!(tally.returns > 0 && tally.outage_uses > 0);
 }
 
-/// Symptom: an instance refuses connections at the end of an outage. Events: an owner
-/// goes on through the outage, the store returns, another takes the seat and uses it.
-/// Cause: the owner's last testimony still holds for a while.
+/// Without the guard interval, an instance refuses connections at the end of an outage. The
+/// owner uses its seat throughout the outage; when the store returns, a claimant takes the seat
+/// over and uses it at once, while the owner still relies on the last reports of its witnesses.
 #[test]
 fn without_the_guard_interval_a_seat_has_two_users() {
     assert!(tally(world::Mutation::NoGuard).conflicts > 0);
 }
 
-/// Symptom: as above, without an outage. Events: the owner sends a renewal, is paused for
-/// a minute, reads the answer. Cause: the lease ended long ago, counted from the sending.
+/// A lease that is counted from the answer to a renewal gives a seat two users without an outage.
+/// The owner sends a renewal, is paused for a minute and then reads the answer; counted from the
+/// sending of the renewal, the lease has already ended.
 #[test]
 fn counting_from_the_answer_gives_two_users() {
     assert!(tally(world::Mutation::RenewalFromAnswer).conflicts > 0);
 }
 
-/// Symptom: as above, in a partition. Events: an owner and some peers lose the store, the
-/// others keep it. Cause: those in reach all testify to an outage that is only theirs.
+/// A majority of only the reachable witnesses gives a seat two users in a partition. The owner
+/// and some peers lose contact with the store while the others keep it; all witnesses that the
+/// owner reaches report an outage that affects only their side.
 #[test]
 fn a_majority_of_those_in_reach_gives_two_users() {
     assert!(tally(world::Mutation::ReachableMajority).conflicts > 0);
 }
 
-/// Symptom: as above, as an outage ends. Events: one VM reaches the store again, before
-/// the owner's witnesses do. Cause: the lease is gone, but the owner cannot know.
+/// A takeover without witnesses gives a seat two users at the end of an outage. A claimant reaches
+/// the store again before the owner's witnesses do and finds the lease gone, which the owner has
+/// no means to detect.
 #[test]
 fn without_witnesses_a_seat_has_two_users() {
     assert!(tally(world::Mutation::NoWitness).conflicts > 0);
@@ -96,7 +99,8 @@
     }
 }
 
-/// A book that has taken over the seat of `a` at 110 s, by a call without an answer.
+/// A book that proposed a takeover of `a`'s seat at 110 s, got no answer to the call and found
+/// itself the owner at 120 s.
 fn taken_over() -> share::Book {
     let mut book = book();
     book.read(1, vec![entry("a", "la", &["w", "x", "y"])], at(100));
@@ -122,9 +126,9 @@
     assert!(book.until(0, at(130), &grants()).is_some());
 }
 
-/// Symptom: a seat has two users. Events: a claimant takes it over, is told to give it
-/// back at once, a third finds it vacant and uses it. Cause: the guard interval, which the
-/// first owner still relies on, was cut short.
+/// Returning a seat within the guard interval gives it two users. A claimant takes the seat over
+/// and has to return it at once; a third VM finds it vacant and uses it, while the first owner
+/// still relies on the guard interval.
 #[test]
 fn a_seat_is_not_given_back_within_the_guard_interval() {
     let mut book = taken_over();
@@ -136,9 +140,9 @@
     assert_eq!(book.until(0, at(131), &grants()), None);
 }
 
-/// Symptom: a seat has two users at the end of an outage. Events: the owner names new
-/// witnesses, the answer is lost, the outage begins. Cause: the claimant asks the new
-/// witnesses while the owner still relies on the old.
+/// An unanswered change of witnesses gives a seat two users at the end of an outage. The owner
+/// proposes new witnesses, the answer is lost and the outage begins; the claimant polls the new
+/// witnesses while the owner still relies on the old ones.
 #[test]
 fn witnesses_in_doubt_have_to_agree_with_the_known_ones() {
     let mut book = book();
--- a/src/share/tests/world.rs
+++ b/src/share/tests/world.rs
@@ -1,5 +1,5 @@
-//! A few VMs and a store in virtual time, with pauses, partitions, outages, lost and late
-//! messages, restarts and clocks that run at different rates.
+//! Simulation of several VMs and a store in virtual time, with pauses, partitions, outages, lost
+//! and delayed messages, restarts and clocks that run at different rates.
 
 use std::time;
 
@@ -10,17 +10,17 @@
 use crate::store;
 use crate::witness;
 
-/// A rule of the protocol left out, to show that it is needed.
+/// A rule of the protocol that is disabled to show that it is necessary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     None,
-    /// A seat is used as soon as it has been taken over.
+    /// A seat is used immediately after a takeover.
     NoGuard,
-    /// A renewal counts from its answer.
+    /// A renewed lease is counted from the answer, not from the sending of the request.
     RenewalFromAnswer,
-    /// The owner asks for a majority of the witnesses in reach, not of all.
+    /// The owner requires a majority of the reachable witnesses instead of all witnesses.
     ReachableMajority,
-    /// A lease that is gone is enough to take a seat over.
+    /// A seat is taken over as soon as its owner's lease is gone, without reports of witnesses.
     NoWitness,
 }
 
@@ -77,7 +77,7 @@
 
 struct Store {
     up: bool,
-    /// Thousandths of real time.
+    /// Clock rate in thousandths of real time.
     rate: u32,
     leases: Vec<Lease>,
     version: u64,
@@ -87,7 +87,7 @@
 struct Vm {
     name: id::Vm,
     incarnation: u64,
-    /// Thousandths of real time.
+    /// Clock rate in thousandths of real time.
     rate: u32,
     on_store_side: bool,
     paused_until: u64,
@@ -100,15 +100,15 @@
     draining: Vec<seat::Index>,
 }
 
-/// What a run has shown; a run in which nothing happens would prove nothing.
+/// Counts of events in a run, used to check that the run exercised the protocol.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub uses: u64,
     pub takeovers: u64,
     pub returns: u64,
-    /// Uses more than a lease and a guard interval into an outage.
+    /// Uses later in an outage than a lease and a guard interval after its start.
     pub outage_uses: u64,
-    /// Moments at which a seat had two users.
+    /// Number of steps in which a seat had more than one user, summed over the seats.
     pub conflicts: u64,
 }
 
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Runs for so many seconds, with a fault every few seconds.
+    /// Runs for `seconds` of virtual time and injects a fault every few seconds.
     pub fn run(&mut self, seconds: u64) {
         let end = self.now + seconds * 1_000;
         while self.now < end {
@@ -196,7 +196,7 @@
         self.down_since = (!self.store.up).then_some(self.now);
     }
 
-    /// The store's side of a partition is `true`.
+    /// Partitions the VMs at random; `true` is the side of the store.
     fn split(&mut self) {
         for vm in &mut self.vms {
             vm.on_store_side = self.random.bool();
@@ -250,7 +250,7 @@
         self.count();
     }
 
-    fn send_request(&mut self, number: usize, body: Request) {
+    fn ask(&mut self, number: usize, body: Request) {
         let due = self.now + self.delay();
         let incarnation = self.vms[number].incarnation;
         self.requests.push(Message {
@@ -302,12 +302,12 @@
         }
     }
 
-    /// What a VM does every second.
+    /// Periodic work of a VM, run once a second.
     fn run_periodic(&mut self, number: usize) {
         let now = self.local(number);
         if self.now / STEP_MS % 15 < 5 {
             let lease = self.vms[number].lease.clone();
-            self.send_request(
+            self.ask(
                 number,
                 match lease {
                     Some(lease) => Request::Renew { lease, sent: now },
@@ -317,7 +317,7 @@
         }
         self.poll_peers(number, now);
         if number < CLAIMANTS {
-            self.send_request(number, Request::Read);
+            self.ask(number, Request::Read);
             self.decide(number, now);
         }
     }
@@ -340,7 +340,7 @@
 
     fn decide(&mut self, number: usize, now: id::Time) {
         let names: Vec<id::Vm> = self.vms.iter().map(|vm| vm.name.clone()).collect();
-        // The set changes now and then, as it does when VMs are replaced.
+        // The set of witnesses changes every minute, as it does when VMs are replaced.
         let skipped = (self.now / 60_000) as usize % VMS;
         let witnesses: Vec<id::Vm> = (0..VMS)
             .filter(|peer| *peer != number && *peer != skipped)
@@ -358,11 +358,9 @@
         match vm.book.decide(now, vm.wanted, &witnesses, &lease) {
             share::Step::Idle => {}
             share::Step::Drain { seat } => vm.draining.push(seat),
-            share::Step::Check { owner } => {
-                self.send_request(number, Request::Check { lease: owner.lease });
-            }
+            share::Step::Check { owner } => self.ask(number, Request::Check { lease: owner.lease }),
             share::Step::Propose { expect, seats } => {
-                self.send_request(number, Request::Swap { expect, seats });
+                self.ask(number, Request::Swap { expect, seats });
             }
         }
     }
@@ -452,7 +450,8 @@
         }
     }
 
-    /// The mutated rule: goes on with a seat while those in reach testify.
+    /// Rule of `ReachableMajority`: a seat stays in use while a majority of the reachable VMs
+    /// reports no contact with the store.
     fn keeps_with_reachable(&self, seat: seat::Index, now: id::Time, reachable: &[id::Vm]) -> bool {
         let used = self.using.contains(&seat) && self.book.held().any(|held| held == seat);
         let until = |grant: &grant::Grant| grant.until(reachable);
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -1,15 +1,15 @@
-//! How a revision of the operators' file reaches every node.
+//! Distribution of the operators' configuration file to all nodes.
 //!
-//! A waiting watch counts as a call at the store, whose rates grow more slowly than the
-//! fleet. So a few nodes watch the store; they push a new revision down a tree, and what
-//! a lost message or a dead node leaves out is made up by periodic exchange between
-//! pairs.
+//! A pending watch counts as a call at the store, whose permitted call rate grows more slowly
+//! than the fleet. Only a few nodes therefore watch the store. They push a new revision down a
+//! tree; nodes that miss it because of a lost message or a dead node get it by a periodic
+//! exchange between pairs of nodes.
 //!
-//! What goes wrong: the watchers lose the store, or a node loses its peers, and an old
-//! file stays in force while all looks well. One notices by the time since anybody heard
-//! the store, which goes along with each exchange. A node for which it grows too long
-//! reads the store itself, at a moment of its own: the first to succeed spares the rest,
-//! and a fleet cut to pieces does not read in step.
+//! If the watchers lose the store, or a node loses its peers, an old file could stay in force
+//! unnoticed. Each exchange therefore carries the time since any node last had an answer from
+//! the store. A node for which this time grows too long reads the store itself, after a delay
+//! with jitter: the first successful read makes most others unnecessary, and nodes that are
+//! cut off from each other do not read at the same time.
 
 use std::cmp;
 use std::time;
@@ -20,45 +20,47 @@
 use crate::placement;
 use crate::revision;
 
-/// Nodes that watch the store; two may be dead or cut off.
+/// Number of nodes that watch the store; two of them may be dead or cut off.
 pub const WATCHERS: usize = 3;
 
-/// Nodes that one node pushes a new revision to.
+/// Number of children in the push tree that a node sends a new revision to.
 pub const FANOUT: usize = 8;
 
-/// Time that one watch waits at the store.
+/// Time after which a watch at the store returns without a change.
 pub const WAIT: time::Duration = time::Duration::from_secs(5);
 
-/// Time between two exchanges of a node.
+/// Time between two exchanges that a node starts.
 pub const INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Time without news of the store after which a node reads it, up to twice that. Longer
-/// than a watch and the rounds of exchange that carry its news through a large fleet.
+/// Time without contact with the store, direct or through peers, after which a node reads the
+/// store itself; jitter extends it to at most twice this time. It exceeds the duration of a watch
+/// plus the exchange rounds that carry its result through a large fleet.
 pub const SILENCE: time::Duration = time::Duration::from_secs(20);
 
-/// Steps in which the moment of such a read is spread.
+/// Number of steps of the jitter that is added to `SILENCE`.
 const JITTER_STEPS: u32 = 1_000;
 
-/// Time of one such step.
+/// Duration of one jitter step.
 const JITTER_STEP: time::Duration = SILENCE.checked_div(JITTER_STEPS).unwrap();
 
-/// What a node is to do next.
+/// An action that the caller carries out for a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the newest file to this VM.
     Push(id::Vm),
-    /// Send the report to this VM and take in its answer.
+    /// Send the node's report to this VM and pass the answer to [`Node::answered`].
     Exchange(id::Vm),
     /// Read the file from the store.
     Read,
 }
 
-/// What a node tells a peer about its file.
+/// State of a node's file, as sent to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Report {
-    /// What it holds.
+    /// Digest of the file that the node holds.
     pub digest: revision::Digest,
-    /// Time since it, or a node that it heard of, last heard the store.
+    /// Time since the last known answer of the store, to this node or to another one whose
+    /// report reached it.
     pub age: time::Duration,
 }
 
@@ -67,24 +69,24 @@
 pub struct Answer {
     /// The answering node's own report.
     pub report: Report,
-    /// Its file, when that is newer than the asking node's.
+    /// The answering node's file, if it is newer than the asking node's.
     pub file: Option<revision::File>,
 }
 
-/// One node's part in the spreading, apart from sockets.
+/// Distribution state of one node, without network I/O.
 #[derive(Clone, Debug)]
 pub struct Node {
     vm: id::Vm,
     state: revision::State,
-    /// When the store was last heard, by this node or one that it heard of.
+    /// Time of the last known answer of the store, to this node or to another one.
     store_heard_at: id::Time,
-    /// When this node last set out to read the store.
+    /// Time of this node's last attempt to read the store.
     read_attempted_at: id::Time,
     round: u64,
 }
 
 impl Node {
-    /// A node that holds nothing yet.
+    /// Creates a node that holds no file yet.
     #[must_use]
     pub fn new(vm: id::Vm, now: id::Time) -> Self {
         Self {
@@ -96,13 +98,13 @@
         }
     }
 
-    /// What the node holds.
+    /// The file that the node holds, with its revision.
     #[must_use]
     pub const fn state(&self) -> &revision::State {
         &self.state
     }
 
-    /// What the node tells its peers.
+    /// The report that the node sends to its peers.
     #[must_use]
     pub fn report(&self, now: id::Time) -> Report {
         Report {
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Takes in what the store answered to a watch or a read.
+    /// Handles the store's answer to a watch or a read.
     pub fn heard(
         &mut self,
         file: Option<&revision::File>,
@@ -122,7 +124,8 @@
         file.map_or_else(Vec::new, |file| self.learn(file, live))
     }
 
-    /// Takes a file in, wherever it came from; a new one is pushed on.
+    /// Handles a file from the store or a peer; a newer file is adopted and pushed to the node's
+    /// targets.
     ///
     /// ```
     /// use std::time;
@@ -137,7 +140,11 @@
         match self.state.offer(file.revision, &file.text) {
             revision::Offer::Adopted => {}
             revision::Offer::Conflict => {
-                tracing::error!(vm = %self.vm, revision = file.revision, "two files, one revision");
+                tracing::error!(
+                    vm = %self.vm,
+                    revision = file.revision,
+                    "configuration files differ at the same revision"
+                );
                 return Vec::new();
             }
             revision::Offer::Stale | revision::Offer::Same => return Vec::new(),
@@ -158,7 +165,7 @@
         }
     }
 
-    /// Takes in the answer of `peer` to an exchange.
+    /// Handles the answer of `peer` to an exchange. A peer with an older file is sent this node's.
     pub fn answered(
         &mut self,
         peer: &id::Vm,
@@ -176,7 +183,7 @@
             .map_or_else(Vec::new, |file| self.learn(file, live))
     }
 
-    /// Decides what to do at a time; to be called once each `INTERVAL`.
+    /// Returns the actions that are due at `now`; to be called once per [`INTERVAL`].
     ///
     /// ```
     /// use std::time;
@@ -198,7 +205,7 @@
         )
         .then_some(Action::Read);
         if read.is_some() {
-            tracing::info!(vm = %self.vm, "no news of the store, reading it");
+            tracing::info!(vm = %self.vm, "no recent contact with the store; reading it");
             self.read_attempted_at = now;
         }
         exchange.into_iter().chain(read).collect()
@@ -209,7 +216,7 @@
     }
 }
 
-/// The VMs that watch the store, of those that are live.
+/// Selects the VMs that watch the store from the live ones.
 ///
 /// ```
 /// let live = ["a", "b", "c", "d"].map(Into::into);
@@ -226,9 +233,9 @@
 
 /// The VMs that `vm` pushes a new revision to.
 ///
-/// The watchers are the roots; they also push to each other, so that one whose watch
-/// works is enough. Each revision orders the other VMs anew, so that a silent VM does
-/// not cut off the same others each time.
+/// The watchers are the roots of the tree. They also push to each other, so that one working
+/// watch is enough. The order of the other VMs changes with each revision, so that an
+/// unresponsive VM does not cut off the same VMs each time.
 ///
 /// ```
 /// let live = ["a", "b", "c", "d"].map(Into::into);
@@ -256,7 +263,8 @@
     others.chain(children).cloned().collect()
 }
 
-/// The VM that `vm` exchanges digests with in a round; changes from round to round.
+/// Selects the VM that `vm` exchanges reports with in a round, by a hash of the round; `None` if
+/// there is no other live VM.
 ///
 /// ```
 /// let live = ["a".into(), "b".into()];
@@ -268,12 +276,12 @@
     let others = live.len() - usize::from(own.is_some());
     let key = format_compact!("config/exchange/{round}");
     let position = remainder(placement::score(&key, vm), others)?;
-    // The own place is left out, so that all others are as likely as each other.
+    // Skips the VM's own position, so that all others are equally likely.
     let skipped = usize::from(own.is_some_and(|own| position >= own));
     live.get(position + skipped).cloned()
 }
 
-/// True when there was no news of the store since so long that `vm` reads it itself.
+/// Whether the last contact with the store, at `since`, is so old that `vm` reads it itself.
 ///
 /// ```
 /// use std::time;
@@ -289,7 +297,7 @@
     now >= since + SILENCE + JITTER_STEP * step
 }
 
-/// Remainder of a score by a count; `None` for a count of zero.
+/// Remainder of `score` divided by `count`; `None` if `count` is zero.
 fn remainder<T: TryFrom<u64>>(score: u64, count: T) -> Option<T>
 where
     u64: TryFrom<T>,
--- a/src/spread/tests.rs
+++ b/src/spread/tests.rs
@@ -7,10 +7,10 @@
 use crate::revision;
 use crate::spread;
 
-/// Nodes of the largest fleet that is planned for.
+/// Number of nodes in the largest planned fleet.
 const NODES: usize = 690;
 
-/// Reads a second that the store handles.
+/// Reads per second that the store can handle.
 const STORE_READS: f64 = 2_000.0;
 
 fn fleet(nodes: usize) -> Vec<id::Vm> {
@@ -23,20 +23,20 @@
     time::Duration::from_millis(millis)
 }
 
-/// A message on its way.
+/// A scheduled event or a message in transit.
 #[derive(Debug)]
 enum Message {
     Tick,
     Push(revision::File),
     Report(usize, spread::Report),
     Answer(usize, spread::Answer),
-    /// A watch at the store that ends.
+    /// End of a watch at the store.
     Watch,
     /// The store's answer to a watch or a read.
     Store,
 }
 
-/// Nodes, store and network in virtual time.
+/// Simulation of nodes, store and network in virtual time.
 struct Network {
     live: sync::Arc<[id::Vm]>,
     indexes: collections::HashMap<id::Vm, usize>,
@@ -45,9 +45,9 @@
     random: fastrand::Rng,
     sent: u64,
     loss: f64,
-    /// What the store answers; nothing while it is down.
+    /// File that the store returns; `None` while the store is down.
     store: Option<revision::File>,
-    /// Whether the watchers reach the store.
+    /// Whether the watchers can reach the store.
     watching: bool,
     reads: u64,
 }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Puts a file in force at the store, which wakes the watchers.
+    /// Stores a new revision, which completes the pending watches.
     fn apply(&mut self, revision: u64, now: time::Duration) {
         let text = compact_str::format_compact!("text {revision}");
         self.store = Some(revision::File { revision, text });
@@ -183,9 +183,9 @@
     }
 }
 
-// Symptom: proxies route by different files long after an apply.
-// Events: one message in fifty is lost, among them some near the tree's root.
-// Cause: a push alone leaves out whole subtrees; exchange has to fill the gaps.
+// Guards against proxies that route by different files long after an apply. One message in fifty
+// is lost, some of them near the root of the tree; a push alone then misses whole subtrees, and
+// the exchange has to reach these nodes.
 #[test]
 fn a_large_fleet_reaches_one_revision_in_time() {
     for seed in 0..3 {
@@ -202,9 +202,9 @@
     }
 }
 
-// Symptom: a revision reaches nobody though the nodes look well connected.
-// Events: the watchers, and only they, lose the store; then a file is put in force.
-// Cause: a healthy exchange between peers says nothing of the store.
+// Guards against a revision that reaches no node although all nodes are connected. Only the
+// watchers lose the store before a file is applied; successful exchanges between peers do not
+// show that any node reaches the store.
 #[test]
 fn others_read_when_the_watchers_lose_the_store() {
     let mut network = Network::new(NODES, 0.02, 1);
@@ -214,14 +214,13 @@
     network.apply(2, ms(10_000));
     network.run(ms(10_000) + spread::SILENCE * 2);
     assert_eq!(network.count_behind(2), 0);
-    // The first to read spare most of the others.
+    // The first reads make those of most other nodes unnecessary.
     let reads = usize::try_from(network.reads).unwrap();
     assert!(reads < NODES / 2, "{reads} reads");
 }
 
-// Symptom: a VM that starts while the platform is down never gets to serve.
-// Events: the store answers nothing; the node's peers hold the file.
-// Cause: the file must be had from any peer, not only from the store.
+// Guards against a VM that starts during an outage of the platform and never serves. The store
+// does not answer, but the node's peers hold the file and have to supply it.
 #[test]
 fn a_node_that_starts_in_an_outage_learns_from_a_peer() {
     let mut network = Network::new(8, 0.0, 1);
@@ -263,7 +262,8 @@
     assert_eq!(spread::watchers(&rest)[..2], watchers[1..]);
 }
 
-// Calls a second at the store, worked out from the decisions themselves.
+// Guards against overload of the store: the call rate is derived from the nodes' decisions, both
+// in normal operation and with all nodes cut off from each other.
 #[test]
 fn the_store_is_spared() {
     let live = fleet(NODES);
@@ -271,7 +271,7 @@
     let healthy = f64::from(u32::try_from(spread::watchers(&live).len()).unwrap()) * per_watch;
     assert!(healthy < 1.0);
 
-    // Every node is cut off from its peers, for two minutes.
+    // Every node is cut off from its peers for two minutes.
     let mut network = Network::new(NODES, 1.0, 3);
     let seconds = 120;
     let mut busiest = 0;
