--- a/src/admission.rs
+++ b/src/admission.rs
@@ -17,13 +17,13 @@
 
 /// Multiple of the average that a sample counts for at the most. A transaction that is
 /// left open keeps its slot for long, and says little about the next request.
-const OUTLIER: u32 = 4;
+const MAX_SAMPLE_FACTOR: u32 = 4;
 
 /// Sample that is never an outlier; an estimate of zero must be able to grow.
-const MIN_SAMPLE: time::Duration = time::Duration::from_millis(1);
+const MIN_SAMPLE_CAP: time::Duration = time::Duration::from_millis(1);
 
 /// Shortest hint for a retry; an estimate of zero must not make callers spin.
-const MIN_RETRY: time::Duration = time::Duration::from_millis(1);
+const MIN_RETRY_DELAY: time::Duration = time::Duration::from_millis(1);
 
 /// Class of a waiting request; the smaller goes first.
 #[derive(
@@ -186,14 +186,14 @@
         if self.running.len() < self.limits.slots {
             return time::Duration::ZERO;
         }
-        self.wait(self.waiting.up_to(priority))
+        self.estimated_wait(self.waiting.up_to(priority))
     }
 
     /// Time at which `expire` should next be called.
     #[must_use]
     pub fn wake(&self) -> Option<id::Time> {
         let earliest = self.waiting.earliest()?;
-        Some(earliest.saturating_sub(self.expected()))
+        Some(earliest.saturating_sub(self.expected_service()))
     }
 
     /// Accepts or refuses a ticket.
@@ -210,10 +210,10 @@
             self.start(ticket.request, now);
             return Verdict::Run;
         }
-        if let Some(retry) = self.excess(&ticket, now) {
+        if let Some(retry) = self.lateness(&ticket, now) {
             return Verdict::Refuse {
                 reason: reason::Reason::Deadline,
-                retry: Some(retry.max(MIN_RETRY)),
+                retry: Some(retry.max(MIN_RETRY_DELAY)),
             };
         }
         self.enqueue(ticket)
@@ -223,7 +223,7 @@
     pub fn release(&mut self, request: id::Request, now: id::Time) -> Change {
         if let Some(at) = self.running.iter().position(|r| r.request == request) {
             let done = self.running.swap_remove(at);
-            self.learn(now.saturating_sub(done.started));
+            self.record_service_time(now.saturating_sub(done.started));
         }
         self.expire(now)
     }
@@ -231,8 +231,8 @@
     /// Refuses what cannot be answered in time any more and fills free slots.
     pub fn expire(&mut self, now: id::Time) -> Change {
         // Compares as `wake` does, so that a call at that time takes something out.
-        let due = self.waiting.due(now + self.expected());
-        let refused = due.into_iter().map(late).collect();
+        let due = self.waiting.due(now + self.expected_service());
+        let refused = due.into_iter().map(deadline_refusal).collect();
         let run = std::iter::from_fn(|| self.dispatch(now)).collect();
         Change { run, refused }
     }
@@ -255,33 +255,33 @@
         });
     }
 
-    fn learn(&mut self, sample: time::Duration) {
+    fn record_service_time(&mut self, sample: time::Duration) {
         let average = self.service.unwrap_or(sample);
-        let sample = sample.min((average * OUTLIER).max(MIN_SAMPLE));
+        let sample = sample.min((average * MAX_SAMPLE_FACTOR).max(MIN_SAMPLE_CAP));
         self.service = Some((average * (SMOOTHING - 1) + sample) / SMOOTHING);
     }
 
-    fn expected(&self) -> time::Duration {
+    fn expected_service(&self) -> time::Duration {
         self.service.unwrap_or_default()
     }
 
     /// Time until a slot is free for a ticket with so many others ahead.
-    fn wait(&self, ahead: usize) -> time::Duration {
+    fn estimated_wait(&self, ahead: usize) -> time::Duration {
         let rounds = u32::try_from(ahead + 1).unwrap_or(u32::MAX);
         let slots = u32::try_from(self.limits.slots.max(1)).unwrap_or(u32::MAX);
-        self.expected().saturating_mul(rounds) / slots
+        self.expected_service().saturating_mul(rounds) / slots
     }
 
     /// By how much the ticket's answer would be late, if so.
-    fn excess(&self, ticket: &Ticket, now: id::Time) -> Option<time::Duration> {
-        let done = now + self.wait(self.waiting.ahead(ticket)) + self.expected();
+    fn lateness(&self, ticket: &Ticket, now: id::Time) -> Option<time::Duration> {
+        let done = now + self.estimated_wait(self.waiting.ahead(ticket)) + self.expected_service();
         (done > ticket.deadline).then(|| done.saturating_sub(ticket.deadline))
     }
 
     fn enqueue(&mut self, ticket: Ticket) -> Verdict {
         let own_full = self.waiting.of(ticket.caller) >= self.limits.per_caller;
         let full = own_full || self.waiting.len() >= self.limits.length;
-        let retry = Some(self.wait(self.waiting.len()).max(MIN_RETRY));
+        let retry = Some(self.estimated_wait(self.waiting.len()).max(MIN_RETRY_DELAY));
         let reason = reason::Reason::Overload;
         let displaced = full
             .then(|| self.waiting.displace(&ticket, own_full))
@@ -309,7 +309,7 @@
     }
 }
 
-fn late(ticket: Ticket) -> Refusal {
+fn deadline_refusal(ticket: Ticket) -> Refusal {
     Refusal {
         ticket,
         reason: reason::Reason::Deadline,
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -225,7 +225,7 @@
     Offer {
         caller: u64,
         class: usize,
-        patience: u64,
+        timeout: u64,
     },
     Release {
         pick: usize,
@@ -242,7 +242,7 @@
 fn steps() -> impl Strategy<Value = Vec<(u64, Step)>> {
     let step = prop_oneof![
         6 => (0..4_u64, 0..3_usize, 0..80_u64)
-            .prop_map(|(caller, class, patience)| Step::Offer { caller, class, patience }),
+            .prop_map(|(caller, class, timeout)| Step::Offer { caller, class, timeout }),
         4 => any::<usize>().prop_map(|pick| Step::Release { pick }),
         1 => any::<u64>().prop_map(|pick| Step::Remove { pick }),
         1 => Just(Step::Expire),
@@ -253,14 +253,14 @@
 
 /// What the queue has said about each ticket, and the bounds that must hold meanwhile.
 #[derive(Default)]
-struct Account {
+struct Model {
     waiting: collections::HashSet<u64>,
     running: Vec<u64>,
     ended: collections::HashSet<u64>,
     slots: usize,
 }
 
-impl Account {
+impl Model {
     fn offered(&mut self, request: u64, verdict: admission::Verdict) {
         match verdict {
             admission::Verdict::Run => self.started(request),
@@ -305,46 +305,46 @@
     #[test]
     fn every_ticket_has_one_final_verdict_and_slots_hold(steps in steps()) {
         let mut queue = queue(2, 6, 3);
-        let mut account = Account { slots: 2, ..Account::default() };
+        let mut model = Model { slots: 2, ..Model::default() };
         let mut now = ms(0);
         let mut offered = 0;
         for (pause, step) in steps {
             now += ms(pause);
             match step {
-                Step::Offer { caller, class, patience } => {
+                Step::Offer { caller, class, timeout } => {
                     offered += 1;
                     let priority = CLASSES[class];
-                    let ticket = admission::Ticket { deadline: now + ms(patience), ..ticket(offered, caller, priority, 0) };
-                    account.offered(offered, queue.offer(ticket, now));
+                    let ticket = admission::Ticket { deadline: now + ms(timeout), ..ticket(offered, caller, priority, 0) };
+                    model.offered(offered, queue.offer(ticket, now));
                 }
-                Step::Release { pick } if !account.running.is_empty() => {
-                    let at = pick % account.running.len();
-                    let request = account.running.swap_remove(at);
-                    account.end(request);
-                    account.changed(&queue.release(request, now));
+                Step::Release { pick } if !model.running.is_empty() => {
+                    let at = pick % model.running.len();
+                    let request = model.running.swap_remove(at);
+                    model.end(request);
+                    model.changed(&queue.release(request, now));
                 }
                 Step::Remove { pick } => {
                     let request = pick % (offered + 1);
-                    let waited = account.waiting.contains(&request);
+                    let waited = model.waiting.contains(&request);
                     prop_assert_eq!(queue.remove(request), waited);
                     if waited {
-                        account.refused(request);
+                        model.refused(request);
                     }
                 }
                 Step::Resize { slots } => {
-                    account.slots = slots;
+                    model.slots = slots;
                     let limits = admission::Limits { slots, length: 6, per_caller: 3 };
-                    account.changed(&queue.resize(limits, now));
+                    model.changed(&queue.resize(limits, now));
                 }
-                Step::Expire | Step::Release { .. } => account.changed(&queue.expire(now)),
+                Step::Expire | Step::Release { .. } => model.changed(&queue.expire(now)),
             }
             prop_assert!(queue.len() <= 6);
-            prop_assert_eq!(queue.len(), account.waiting.len());
-            prop_assert_eq!(queue.running(), account.running.len());
+            prop_assert_eq!(queue.len(), model.waiting.len());
+            prop_assert_eq!(queue.running(), model.running.len());
         }
-        account.changed(&queue.expire(now + ms(1_000)));
-        prop_assert!(account.waiting.is_empty());
-        prop_assert_eq!((account.ended.len() + account.running.len()) as u64, offered);
+        model.changed(&queue.expire(now + ms(1_000)));
+        prop_assert!(model.waiting.is_empty());
+        prop_assert_eq!((model.ended.len() + model.running.len()) as u64, offered);
     }
 
     /// However others behave, a waiting ticket goes after a bounded number of starts.
@@ -375,8 +375,8 @@
 
 const SLOTS: u32 = 3;
 const SERVICE: id::Time = time::Duration::from_millis(10);
-const PATIENCE_MS: u64 = 200;
-const END: id::Time = time::Duration::from_mins(1);
+const TIMEOUT_MS: u64 = 200;
+const DURATION: id::Time = time::Duration::from_mins(1);
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -384,10 +384,10 @@
     Arrival(u64),
 }
 
-type Agenda = collections::BinaryHeap<cmp::Reverse<(id::Time, Event)>>;
+type EventQueue = collections::BinaryHeap<cmp::Reverse<(id::Time, Event)>>;
 
 /// A draw from the exponential distribution.
-fn draw(random: &mut fastrand::Rng, mean: id::Time) -> id::Time {
+fn exponential(random: &mut fastrand::Rng, mean: id::Time) -> id::Time {
     mean.mul_f64(-(1.0 - random.f64()).ln())
 }
 
@@ -396,20 +396,20 @@
 fn goodput(percent: u32, seed: u64) -> u32 {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut queue = queue(SLOTS as usize, 200, 100);
-    let mut agenda = Agenda::new();
+    let mut events = EventQueue::new();
     let mut deadlines = collections::HashMap::new();
     let gap = SERVICE * 100 / percent / SLOTS;
-    agenda.push(cmp::Reverse((ms(0), Event::Arrival(0))));
-    let mut good = 0;
-    while let Some(cmp::Reverse((now, event))) = agenda.pop() {
+    events.push(cmp::Reverse((ms(0), Event::Arrival(0))));
+    let mut in_time = 0;
+    while let Some(cmp::Reverse((now, event))) = events.pop() {
         let started = match event {
             Event::Arrival(request) => {
-                let next = now + draw(&mut random, gap);
-                if next < END {
-                    agenda.push(cmp::Reverse((next, Event::Arrival(request + 1))));
+                let next = now + exponential(&mut random, gap);
+                if next < DURATION {
+                    events.push(cmp::Reverse((next, Event::Arrival(request + 1))));
                 }
                 let priority = CLASSES[random.usize(0..3)];
-                let deadline = now + ms(PATIENCE_MS);
+                let deadline = now + ms(TIMEOUT_MS);
                 deadlines.insert(request, deadline);
                 let ticket = admission::Ticket {
                     deadline,
@@ -419,7 +419,7 @@
                 run.then_some(request).into_iter().collect()
             }
             Event::Done(request) => {
-                good += u32::from(now <= deadlines[&request]);
+                in_time += u32::from(now <= deadlines[&request]);
                 let run = queue.release(request, now).run;
                 run.into_iter()
                     .map(|ticket| ticket.request)
@@ -427,11 +427,11 @@
             }
         };
         for request in started {
-            let done = now + draw(&mut random, SERVICE);
-            agenda.push(cmp::Reverse((done, Event::Done(request))));
+            let done = now + exponential(&mut random, SERVICE);
+            events.push(cmp::Reverse((done, Event::Done(request))));
         }
     }
-    good
+    in_time
 }
 
 /// Symptom: at three times the load nobody gets an answer in time. Events: the queue is
@@ -444,7 +444,7 @@
         println!("answered in time at 50 to 300 % of capacity: {curve:?}");
         let peak = *curve.iter().max().unwrap();
         assert!(curve[5] * 10 >= peak * 9, "{curve:?}");
-        let capacity = END.div_duration_f64(SERVICE) * f64::from(SLOTS);
+        let capacity = DURATION.div_duration_f64(SERVICE) * f64::from(SLOTS);
         assert!(
             f64::from(curve[5]) >= capacity * 0.9,
             "{curve:?} of {capacity}"
--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether a ticket of the same caller and class as this one.
-    fn akin(&self, ticket: &admission::Ticket) -> bool {
+    fn same_caller_and_class(&self, ticket: &admission::Ticket) -> bool {
         self.ticket.caller == ticket.caller && self.ticket.priority == ticket.priority
     }
 }
@@ -102,12 +102,15 @@
     #[must_use]
     pub fn ahead(&self, ticket: &admission::Ticket) -> usize {
         let earlier = |w: &&Waiting| w.ticket.deadline <= ticket.deadline;
-        let own = self.waiting.iter().filter(|w| w.akin(ticket));
+        let own = self
+            .waiting
+            .iter()
+            .filter(|w| w.same_caller_and_class(ticket));
         let before = u64::try_from(own.filter(earlier).count()).unwrap_or(u64::MAX);
         let turn = self.turns[ticket.priority as usize] + 1 + before;
         self.waiting
             .iter()
-            .filter(|w| !w.akin(ticket) || earlier(w))
+            .filter(|w| !w.same_caller_and_class(ticket) || earlier(w))
             .filter(|w| {
                 let key = (w.ticket.priority, w.turn, w.ticket.deadline);
                 key <= (ticket.priority, turn, ticket.deadline)
@@ -119,7 +122,10 @@
     /// caller gets the first of its turns.
     pub fn insert(&mut self, ticket: admission::Ticket) {
         let class = ticket.priority as usize;
-        let own = self.waiting.iter().filter(|w| w.akin(&ticket));
+        let own = self
+            .waiting
+            .iter()
+            .filter(|w| w.same_caller_and_class(&ticket));
         let last = own.map(|w| w.turn).max().unwrap_or_default();
         self.sequence += 1;
         self.waiting.push(Waiting {
@@ -127,7 +133,10 @@
             turn: last.max(self.turns[class]) + 1,
             sequence: self.sequence,
         });
-        let own = self.waiting.iter_mut().filter(|w| w.akin(&ticket));
+        let own = self
+            .waiting
+            .iter_mut()
+            .filter(|w| w.same_caller_and_class(&ticket));
         let mut own: Vec<&mut Waiting> = own.collect();
         let mut turns: Vec<u64> = own.iter().map(|w| w.turn).collect();
         turns.sort_unstable();
@@ -184,13 +193,13 @@
 
     /// The highest waiting class, unless another has been passed over too often.
     fn next_class(&mut self) -> Option<admission::Priority> {
-        let waits = |class: &admission::Priority| {
+        let has_waiting = |class: &admission::Priority| {
             let mut waiting = self.waiting.iter();
             waiting.any(|w| w.ticket.priority == *class)
         };
-        let classes: Vec<admission::Priority> = CLASSES.into_iter().filter(waits).collect();
-        let neglected = |class: &&admission::Priority| self.passed[**class as usize] >= PATIENCE;
-        let chosen = *classes.iter().find(neglected).or(classes.first())?;
+        let classes: Vec<admission::Priority> = CLASSES.into_iter().filter(has_waiting).collect();
+        let passed_over = |class: &&admission::Priority| self.passed[**class as usize] >= PATIENCE;
+        let chosen = *classes.iter().find(passed_over).or(classes.first())?;
         for class in CLASSES {
             let passed = &mut self.passed[class as usize];
             let skipped = class != chosen && classes.contains(&class);
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -28,10 +28,10 @@
     slots: slots::Slots,
     breaker: sync::Mutex<breaker::Breaker>,
     clock: sync::Arc<dyn clock::Clock>,
-    waiting: atomic::AtomicUsize,
-    lent: sync::Arc<atomic::AtomicUsize>,
+    load: atomic::AtomicUsize,
+    checked_out: sync::Arc<atomic::AtomicUsize>,
     share: sync::Mutex<Share>,
-    parked: sync::Mutex<Vec<sync::Weak<Place>>>,
+    parked: sync::Mutex<Vec<sync::Weak<GuardCell>>>,
 }
 
 /// The share as it should be, and what is still to be taken away to get there.
@@ -39,15 +39,15 @@
 struct Share {
     limit: Limit,
     /// Connections to be taken away.
-    excess: usize,
+    excess_connections: usize,
 }
 
 /// Where the connection of an open transaction waits for the caller's next batch.
-type Place = sync::Mutex<Option<Guard>>;
+type GuardCell = sync::Mutex<Option<Guard>>;
 
 /// A connection that waits for its transaction to go on. The pool may close it: the
 /// share it belongs to can end while the caller is silent.
-pub struct Parked(sync::Arc<Place>);
+pub struct Parked(sync::Arc<GuardCell>);
 
 impl Parked {
     /// Takes the connection back; `None` when it has been closed.
@@ -63,7 +63,7 @@
     pub connection: Box<dyn upstream::Connection>,
     /// Held so that the share is respected until the connection is closed.
     permit: async_lock::SemaphoreGuardArc,
-    lent: Lent,
+    checked_out: CheckedOut,
     /// Slot that a writing transaction keeps between its statements. Its next statement
     /// would otherwise wait behind writes that themselves wait, inside the instance, for
     /// locks of this very transaction.
@@ -71,16 +71,16 @@
 }
 
 /// Counts a connection as lent while it lives.
-struct Lent(sync::Arc<atomic::AtomicUsize>);
+struct CheckedOut(sync::Arc<atomic::AtomicUsize>);
 
-impl Lent {
+impl CheckedOut {
     fn new(count: &sync::Arc<atomic::AtomicUsize>) -> Self {
         count.fetch_add(1, atomic::Ordering::Relaxed);
         Self(count.clone())
     }
 }
 
-impl Drop for Lent {
+impl Drop for CheckedOut {
     fn drop(&mut self) {
         self.0.fetch_sub(1, atomic::Ordering::Relaxed);
     }
@@ -110,9 +110,12 @@
             slots: slots::Slots::new(limit.slots, clock.clone()),
             breaker: sync::Mutex::new(breaker::Breaker::new(breaker::Limits::default())),
             clock,
-            waiting: atomic::AtomicUsize::new(0),
-            lent: sync::Arc::default(),
-            share: sync::Mutex::new(Share { limit, excess: 0 }),
+            load: atomic::AtomicUsize::new(0),
+            checked_out: sync::Arc::default(),
+            share: sync::Mutex::new(Share {
+                limit,
+                excess_connections: 0,
+            }),
             parked: sync::Mutex::default(),
         }
     }
@@ -120,20 +123,20 @@
     /// Requests running or waiting before this instance.
     #[must_use]
     pub fn load(&self) -> usize {
-        self.waiting.load(atomic::Ordering::Relaxed)
+        self.load.load(atomic::Ordering::Relaxed)
     }
 
     /// Open working connections.
     #[must_use]
     pub fn open(&self) -> usize {
-        self.lock_idle().len() + self.lent.load(atomic::Ordering::Relaxed)
+        self.lock_idle().len() + self.checked_out.load(atomic::Ordering::Relaxed)
     }
 
     /// Counts a request as load until the result is dropped.
     #[must_use]
     pub fn enter(&self) -> Waiting<'_> {
-        self.waiting.fetch_add(1, atomic::Ordering::Relaxed);
-        Waiting(&self.waiting)
+        self.load.fetch_add(1, atomic::Ordering::Relaxed);
+        Waiting(&self.load)
     }
 
     /// Waits for a slot in the order of the queue.
@@ -178,7 +181,7 @@
         incarnation: Option<id::Incarnation>,
     ) -> Result<Guard, upstream::Failure> {
         let permit = self.connections.acquire_arc().await;
-        let lent = Lent::new(&self.lent);
+        let checked_out = CheckedOut::new(&self.checked_out);
         let connection = match self.take_idle(incarnation) {
             Some(connection) => connection,
             None => self.upstream.open().await?,
@@ -190,7 +193,7 @@
         Ok(Guard {
             connection,
             permit,
-            lent,
+            checked_out,
             slot: None,
         })
     }
@@ -200,42 +203,42 @@
         let Guard {
             connection,
             permit,
-            lent,
+            checked_out,
             slot,
         } = guard;
         drop(slot);
         // Idle before the permit is free, or the next request would open one too many.
         self.lock_idle().push(connection);
-        drop(lent);
+        drop(checked_out);
         drop(permit);
     }
 
     /// Keeps the connection of an open transaction until its next batch.
     #[must_use]
     pub fn park(&self, guard: Guard) -> Parked {
-        let place = sync::Arc::new(sync::Mutex::new(Some(guard)));
+        let cell = sync::Arc::new(sync::Mutex::new(Some(guard)));
         let mut parked = lock(&self.parked);
-        parked.retain(|place| place.strong_count() > 0);
-        parked.push(sync::Arc::downgrade(&place));
-        Parked(place)
+        parked.retain(|cell| cell.strong_count() > 0);
+        parked.push(sync::Arc::downgrade(&cell));
+        Parked(cell)
     }
 
     /// Closes every connection that runs nothing. Open transactions are rolled back.
     pub fn revoke(&self) {
         self.lock_idle().clear();
         let parked = std::mem::take(&mut *lock(&self.parked));
-        for place in parked.iter().filter_map(sync::Weak::upgrade) {
-            drop(lock(&place).take());
+        for cell in parked.iter().filter_map(sync::Weak::upgrade) {
+            drop(lock(&cell).take());
         }
     }
 
     /// Changes the share. More takes effect at once; less as work ends, see `settle`.
     pub fn resize(&self, limit: Limit) {
         let mut share = lock(&self.share);
-        let connections = change(
+        let connections = resize_permits(
             share.limit.connections,
             limit.connections,
-            &mut share.excess,
+            &mut share.excess_connections,
         );
         share.limit = limit;
         drop(share);
@@ -248,12 +251,12 @@
     /// is in use than the share allows.
     pub fn settle(&self) -> bool {
         let mut share = lock(&self.share);
-        share.excess -= forget(&self.connections, share.excess);
+        share.excess_connections -= remove_permits(&self.connections, share.excess_connections);
         let mut idle = self.lock_idle();
-        let lent = self.lent.load(atomic::Ordering::Relaxed);
-        idle.truncate(share.limit.connections.saturating_sub(lent));
+        let checked_out = self.checked_out.load(atomic::Ordering::Relaxed);
+        idle.truncate(share.limit.connections.saturating_sub(checked_out));
         let slots = self.slots.running() <= share.limit.slots;
-        slots && share.excess == 0 && lent <= share.limit.connections
+        slots && share.excess_connections == 0 && checked_out <= share.limit.connections
     }
 
     fn take_idle(
@@ -273,15 +276,15 @@
 }
 
 /// Permits to add at once; a decrease is noted in `excess` instead.
-fn change(old: usize, new: usize, excess: &mut usize) -> usize {
+fn resize_permits(old: usize, new: usize, excess_connections: &mut usize) -> usize {
     let growth = new.saturating_sub(old);
-    let repaid = growth.min(*excess);
-    *excess = *excess - repaid + old.saturating_sub(new);
+    let repaid = growth.min(*excess_connections);
+    *excess_connections = *excess_connections - repaid + old.saturating_sub(new);
     growth - repaid
 }
 
 /// Takes up to `count` free permits away for good.
-fn forget(semaphore: &sync::Arc<async_lock::Semaphore>, count: usize) -> usize {
+fn remove_permits(semaphore: &sync::Arc<async_lock::Semaphore>, count: usize) -> usize {
     let free = (0..count).map_while(|_| semaphore.try_acquire_arc());
     free.map(async_lock::SemaphoreGuardArc::forget).count()
 }
--- a/src/pool/tests.rs
+++ b/src/pool/tests.rs
@@ -17,9 +17,9 @@
 use crate::transaction;
 use crate::upstream;
 
-const SERVICE: time::Duration = time::Duration::from_millis(10);
-const PATIENCE: time::Duration = time::Duration::from_millis(200);
-const LENGTH: time::Duration = time::Duration::from_secs(10);
+const SERVICE_TIME: time::Duration = time::Duration::from_millis(10);
+const TIMEOUT: time::Duration = time::Duration::from_millis(200);
+const DURATION: time::Duration = time::Duration::from_secs(10);
 const LIMIT: pool::Limit = pool::Limit {
     connections: 6,
     slots: 3,
@@ -31,7 +31,7 @@
 
 /// Virtual time: moves on only when no task can run.
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: sync::Mutex<id::Time>,
     sleepers: sync::Mutex<collections::BTreeMap<(id::Time, usize), Wake>>,
     sleeps: atomic::AtomicUsize,
@@ -43,31 +43,31 @@
 #[derive(Default)]
 struct Peak {
     count: atomic::AtomicUsize,
-    most: atomic::AtomicUsize,
+    max: atomic::AtomicUsize,
 }
 
 impl Peak {
     fn enter(&self) {
         let count = self.count.fetch_add(1, atomic::Ordering::SeqCst) + 1;
-        self.most.fetch_max(count, atomic::Ordering::SeqCst);
+        self.max.fetch_max(count, atomic::Ordering::SeqCst);
     }
 
     fn leave(&self) {
         self.count.fetch_sub(1, atomic::Ordering::SeqCst);
     }
 
-    fn most(&self) -> usize {
-        self.most.load(atomic::Ordering::SeqCst)
+    fn max(&self) -> usize {
+        self.max.load(atomic::Ordering::SeqCst)
     }
 }
 
-impl clock::Clock for World {
+impl clock::Clock for Simulation {
     fn now(&self) -> id::Time {
         *self.now.lock().unwrap()
     }
 }
 
-impl World {
+impl Simulation {
     async fn sleep(&self, until: id::Time) {
         let number = self.sleeps.fetch_add(1, atomic::Ordering::SeqCst);
         let (wake, woken) = async_channel::bounded(1);
@@ -76,7 +76,7 @@
     }
 
     /// Runs all tasks to their end.
-    fn drive(&self, executor: &async_executor::Executor<'_>) {
+    fn run_to_completion(&self, executor: &async_executor::Executor<'_>) {
         loop {
             while executor.try_tick() {}
             let next = self.sleepers.lock().unwrap().pop_first();
@@ -92,7 +92,7 @@
 }
 
 /// An instance that takes the same time for each statement.
-struct Instance(sync::Arc<World>);
+struct Instance(sync::Arc<Simulation>);
 
 type Failed = upstream::Failure;
 
@@ -116,7 +116,7 @@
     }
 }
 
-struct Connection(sync::Arc<World>);
+struct Connection(sync::Arc<Simulation>);
 
 impl Drop for Connection {
     fn drop(&mut self) {
@@ -136,7 +136,7 @@
         let run = async {
             self.0.running.enter();
             let now = clock::Clock::now(&*self.0);
-            self.0.sleep(now + SERVICE).await;
+            self.0.sleep(now + SERVICE_TIME).await;
             self.0.running.leave();
             Ok(reply::Reply {
                 frames: vec![],
@@ -150,14 +150,18 @@
 }
 
 /// How one request ended.
-struct End {
+struct Completion {
     ticket: admission::Ticket,
     answered: bool,
     at: id::Time,
 }
 
-async fn request(world: &World, pool: &pool::Pool, ticket: admission::Ticket) -> End {
-    world.sleep(ticket.arrived).await;
+async fn request(
+    simulation: &Simulation,
+    pool: &pool::Pool,
+    ticket: admission::Ticket,
+) -> Completion {
+    simulation.sleep(ticket.arrived).await;
     let slot = pool.slot(ticket).await;
     let answered = slot.is_ok();
     match slot {
@@ -169,10 +173,10 @@
         }
         Err(outcome) => assert!(matches!(outcome, outcome::Outcome::NotRun { .. })),
     }
-    End {
+    Completion {
         ticket,
         answered,
-        at: clock::Clock::now(world),
+        at: clock::Clock::now(simulation),
     }
 }
 
@@ -184,7 +188,7 @@
 ) -> Vec<admission::Ticket> {
     let mut at = 0.0;
     let mut tickets = Vec::new();
-    while at < LENGTH.as_secs_f64() {
+    while at < DURATION.as_secs_f64() {
         at -= (1.0 - random.f64()).ln() / rate;
         let arrived = time::Duration::from_secs_f64(at);
         let number = u64::try_from(tickets.len()).unwrap();
@@ -192,7 +196,7 @@
             request: number,
             caller: callers(number),
             priority: admission::Priority::Fresh,
-            deadline: arrived + PATIENCE,
+            deadline: arrived + TIMEOUT,
             arrived,
         });
     }
@@ -200,28 +204,31 @@
 }
 
 /// Runs requests to their ends; slots and connections are never exceeded.
-fn run(tickets: Vec<admission::Ticket>) -> Vec<End> {
-    let world = sync::Arc::new(World::default());
-    let upstream = sync::Arc::new(Instance(world.clone()));
-    let pool = pool::Pool::new(upstream, LIMIT, world.clone());
-    let (ended, ends) = async_channel::unbounded();
+fn run(tickets: Vec<admission::Ticket>) -> Vec<Completion> {
+    let simulation = sync::Arc::new(Simulation::default());
+    let upstream = sync::Arc::new(Instance(simulation.clone()));
+    let pool = pool::Pool::new(upstream, LIMIT, simulation.clone());
+    let (ended, completions) = async_channel::unbounded();
     let count = tickets.len();
     let executor = async_executor::Executor::new();
     for ticket in tickets {
-        let (world, pool, ended) = (&world, &pool, ended.clone());
-        let task = async move { ended.send(request(world, pool, ticket).await).await };
+        let (simulation, pool, ended) = (&simulation, &pool, ended.clone());
+        let task = async move { ended.send(request(simulation, pool, ticket).await).await };
         executor.spawn(task).detach();
     }
-    world.drive(&executor);
-    assert!(world.running.most() <= LIMIT.slots);
-    assert!(world.connections.most() <= LIMIT.connections);
-    let ends: Vec<End> = std::iter::from_fn(|| ends.try_recv().ok()).collect();
-    assert_eq!(ends.len(), count);
-    ends
+    simulation.run_to_completion(&executor);
+    assert!(simulation.running.max() <= LIMIT.slots);
+    assert!(simulation.connections.max() <= LIMIT.connections);
+    let completions: Vec<Completion> = std::iter::from_fn(|| completions.try_recv().ok()).collect();
+    assert_eq!(completions.len(), count);
+    completions
 }
 
-fn answered(ends: &[End]) -> usize {
-    ends.iter().filter(|end| end.answered).count()
+fn answered(completions: &[Completion]) -> usize {
+    completions
+        .iter()
+        .filter(|completion| completion.answered)
+        .count()
 }
 
 /// Symptom: at three times its load a database answers nobody in time. Events: more
@@ -234,9 +241,13 @@
         let mut load = |factor| run(arrivals(|number| number, CAPACITY * factor, &mut random));
         let peak = [0.8, 1.0, 1.2].map(|factor| answered(&load(factor)));
         let peak = peak.into_iter().max().unwrap();
-        let ends = load(3.0);
-        assert!(answered(&ends) * 10 >= peak * 9, "seed {seed}");
-        assert!(ends.iter().all(|end| end.at <= end.ticket.deadline));
+        let completions = load(3.0);
+        assert!(answered(&completions) * 10 >= peak * 9, "seed {seed}");
+        assert!(
+            completions
+                .iter()
+                .all(|completion| completion.at <= completion.ticket.deadline)
+        );
     }
 }
 
@@ -249,10 +260,18 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let mut tickets = arrivals(|_| 1, CAPACITY * 3.0, &mut random);
         tickets.extend(arrivals(|_| 2, CAPACITY / 10.0, &mut random));
-        let ends = run(tickets);
-        let of = |caller| ends.iter().filter(move |end| end.ticket.caller == caller);
-        assert!(of(2).all(|end| end.answered), "seed {seed}");
-        assert!(of(1).any(|end| !end.answered));
-        assert!(ends.iter().all(|end| end.at <= end.ticket.deadline));
+        let completions = run(tickets);
+        let of = |caller| {
+            completions
+                .iter()
+                .filter(move |completion| completion.ticket.caller == caller)
+        };
+        assert!(of(2).all(|completion| completion.answered), "seed {seed}");
+        assert!(of(1).any(|completion| !completion.answered));
+        assert!(
+            completions
+                .iter()
+                .all(|completion| completion.at <= completion.ticket.deadline)
+        );
     }
 }
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -18,10 +18,10 @@
 use crate::reason;
 
 /// Requests that wait at once before an instance; the queue's searches are linear.
-const LENGTH: usize = 256;
+const MAX_WAITING: usize = 256;
 
 /// Waiting requests of one caller.
-const PER_CALLER: usize = 32;
+const MAX_WAITING_PER_CALLER: usize = 32;
 
 /// Slots of one instance, and the queue before them.
 pub struct Slots(sync::Arc<Shared>);
@@ -33,16 +33,16 @@
 
 struct State {
     queue: admission::Queue,
-    waiters: collections::HashMap<id::Request, async_channel::Sender<Grant>>,
-    last: id::Request,
+    waiters: collections::HashMap<id::Request, async_channel::Sender<Decision>>,
+    last_request: id::Request,
 }
 
 /// What a request is told when its wait ends.
-type Grant = Result<Slot, admission::Refusal>;
+type Decision = Result<Slot, admission::Refusal>;
 
 /// Verdicts that have to reach those who wait. They are sent after the state is unlocked:
 /// a waiter that has gone drops its slot at once, which locks the state again.
-type Post = Vec<(async_channel::Sender<Grant>, Grant)>;
+type Notifications = Vec<(async_channel::Sender<Decision>, Decision)>;
 
 /// Permission to run one statement at the instance; given back on drop.
 pub struct Slot {
@@ -54,7 +54,7 @@
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         self.shared
-            .change(|state| state.queue.release(self.number, now));
+            .apply(|state| state.queue.release(self.number, now));
     }
 }
 
@@ -62,7 +62,7 @@
 struct Waiter<'a> {
     shared: &'a sync::Arc<Shared>,
     number: id::Request,
-    granted: async_channel::Receiver<Grant>,
+    decision: async_channel::Receiver<Decision>,
 }
 
 impl Drop for Waiter<'_> {
@@ -114,7 +114,7 @@
             state: sync::Mutex::new(State {
                 queue: admission::Queue::new(limits(count)),
                 waiters: collections::HashMap::new(),
-                last: 0,
+                last_request: 0,
             }),
         }))
     }
@@ -125,16 +125,16 @@
     /// At once when the queue is full or the deadline cannot be met, and as soon as a
     /// waiting ticket loses its place or cannot be answered in time any more.
     pub async fn acquire(&self, ticket: admission::Ticket) -> Result<Slot, outcome::Outcome> {
-        let waiter = self.0.offer(ticket).map_err(|refusal| refused(&refusal))?;
+        let waiter = self.0.offer(ticket).map_err(|refusal| not_run(&refusal))?;
         let shared = waiter.shared;
         loop {
-            let granted = async { Some(waiter.granted.recv().await) };
+            let decision = async { Some(waiter.decision.recv().await) };
             let expired = async {
-                shared.expiry(waiter.number, ticket.deadline).await;
+                shared.wait_for_expiry(waiter.number, ticket.deadline).await;
                 None
             };
-            match future::or(granted, expired).await {
-                Some(Ok(grant)) => return grant.map_err(|refusal| refused(&refusal)),
+            match future::or(decision, expired).await {
+                Some(Ok(decision)) => return decision.map_err(|refusal| not_run(&refusal)),
                 Some(Err(_)) => unreachable!("a ticket gets its verdict before it is forgotten"),
                 None => self.expire(),
             }
@@ -144,8 +144,7 @@
     /// Changes the number of slots. Fewer take effect as running requests end.
     pub fn resize(&self, count: usize) {
         let now = self.0.clock.now();
-        self.0
-            .change(|state| state.queue.resize(limits(count), now));
+        self.0.apply(|state| state.queue.resize(limits(count), now));
     }
 
     /// Slots that are taken.
@@ -157,7 +156,7 @@
     /// Refuses what cannot be answered in time any more.
     fn expire(&self) {
         let now = self.0.clock.now();
-        self.0.change(|state| state.queue.expire(now));
+        self.0.apply(|state| state.queue.expire(now));
     }
 }
 
@@ -167,19 +166,19 @@
         ticket: admission::Ticket,
     ) -> Result<Waiter<'_>, admission::Refusal> {
         let now = self.clock.now();
-        let (sender, granted) = async_channel::bounded(1);
+        let (sender, decision) = async_channel::bounded(1);
         let mut state = self.lock();
-        state.last += 1;
-        let number = state.last;
+        state.last_request += 1;
+        let number = state.last_request;
         let numbered = admission::Ticket {
             request: number,
             ..ticket
         };
-        let post = match state.queue.offer(numbered, now) {
+        let notifications = match state.queue.offer(numbered, now) {
             admission::Verdict::Run => vec![(sender, Ok(self.slot(number)))],
             admission::Verdict::Wait { displaced } => {
                 state.waiters.insert(number, sender);
-                refusals(&mut state, displaced)
+                refusal_notifications(&mut state, displaced)
             }
             admission::Verdict::Refuse { reason, retry } => {
                 return Err(admission::Refusal {
@@ -193,17 +192,17 @@
         let waiter = Waiter {
             shared: self,
             number,
-            granted,
+            decision,
         };
-        deliver(post);
+        notify(notifications);
         Ok(waiter)
     }
 
     /// Sleeps until the ticket cannot be answered in time any more, for ever once it has
     /// its verdict.
-    async fn expiry(&self, number: id::Request, deadline: id::Time) {
+    async fn wait_for_expiry(&self, number: id::Request, deadline: id::Time) {
         loop {
-            let Some(service) = self.service(number) else {
+            let Some(service) = self.service_if_waiting(number) else {
                 return future::pending().await;
             };
             let now = self.clock.now();
@@ -216,25 +215,25 @@
     }
 
     /// Expected time of service while the ticket still waits.
-    fn service(&self, number: id::Request) -> Option<time::Duration> {
+    fn service_if_waiting(&self, number: id::Request) -> Option<time::Duration> {
         let state = self.lock();
         let service = state.queue.service().unwrap_or_default();
         state.waiters.contains_key(&number).then_some(service)
     }
 
-    fn change(self: &sync::Arc<Self>, step: impl FnOnce(&mut State) -> admission::Change) {
+    fn apply(self: &sync::Arc<Self>, step: impl FnOnce(&mut State) -> admission::Change) {
         let mut state = self.lock();
         let change = step(&mut state);
-        let mut post = refusals(&mut state, change.refused);
+        let mut notifications = refusal_notifications(&mut state, change.refused);
         for ticket in change.run {
             // Made even if nobody waits: then its drop gives the slot back.
             let slot = self.slot(ticket.request);
             let waiter = state.waiters.remove(&ticket.request);
             let sender = waiter.unwrap_or_else(|| async_channel::bounded(1).0);
-            post.push((sender, Ok(slot)));
+            notifications.push((sender, Ok(slot)));
         }
         drop(state);
-        deliver(post);
+        notify(notifications);
     }
 
     fn slot(self: &sync::Arc<Self>, number: id::Request) -> Slot {
@@ -251,41 +250,44 @@
     }
 }
 
-fn refusals(state: &mut State, refused: impl IntoIterator<Item = admission::Refusal>) -> Post {
-    let addressed = |refusal: admission::Refusal| {
+fn refusal_notifications(
+    state: &mut State,
+    refused: impl IntoIterator<Item = admission::Refusal>,
+) -> Notifications {
+    let notification = |refusal: admission::Refusal| {
         let sender = state.waiters.remove(&refusal.ticket.request)?;
         Some((sender, Err(refusal)))
     };
-    refused.into_iter().filter_map(addressed).collect()
+    refused.into_iter().filter_map(notification).collect()
 }
 
-fn deliver(post: Post) {
-    for (sender, grant) in post {
+fn notify(notifications: Notifications) {
+    for (sender, decision) in notifications {
         // Refused when the waiter has gone; a slot in it goes back by its drop.
-        drop(sender.try_send(grant));
+        drop(sender.try_send(decision));
     }
 }
 
 fn limits(slots: usize) -> admission::Limits {
     admission::Limits {
         slots,
-        length: LENGTH,
-        per_caller: PER_CALLER,
+        length: MAX_WAITING,
+        per_caller: MAX_WAITING_PER_CALLER,
     }
 }
 
-fn refused(refusal: &admission::Refusal) -> outcome::Outcome {
+fn not_run(refusal: &admission::Refusal) -> outcome::Outcome {
     let detail = match refusal.reason {
         reason::Reason::Overload => "the queue before the instance is full",
         _ => "the queue before the instance leaves no time for an answer",
     };
-    let retry = refusal.retry.map(spread);
+    let retry = refusal.retry.map(with_jitter);
     outcome::Outcome::not_run(refusal.reason, detail.into(), retry)
 }
 
 /// Lengthens a hint by up to a half, or all who were refused together would come back
 /// together.
-fn spread(retry: time::Duration) -> time::Duration {
+fn with_jitter(retry: time::Duration) -> time::Duration {
     retry.mul_f64(1.0 + 0.5 * fastrand::f64())
 }
 
--- a/src/slots/tests.rs
+++ b/src/slots/tests.rs
@@ -13,7 +13,7 @@
 use crate::slots;
 
 /// Longer than any test takes.
-const LONG: time::Duration = time::Duration::from_mins(10);
+const FAR_DEADLINE: time::Duration = time::Duration::from_mins(10);
 
 fn setup(count: usize) -> (slots::Slots, sync::Arc<clock::Monotonic>) {
     let clock = sync::Arc::new(clock::Monotonic::new());
@@ -31,7 +31,7 @@
 }
 
 fn write() -> admission::Ticket {
-    ticket(admission::Priority::Write, LONG)
+    ticket(admission::Priority::Write, FAR_DEADLINE)
 }
 
 /// Symptom: a caller learns at its deadline of what was decided long before. Events: a
@@ -42,8 +42,8 @@
     let (slots, _) = setup(1);
     async_io::block_on(async {
         let _held = slots.acquire(write()).await.unwrap();
-        let aged = ticket(admission::Priority::Aged, LONG);
-        let mut reads: Vec<_> = (0..slots::PER_CALLER)
+        let aged = ticket(admission::Priority::Aged, FAR_DEADLINE);
+        let mut reads: Vec<_> = (0..slots::MAX_WAITING_PER_CALLER)
             .map(|_| Box::pin(slots.acquire(aged)))
             .collect();
         for read in &mut reads {
