--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,10 +1,11 @@
-//! Bounded, fair, deadline-ordered queue before an instance.
+//! Admission control: a bounded, fair, deadline-ordered queue in front of one instance.
 //!
-//! What goes wrong without it: under overload every request waits a little too long, so
-//! the instance works at full speed on answers that are all late. The queue refuses early
-//! what cannot be in time, as surely not run, and spends the slots on the rest.
+//! Without admission control, every request waits past its deadline under overload, and the
+//! instance spends its full capacity on late answers. The queue therefore refuses early the
+//! requests that cannot be answered in time, which are then known not to have run, and uses the
+//! slots for the others.
 //!
-//! The order in which tickets go is kept by `backlog`.
+//! The module `backlog` determines the order in which waiting tickets get slots.
 
 use std::time;
 
@@ -12,20 +13,20 @@
 use crate::id;
 use crate::reason;
 
-/// Weight of a new sample in the moving average of the service time: one in this many.
+/// A new sample has a weight of 1/`SMOOTHING` in the moving average of the service time.
 const SMOOTHING: u32 = 8;
 
-/// Multiple of the average that a sample counts for at the most. A transaction that is
-/// left open keeps its slot for long, and says little about the next request.
+/// Samples are capped at this multiple of the average. A transaction that is left open holds its
+/// slot for a long time, which says little about the service time of the next request.
 const MAX_SAMPLE_FACTOR: u32 = 4;
 
-/// Sample that is never an outlier; an estimate of zero must be able to grow.
+/// Samples up to this value are never capped, so that an average of zero can grow.
 const MIN_SAMPLE_CAP: time::Duration = time::Duration::from_millis(1);
 
-/// Shortest hint for a retry; an estimate of zero must not make callers spin.
+/// Minimum retry delay given to callers, so that an estimate of zero does not cause a busy loop.
 const MIN_RETRY_DELAY: time::Duration = time::Duration::from_millis(1);
 
-/// Class of a waiting request; the smaller goes first.
+/// Priority class of a request; lower values are served first.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
@@ -35,62 +36,65 @@
     Write,
     /// A read that must see all confirmed writes.
     Fresh,
-    /// A read that accepts data of a stated age.
+    /// A read that accepts data up to a stated age.
     Aged,
 }
 
-/// A request that wants a slot.
+/// A request for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Ticket {
-    /// The request; must be unique among those known to the queue.
+    /// Identifies the request; must be unique among the requests in the queue and in slots.
     pub request: id::Request,
-    /// Who asks; callers get equal turns.
+    /// The caller; within a class, callers are served in turn.
     pub caller: u64,
-    /// Its class.
+    /// Priority class.
     pub priority: Priority,
-    /// When the answer is due.
+    /// Time by which the answer is due.
     pub deadline: id::Time,
-    /// When the request reached this proxy.
+    /// Time at which the request reached this proxy.
     pub arrived: id::Time,
 }
 
 /// Limits of one queue.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Limits {
-    /// Requests that run at once. With none, requests wait for a slot to be granted.
+    /// Maximum number of requests that run at once. With zero, requests wait until `resize` adds
+    /// slots.
     pub slots: usize,
-    /// Requests that wait at once.
+    /// Maximum number of waiting requests.
     pub length: usize,
-    /// Waiting requests of one caller.
+    /// Maximum number of waiting requests of one caller.
     pub per_caller: usize,
 }
 
-/// A ticket that surely did not run and never will.
+/// Refusal of a ticket: its request has not run and will not run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The refused ticket.
     pub ticket: Ticket,
-    /// Why.
+    /// Reason for the refusal.
     pub reason: reason::Reason,
-    /// Estimated time after which a retry may succeed. Whoever passes it on adds jitter.
+    /// Estimated delay after which a retry may succeed, without jitter: the code that passes it
+    /// to callers adds that.
     pub retry: Option<time::Duration>,
 }
 
-/// What becomes of an offered ticket at once.
+/// Immediate result of offering a ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It holds a slot now; `release` must follow.
+    /// The ticket holds a slot; `release` must be called when the request ends.
     Run,
-    /// It waits; a later `release`, `expire` or `offer` gives its final verdict.
+    /// The ticket waits. Its final verdict is returned by a later `release`, `expire`, `resize`
+    /// or `offer`.
     Wait {
-        /// A ticket of a lower class that lost its place to this one.
+        /// Ticket of a lower class that was removed to make room for this one.
         displaced: Option<Refusal>,
     },
-    /// It was not accepted.
+    /// The ticket was not accepted.
     Refuse {
-        /// Why.
+        /// Reason for the refusal.
         reason: reason::Reason,
-        /// Estimated time after which a retry may succeed.
+        /// Estimated delay after which a retry may succeed.
         retry: Option<time::Duration>,
     },
 }
@@ -98,9 +102,9 @@
 /// Final verdicts on tickets that were waiting.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Tickets that hold a slot from now on, in the order they go.
+    /// Tickets that were given a slot, in the order of service.
     pub run: Vec<Ticket>,
-    /// Tickets that cannot be answered in time any more.
+    /// Tickets that can no longer be answered in time.
     pub refused: Vec<Refusal>,
 }
 
@@ -110,7 +114,7 @@
     started: id::Time,
 }
 
-/// The queue before one instance on one proxy.
+/// The queue of one proxy in front of one instance.
 ///
 /// ```
 /// use std::time::Duration;
@@ -139,7 +143,7 @@
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     ///
     /// ```
     /// use mangotray::admission;
@@ -162,13 +166,13 @@
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no ticket waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Number of taken slots.
+    /// Number of slots in use.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
@@ -180,7 +184,7 @@
         self.service
     }
 
-    /// Estimated time until a ticket offered now in this class would get a slot.
+    /// Estimated time until a ticket of this class, offered now, would get a slot.
     #[must_use]
     pub fn delay(&self, priority: Priority) -> time::Duration {
         if self.running.len() < self.limits.slots {
@@ -204,8 +208,8 @@
                 retry: None,
             };
         }
-        // A free slot is never refused on the estimate: when the instance has become
-        // faster again, only a request that runs can show it.
+        // While a slot is free, the estimate is not used to refuse a ticket: after a slow phase
+        // of the instance, only a request that runs can lower the estimate.
         if self.waiting.is_empty() && self.running.len() < self.limits.slots {
             self.start(ticket.request, now);
             return Verdict::Run;
@@ -219,7 +223,7 @@
         self.enqueue(ticket)
     }
 
-    /// Frees the slot of a request; unknown requests change nothing.
+    /// Frees the slot of a request. An unknown request frees no slot.
     pub fn release(&mut self, request: id::Request, now: id::Time) -> Change {
         if let Some(at) = self.running.iter().position(|r| r.request == request) {
             let done = self.running.swap_remove(at);
@@ -228,16 +232,16 @@
         self.expire(now)
     }
 
-    /// Refuses what cannot be answered in time any more and fills free slots.
+    /// Refuses the tickets that can no longer be answered in time and fills free slots.
     pub fn expire(&mut self, now: id::Time) -> Change {
-        // Compares as `wake` does, so that a call at that time takes something out.
+        // Uses the same time as `wake`, so that a call at that time removes at least one ticket.
         let due = self.waiting.due(now + self.expected_service());
         let refused = due.into_iter().map(deadline_refusal).collect();
         let run = std::iter::from_fn(|| self.dispatch(now)).collect();
         Change { run, refused }
     }
 
-    /// Forgets a waiting request whose caller went away; false when it does not wait.
+    /// Removes a waiting request whose caller has gone; returns false if it was not waiting.
     pub fn remove(&mut self, request: id::Request) -> bool {
         self.waiting.remove(request)
     }
@@ -265,14 +269,14 @@
         self.service.unwrap_or_default()
     }
 
-    /// Time until a slot is free for a ticket with so many others ahead.
+    /// Estimated time until a ticket with `ahead` tickets before it gets a slot.
     fn estimated_wait(&self, ahead: usize) -> time::Duration {
         let rounds = u32::try_from(ahead + 1).unwrap_or(u32::MAX);
         let slots = u32::try_from(self.limits.slots.max(1)).unwrap_or(u32::MAX);
         self.expected_service().saturating_mul(rounds) / slots
     }
 
-    /// By how much the ticket's answer would be late, if so.
+    /// Time by which the ticket's answer would miss its deadline; `None` if it would be in time.
     fn lateness(&self, ticket: &Ticket, now: id::Time) -> Option<time::Duration> {
         let done = now + self.estimated_wait(self.waiting.ahead(ticket)) + self.expected_service();
         (done > ticket.deadline).then(|| done.saturating_sub(ticket.deadline))
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -44,7 +44,7 @@
     ticket(request, caller, admission::Priority::Write, due)
 }
 
-/// Order in which the waiting tickets go, one slot at a time.
+/// Releases one slot after the other and returns the order in which waiting tickets got it.
 fn drain(queue: &mut admission::Queue, mut running: u64, now: id::Time) -> Vec<u64> {
     let mut order = Vec::new();
     while let Some(next) = queue.release(running, now).run.first() {
@@ -67,9 +67,8 @@
     assert_eq!(drain(&mut queue, 0, ms(0)), [4, 2, 3, 1]);
 }
 
-/// Symptom: a desk's one booking waits behind a report's hundred. Events: one caller
-/// fills the queue with early deadlines, another asks once. Cause: deadline order alone
-/// lets whoever asks for the earliest deadlines have all the slots.
+/// Guards against a single request waiting behind the many requests of another caller. With
+/// deadline order alone, a caller that fills the queue with early deadlines gets all slots.
 #[test]
 fn one_caller_cannot_hold_back_another() {
     let mut queue = queue(1, 100, 50);
@@ -82,9 +81,9 @@
     assert_eq!(order.iter().position(|request| *request == 99), Some(1));
 }
 
-/// Symptom: a caller with two requests never gets the second answered. Events: ever new
-/// callers arrive, each with one request and an earlier deadline. Cause: newcomers join
-/// the turn that is being served, so that it never ends.
+/// Guards against starvation of a caller's second request while new callers keep arriving, each
+/// with one request and an earlier deadline. It occurs when new callers join the turn that is
+/// being served, so that this turn never ends.
 #[test]
 fn a_flood_of_new_callers_does_not_starve_a_waiting_one() {
     let mut queue = queue(1, 100, 10);
@@ -148,8 +147,8 @@
     assert_eq!(queue.offer(write(4, 2, 1_000), ms(0)), WAIT);
 }
 
-/// Symptom: all answers are late under overload. Events: service takes 10 ms, ten wait,
-/// a request with 50 ms left arrives. Cause: it was queued though it cannot be in time.
+/// Guards against late answers under overload. With a service time of 10 ms and ten waiting
+/// requests, a request with 50 ms left must be refused instead of queued.
 #[test]
 fn what_cannot_be_in_time_is_refused_on_arrival() {
     let mut queue = queue(1, 100, 100);
@@ -165,8 +164,8 @@
     assert_eq!(queue.offer(write(51, 51, 60), ms(10)), WAIT);
 }
 
-/// Symptom: an instance stays refused after a slow spell. Events: one request takes 5 s,
-/// then the instance is fast again. Cause: the estimate refuses all, so no new sample.
+/// Guards against refusals that continue after a slow phase: one request takes 5 s, then the
+/// instance is fast again. If the high estimate refuses every request, no new sample lowers it.
 #[test]
 fn a_slow_sample_does_not_lock_the_queue() {
     let mut queue = queue(1, 10, 10);
@@ -251,7 +250,7 @@
     prop::collection::vec((0..20_u64, step), 1..200)
 }
 
-/// What the queue has said about each ticket, and the bounds that must hold meanwhile.
+/// Verdicts of the queue on each ticket, with the invariants that must hold.
 #[derive(Default)]
 struct Model {
     waiting: collections::HashSet<u64>,
@@ -279,23 +278,35 @@
             self.refused(refusal.ticket.request);
         }
         for ticket in &change.run {
-            assert!(self.waiting.remove(&ticket.request), "ran unasked");
+            assert!(
+                self.waiting.remove(&ticket.request),
+                "a ticket that was not waiting got a slot"
+            );
             self.started(ticket.request);
         }
     }
 
     fn started(&mut self, request: u64) {
         self.running.push(request);
-        assert!(self.running.len() <= self.slots, "too many run");
+        assert!(
+            self.running.len() <= self.slots,
+            "more requests run than there are slots"
+        );
     }
 
     fn refused(&mut self, request: u64) {
-        assert!(self.waiting.remove(&request), "refused what did not wait");
+        assert!(
+            self.waiting.remove(&request),
+            "a ticket that was not waiting was refused"
+        );
         self.end(request);
     }
 
     fn end(&mut self, request: u64) {
-        assert!(self.ended.insert(request), "two verdicts");
+        assert!(
+            self.ended.insert(request),
+            "a ticket got two final verdicts"
+        );
     }
 }
 
@@ -347,7 +358,7 @@
         prop_assert_eq!((model.ended.len() + model.running.len()) as u64, offered);
     }
 
-    /// However others behave, a waiting ticket goes after a bounded number of starts.
+    /// Whatever other callers send, a waiting ticket gets a slot after a bounded number of starts.
     #[test]
     fn nobody_starves(seed in any::<u64>(), class in 0..3_usize) {
         let mut random = fastrand::Rng::with_seed(seed);
@@ -386,13 +397,13 @@
 
 type EventQueue = collections::BinaryHeap<cmp::Reverse<(id::Time, Event)>>;
 
-/// A draw from the exponential distribution.
+/// Random value from the exponential distribution.
 fn exponential(random: &mut fastrand::Rng, mean: id::Time) -> id::Time {
     mean.mul_f64(-(1.0 - random.f64()).ln())
 }
 
-/// Answers in time in a minute of virtual time, at `percent` of the slots' capacity,
-/// with exponential gaps and service times.
+/// Number of answers in time during one minute of virtual time, at a load of `percent` of the
+/// slots' capacity, with exponential interarrival and service times.
 fn goodput(percent: u32, seed: u64) -> u32 {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut queue = queue(SLOTS as usize, 200, 100);
@@ -434,9 +445,8 @@
     in_time
 }
 
-/// Symptom: at three times the load nobody gets an answer in time. Events: the queue is
-/// always full, each request starts just before its deadline. Cause: the slots are spent
-/// on answers that come too late.
+/// Guards against a collapse of goodput at three times the capacity. When the queue is always
+/// full and each request starts just before its deadline, the slots are spent on late answers.
 #[test]
 fn goodput_holds_at_three_times_the_capacity() {
     for seed in 1..=3 {
--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -1,13 +1,14 @@
-//! Waiting tickets of one queue, in the order in which they go.
+//! Waiting tickets of one queue, in the order of service.
 //!
-//! Class first, though a class that was passed over [`PATIENCE`] times gets one turn;
-//! within a class callers take turns; within a turn, and among the tickets of one caller,
-//! the earliest deadline first. `docs/LIMITS.md` weighs this against other orders.
+//! The highest class is served first, but a class that was passed over [`PATIENCE`] times is
+//! served once. Within a class, callers are served in turn (round robin). Within a turn, and
+//! among the tickets of one caller, the earliest deadline is served first. `docs/LIMITS.md`
+//! compares this with other orders.
 
 use crate::admission;
 use crate::id;
 
-/// Turns that the other classes may take before a waiting class gets one.
+/// Number of tickets of other classes that may be served before a waiting class is served once.
 pub const PATIENCE: u32 = 8;
 
 const CLASSES: [admission::Priority; 3] = [
@@ -19,7 +20,7 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     ticket: admission::Ticket,
-    /// Turn of its caller, see `Backlog::turns`.
+    /// Round-robin turn in which the ticket is served, see `Backlog::turns`.
     turn: u64,
     sequence: u64,
 }
@@ -29,14 +30,14 @@
         (self.turn, self.ticket.deadline, self.sequence)
     }
 
-    /// Whether a ticket of the same caller and class as this one.
+    /// Whether both tickets have the same caller and class.
     fn same_caller_and_class(&self, ticket: &admission::Ticket) -> bool {
         self.ticket.caller == ticket.caller && self.ticket.priority == ticket.priority
     }
 }
 
-/// Waiting tickets. Searches are linear: a queue is bounded by a few hundred tickets, as
-/// more could not be answered in time anyway.
+/// Waiting tickets. Searches are linear, since a queue holds at most a few hundred tickets: more
+/// could not be answered in time.
 ///
 /// ```
 /// use std::time::Duration;
@@ -56,11 +57,11 @@
 #[derive(Debug, Default)]
 pub struct Backlog {
     waiting: Vec<Waiting>,
-    /// Turn that was last given out in each class. A caller that joins starts at the next
-    /// turn, never at this one: a flood of new callers would else keep a turn open for
-    /// ever and starve those who wait for the next.
+    /// Turn that was served last in each class. A new caller starts at the next turn: if it joined
+    /// this one, a stream of new callers could keep the turn from ending and starve the
+    /// tickets that wait for the next.
     turns: [u64; CLASSES.len()],
-    /// Tickets of other classes that went while this one waited.
+    /// Per class, tickets of other classes that were served in succession while it waited.
     passed: [u32; CLASSES.len()],
     sequence: u64,
 }
@@ -72,13 +73,13 @@
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no ticket waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Number of waiting tickets of this class and the higher ones.
+    /// Number of waiting tickets of this class and of higher classes.
     #[must_use]
     pub fn up_to(&self, priority: admission::Priority) -> usize {
         let counted = |w: &&Waiting| w.ticket.priority <= priority;
@@ -92,13 +93,13 @@
         self.waiting.iter().filter(counted).count()
     }
 
-    /// Earliest deadline of all.
+    /// Earliest deadline of all waiting tickets.
     #[must_use]
     pub fn earliest(&self) -> Option<id::Time> {
         self.waiting.iter().map(|w| w.ticket.deadline).min()
     }
 
-    /// Number of waiting tickets that would go before this one.
+    /// Number of waiting tickets that would be served before this one, by class, turn and deadline.
     #[must_use]
     pub fn ahead(&self, ticket: &admission::Ticket) -> usize {
         let earlier = |w: &&Waiting| w.ticket.deadline <= ticket.deadline;
@@ -118,8 +119,8 @@
             .count()
     }
 
-    /// Adds a ticket: its caller gets one turn more, and the earliest deadline of the
-    /// caller gets the first of its turns.
+    /// Adds a ticket. Its caller gets one more turn in the class, and the caller's tickets of the
+    /// class are assigned to its turns in order of deadline.
     pub fn insert(&mut self, ticket: admission::Ticket) {
         let class = ticket.priority as usize;
         let own = self
@@ -146,8 +147,8 @@
         }
     }
 
-    /// Takes out the last ticket of a lower class than this one's, only of the same
-    /// caller if `own`.
+    /// Removes the ticket that would be served last among those of a lower class than `ticket`; if
+    /// `own`, among those of the same caller only.
     pub fn displace(&mut self, ticket: &admission::Ticket, own: bool) -> Option<admission::Ticket> {
         let victim = self
             .waiting
@@ -160,14 +161,14 @@
         Some(self.waiting.swap_remove(victim).ticket)
     }
 
-    /// Takes out a request; false when it does not wait.
+    /// Removes a request; returns false if it was not waiting.
     pub fn remove(&mut self, request: id::Request) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|w| w.ticket.request != request);
         self.waiting.len() < before
     }
 
-    /// Takes out all tickets due by then.
+    /// Removes and returns all tickets with a deadline at or before `by`.
     pub fn due(&mut self, by: id::Time) -> Vec<admission::Ticket> {
         self.waiting
             .extract_if(.., |w| w.ticket.deadline <= by)
@@ -175,7 +176,7 @@
             .collect()
     }
 
-    /// Takes out the ticket whose turn it is.
+    /// Removes and returns the next ticket to be served.
     pub fn pop(&mut self) -> Option<admission::Ticket> {
         let class = self.next_class()?;
         let at = self
@@ -191,7 +192,8 @@
         Some(next.ticket)
     }
 
-    /// The highest waiting class, unless another has been passed over too often.
+    /// The highest waiting class, unless a class has been passed over [`PATIENCE`] times. Updates
+    /// the counts of passed-over classes.
     fn next_class(&mut self) -> Option<admission::Priority> {
         let has_waiting = |class: &admission::Priority| {
             let mut waiting = self.waiting.iter();
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,4 +1,4 @@
-//! Working connections to one instance.
+//! Connection pool of one instance.
 
 use std::sync;
 use std::sync::atomic;
@@ -11,16 +11,16 @@
 use crate::slots;
 use crate::upstream;
 
-/// Connections and execution slots of one instance that this proxy may use.
+/// This proxy's share of the connections and execution slots of one instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Limit {
-    /// Working connections; the control connection is not among them.
+    /// Maximum number of working connections; the control connection is not counted.
     pub connections: usize,
-    /// Statements at once.
+    /// Maximum number of statements that run at once.
     pub slots: usize,
 }
 
-/// Pool of working connections to one instance, within this proxy's share.
+/// Pool of working connections to one instance, limited to this proxy's share.
 pub struct Pool {
     upstream: sync::Arc<dyn upstream::Upstream>,
     idle: sync::Mutex<Vec<Box<dyn upstream::Connection>>>,
@@ -34,43 +34,43 @@
     parked: sync::Mutex<Vec<sync::Weak<GuardCell>>>,
 }
 
-/// The share as it should be, and what is still to be taken away to get there.
+/// The target share, and the number of permits still to be removed to reach it.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     limit: Limit,
-    /// Connections to be taken away.
+    /// Connection permits still to be removed.
     excess_connections: usize,
 }
 
-/// Where the connection of an open transaction waits for the caller's next batch.
+/// Holds the connection of an open transaction until the caller's next batch.
 type GuardCell = sync::Mutex<Option<Guard>>;
 
-/// A connection that waits for its transaction to go on. The pool may close it: the
-/// share it belongs to can end while the caller is silent.
+/// Connection of an open transaction between two batches. The pool may close it, since the share
+/// it belongs to can end while the caller is idle.
 pub struct Parked(sync::Arc<GuardCell>);
 
 impl Parked {
-    /// Takes the connection back; `None` when it has been closed.
+    /// Returns the connection; `None` if the pool has closed it.
     #[must_use]
     pub fn resume(self) -> Option<Guard> {
         lock(&self.0).take()
     }
 }
 
-/// A connection that is checked out; closed on drop unless it was put back.
+/// A checked-out connection; closed on drop unless it was put back.
 pub struct Guard {
-    /// The connection itself.
+    /// The upstream connection.
     pub connection: Box<dyn upstream::Connection>,
-    /// Held so that the share is respected until the connection is closed.
+    /// Counts the connection against the share until it is closed or put back.
     permit: async_lock::SemaphoreGuardArc,
     checked_out: CheckedOut,
-    /// Slot that a writing transaction keeps between its statements. Its next statement
-    /// would otherwise wait behind writes that themselves wait, inside the instance, for
-    /// locks of this very transaction.
+    /// Slot that a writing transaction keeps between its statements. Otherwise its next statement
+    /// could wait for a slot behind writes that wait in the instance for locks of this same
+    /// transaction.
     pub slot: Option<slots::Slot>,
 }
 
-/// Counts a connection as lent while it lives.
+/// Counts a connection as checked out until dropped.
 struct CheckedOut(sync::Arc<atomic::AtomicUsize>);
 
 impl CheckedOut {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Counts one request before the instance while it lives.
+/// Counts one request as load of the instance until dropped.
 pub struct Waiting<'a>(&'a atomic::AtomicUsize);
 
 impl Drop for Waiting<'_> {
@@ -96,7 +96,7 @@
 }
 
 impl Pool {
-    /// A pool before `upstream` with the given share.
+    /// Creates a pool of connections to `upstream`, limited to the given share.
     #[must_use]
     pub fn new(
         upstream: sync::Arc<dyn upstream::Upstream>,
@@ -120,46 +120,47 @@
         }
     }
 
-    /// Requests running or waiting before this instance.
+    /// Number of requests that run on or wait for this instance.
     #[must_use]
     pub fn load(&self) -> usize {
         self.load.load(atomic::Ordering::Relaxed)
     }
 
-    /// Open working connections.
+    /// Number of open working connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.lock_idle().len() + self.checked_out.load(atomic::Ordering::Relaxed)
     }
 
-    /// Counts a request as load until the result is dropped.
+    /// Counts a request as load until the returned guard is dropped.
     #[must_use]
     pub fn enter(&self) -> Waiting<'_> {
         self.load.fetch_add(1, atomic::Ordering::Relaxed);
         Waiting(&self.load)
     }
 
-    /// Waits for a slot in the order of the queue.
+    /// Waits for a slot in the order of the admission queue.
     ///
     /// # Errors
-    /// When the queue refuses the ticket: it surely did not run.
+    /// Fails if the queue refuses the ticket; the request has then not run.
     pub async fn slot(&self, ticket: admission::Ticket) -> Result<slots::Slot, outcome::Outcome> {
         self.slots.acquire(ticket).await
     }
 
-    /// Whether the breaker lets a request through now.
+    /// Whether the circuit breaker admits a request now.
     #[must_use]
     pub fn passes(&self) -> bool {
         lock(&self.breaker).passes(self.clock.now())
     }
 
-    /// Leave from the breaker for one request, whose result is to be recorded.
+    /// Permit of the circuit breaker for one request, whose result must be passed to `record`;
+    /// `None` if the breaker does not admit it.
     #[must_use]
     pub fn permit(&self) -> Option<breaker::Permit> {
         lock(&self.breaker).permit(self.clock.now())
     }
 
-    /// Records the result of a request with the breaker.
+    /// Records the result of a request in the circuit breaker.
     pub fn record(&self, permit: breaker::Permit, success: bool) {
         let now = self.clock.now();
         let mut breaker = lock(&self.breaker);
@@ -170,12 +171,12 @@
         }
     }
 
-    /// Checks a connection out, opening one when none is idle. A connection to an
-    /// earlier incarnation of the instance is closed, since the instance may have
-    /// lost records that the caller must see.
+    /// Checks out an idle connection, or opens one if none is idle. Idle connections to another
+    /// incarnation of the instance are closed, since the instance may have lost records that the
+    /// caller must see.
     ///
     /// # Errors
-    /// When a new connection cannot be opened.
+    /// Fails if a new connection cannot be opened or belongs to another incarnation.
     pub async fn checkout(
         &self,
         incarnation: Option<id::Incarnation>,
@@ -198,7 +199,7 @@
         })
     }
 
-    /// Takes back a connection whose last batch was answered whole.
+    /// Returns a connection to the pool; its last batch must have been answered completely.
     pub fn put_back(&self, guard: Guard) {
         let Guard {
             connection,
@@ -207,7 +208,8 @@
             slot,
         } = guard;
         drop(slot);
-        // Idle before the permit is free, or the next request would open one too many.
+        // The connection becomes idle before its permit is released: otherwise the next request
+        // would open one connection too many.
         self.lock_idle().push(connection);
         drop(checked_out);
         drop(permit);
@@ -223,7 +225,7 @@
         Parked(cell)
     }
 
-    /// Closes every connection that runs nothing. Open transactions are rolled back.
+    /// Closes all idle and parked connections. Their open transactions are rolled back.
     pub fn revoke(&self) {
         self.lock_idle().clear();
         let parked = std::mem::take(&mut *lock(&self.parked));
@@ -232,7 +234,8 @@
         }
     }
 
-    /// Changes the share. More takes effect at once; less as work ends, see `settle`.
+    /// Changes the share. An increase takes effect at once, a decrease as requests end, see
+    /// `settle`.
     pub fn resize(&self, limit: Limit) {
         let mut share = lock(&self.share);
         let connections = resize_permits(
@@ -247,8 +250,8 @@
         self.settle();
     }
 
-    /// Takes away what is free of a share that has become smaller. True when no more
-    /// is in use than the share allows.
+    /// Removes free permits and idle connections that exceed a reduced share. Returns true if no
+    /// more connections and slots are in use than the share allows.
     pub fn settle(&self) -> bool {
         let mut share = lock(&self.share);
         share.excess_connections -= remove_permits(&self.connections, share.excess_connections);
@@ -275,7 +278,7 @@
     }
 }
 
-/// Permits to add at once; a decrease is noted in `excess` instead.
+/// Number of permits to add at once; a decrease is added to `excess_connections` instead.
 fn resize_permits(old: usize, new: usize, excess_connections: &mut usize) -> usize {
     let growth = new.saturating_sub(old);
     let repaid = growth.min(*excess_connections);
@@ -283,7 +286,7 @@
     growth - repaid
 }
 
-/// Takes up to `count` free permits away for good.
+/// Permanently removes up to `count` free permits and returns the number removed.
 fn remove_permits(semaphore: &sync::Arc<async_lock::Semaphore>, count: usize) -> usize {
     let free = (0..count).map_while(|_| semaphore.try_acquire_arc());
     free.map(async_lock::SemaphoreGuardArc::forget).count()
--- a/src/pool/tests.rs
+++ b/src/pool/tests.rs
@@ -24,12 +24,12 @@
     connections: 6,
     slots: 3,
 };
-/// Requests a second that the slots can serve.
+/// Requests per second that the slots can serve.
 const CAPACITY: f64 = 300.0;
 
 type Wake = async_channel::Sender<()>;
 
-/// Virtual time: moves on only when no task can run.
+/// Simulation in virtual time, which advances only when no task can run.
 #[derive(Default)]
 struct Simulation {
     now: sync::Mutex<id::Time>,
@@ -39,7 +39,7 @@
     running: Peak,
 }
 
-/// Count of something at once, and the most it has been.
+/// Concurrency counter with its maximum.
 #[derive(Default)]
 struct Peak {
     count: atomic::AtomicUsize,
@@ -75,7 +75,7 @@
         woken.recv().await.unwrap();
     }
 
-    /// Runs all tasks to their end.
+    /// Runs all tasks to completion.
     fn run_to_completion(&self, executor: &async_executor::Executor<'_>) {
         loop {
             while executor.try_tick() {}
@@ -91,7 +91,7 @@
     }
 }
 
-/// An instance that takes the same time for each statement.
+/// Instance with a constant service time.
 struct Instance(sync::Arc<Simulation>);
 
 type Failed = upstream::Failure;
@@ -149,7 +149,7 @@
     }
 }
 
-/// How one request ended.
+/// Result of one request.
 struct Completion {
     ticket: admission::Ticket,
     answered: bool,
@@ -180,7 +180,8 @@
     }
 }
 
-/// Requests of one caller at random times.
+/// Requests with exponential interarrival times at `rate` per second; `callers` gives the caller
+/// of each request number.
 fn arrivals(
     callers: impl Fn(u64) -> u64,
     rate: f64,
@@ -203,7 +204,7 @@
     tickets
 }
 
-/// Runs requests to their ends; slots and connections are never exceeded.
+/// Runs all requests and asserts that the limits of slots and connections were kept.
 fn run(tickets: Vec<admission::Ticket>) -> Vec<Completion> {
     let simulation = sync::Arc::new(Simulation::default());
     let upstream = sync::Arc::new(Instance(simulation.clone()));
@@ -231,9 +232,9 @@
         .count()
 }
 
-/// Symptom: at three times its load a database answers nobody in time. Events: more
-/// requests come than the slots can serve, for longer than a deadline. Cause: each waits
-/// a little too long, and the slots are spent on answers that are late.
+/// Guards against a collapse of goodput at three times the capacity. When more requests arrive
+/// than the slots can serve, for longer than a deadline, each waits past its deadline and the
+/// slots are spent on late answers.
 #[test]
 fn overload_keeps_the_goodput_and_nobody_is_answered_late() {
     for seed in 1..=3 {
@@ -251,9 +252,8 @@
     }
 }
 
-/// Symptom: one desk's program keeps all others from their flights. Events: one caller
-/// sends three times what the instance can serve, another a request now and then. Cause:
-/// whoever has more requests waiting gets more of the slots.
+/// Guards against one caller starving another. One sends three times what the instance can serve,
+/// the other a tenth of it. Without turns, a caller with more waiting requests gets more slots.
 #[test]
 fn a_flooding_caller_does_not_starve_another() {
     for seed in 1..=3 {
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -1,7 +1,7 @@
-//! Waiting for one of an instance's slots.
+//! Asynchronous acquisition of an instance's execution slots.
 //!
-//! The order and the refusals are decided by `admission`; this module only wakes whoever
-//! a decision concerns.
+//! The module `admission` decides on order and refusals; this module notifies the waiting tasks
+//! of its decisions.
 
 use std::collections;
 use std::sync;
@@ -17,13 +17,13 @@
 use crate::outcome;
 use crate::reason;
 
-/// Requests that wait at once before an instance; the queue's searches are linear.
+/// Maximum number of requests that wait for one instance; the queue's searches are linear.
 const MAX_WAITING: usize = 256;
 
-/// Waiting requests of one caller.
+/// Maximum number of waiting requests of one caller.
 const MAX_WAITING_PER_CALLER: usize = 32;
 
-/// Slots of one instance, and the queue before them.
+/// Execution slots of one instance, with the queue for them.
 pub struct Slots(sync::Arc<Shared>);
 
 struct Shared {
@@ -37,14 +37,14 @@
     last_request: id::Request,
 }
 
-/// What a request is told when its wait ends.
+/// Final decision on a request: a slot or a refusal.
 type Decision = Result<Slot, admission::Refusal>;
 
-/// Verdicts that have to reach those who wait. They are sent after the state is unlocked:
-/// a waiter that has gone drops its slot at once, which locks the state again.
+/// Decisions to be sent to waiters. They are sent after the state is unlocked: if the waiter has
+/// gone, its slot is dropped at once, which locks the state again.
 type Notifications = Vec<(async_channel::Sender<Decision>, Decision)>;
 
-/// Permission to run one statement at the instance; given back on drop.
+/// Permission to run on the instance; released on drop.
 pub struct Slot {
     shared: sync::Arc<Shared>,
     number: id::Request,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A ticket that waits; forgotten when the caller goes away.
+/// A ticket that waits; removed from the queue on drop, when the caller has gone.
 struct Waiter<'a> {
     shared: &'a sync::Arc<Shared>,
     number: id::Request,
@@ -74,8 +74,8 @@
     }
 }
 
-/// The ticket of a batch. Its number is drawn by the queue: those of forwarded batches
-/// are unique only on the proxy they come from.
+/// Creates the ticket of a batch. [`Slots::acquire`] replaces its request number, since the
+/// numbers of forwarded batches are unique only on the proxy that sent them.
 ///
 /// ```
 /// use std::time::Duration;
@@ -106,7 +106,7 @@
 }
 
 impl Slots {
-    /// As many free slots.
+    /// Creates `count` free slots.
     #[must_use]
     pub fn new(count: usize, clock: sync::Arc<dyn clock::Clock>) -> Self {
         Self(sync::Arc::new(Shared {
@@ -122,8 +122,8 @@
     /// Waits for a slot.
     ///
     /// # Errors
-    /// At once when the queue is full or the deadline cannot be met, and as soon as a
-    /// waiting ticket loses its place or cannot be answered in time any more.
+    /// Fails at once if the queue is full or the deadline cannot be met; fails later if the waiting
+    /// ticket is displaced or can no longer be answered in time.
     pub async fn acquire(&self, ticket: admission::Ticket) -> Result<Slot, outcome::Outcome> {
         let waiter = self.0.offer(ticket).map_err(|refusal| not_run(&refusal))?;
         let shared = waiter.shared;
@@ -135,25 +135,25 @@
             };
             match future::or(decision, expired).await {
                 Some(Ok(decision)) => return decision.map_err(|refusal| not_run(&refusal)),
-                Some(Err(_)) => unreachable!("a ticket gets its verdict before it is forgotten"),
+                Some(Err(_)) => unreachable!("a decision is sent before the sender is dropped"),
                 None => self.expire(),
             }
         }
     }
 
-    /// Changes the number of slots. Fewer take effect as running requests end.
+    /// Changes the number of slots. A decrease takes effect as running requests end.
     pub fn resize(&self, count: usize) {
         let now = self.0.clock.now();
         self.0.apply(|state| state.queue.resize(limits(count), now));
     }
 
-    /// Slots that are taken.
+    /// Number of slots in use.
     #[must_use]
     pub fn running(&self) -> usize {
         self.0.lock().queue.running()
     }
 
-    /// Refuses what cannot be answered in time any more.
+    /// Refuses the tickets that can no longer be answered in time and fills free slots.
     fn expire(&self) {
         let now = self.0.clock.now();
         self.0.apply(|state| state.queue.expire(now));
@@ -198,8 +198,8 @@
         Ok(waiter)
     }
 
-    /// Sleeps until the ticket cannot be answered in time any more, for ever once it has
-    /// its verdict.
+    /// Sleeps until the ticket can no longer be answered in time. Never returns once the ticket
+    /// has its decision.
     async fn wait_for_expiry(&self, number: id::Request, deadline: id::Time) {
         loop {
             let Some(service) = self.service_if_waiting(number) else {
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Expected time of service while the ticket still waits.
+    /// Expected service time; `None` if the ticket no longer waits.
     fn service_if_waiting(&self, number: id::Request) -> Option<time::Duration> {
         let state = self.lock();
         let service = state.queue.service().unwrap_or_default();
@@ -226,7 +226,7 @@
         let change = step(&mut state);
         let mut notifications = refusal_notifications(&mut state, change.refused);
         for ticket in change.run {
-            // Made even if nobody waits: then its drop gives the slot back.
+            // Created even without a waiter: dropping it then releases the slot.
             let slot = self.slot(ticket.request);
             let waiter = state.waiters.remove(&ticket.request);
             let sender = waiter.unwrap_or_else(|| async_channel::bounded(1).0);
@@ -263,7 +263,7 @@
 
 fn notify(notifications: Notifications) {
     for (sender, decision) in notifications {
-        // Refused when the waiter has gone; a slot in it goes back by its drop.
+        // Fails if the waiter has gone; the slot is then released on drop.
         drop(sender.try_send(decision));
     }
 }
@@ -285,8 +285,8 @@
     outcome::Outcome::not_run(refusal.reason, detail.into(), retry)
 }
 
-/// Lengthens a hint by up to a half, or all who were refused together would come back
-/// together.
+/// Adds up to 50 % of jitter to a retry delay, so that callers refused at the same time do not
+/// retry at the same time.
 fn with_jitter(retry: time::Duration) -> time::Duration {
     retry.mul_f64(1.0 + 0.5 * fastrand::f64())
 }
--- a/src/slots/tests.rs
+++ b/src/slots/tests.rs
@@ -12,7 +12,7 @@
 use crate::reason;
 use crate::slots;
 
-/// Longer than any test takes.
+/// Deadline later than the end of any test.
 const FAR_DEADLINE: time::Duration = time::Duration::from_mins(10);
 
 fn setup(count: usize) -> (slots::Slots, sync::Arc<clock::Monotonic>) {
@@ -34,9 +34,8 @@
     ticket(admission::Priority::Write, FAR_DEADLINE)
 }
 
-/// Symptom: a caller learns at its deadline of what was decided long before. Events: a
-/// full queue gives the place of an aged read to a write. Cause: the ticket that lost
-/// its place was not told.
+/// Guards against a refusal that reaches the caller only at its deadline: in a full queue a write
+/// displaces an aged read, and the displaced ticket is not notified.
 #[test]
 fn a_displaced_ticket_is_answered_at_once() {
     let (slots, _) = setup(1);
@@ -87,9 +86,9 @@
     });
 }
 
-/// Symptom: an instance's slots dwindle until nothing runs. Events: a caller goes away
-/// while it waits, or between the grant of its slot and its next step. Cause: the slot
-/// was granted to nobody and never given back.
+/// Guards against leaked slots, which accumulate until nothing runs: a caller goes away while it
+/// waits, or after its slot was granted and before its task is polled, and the slot is never
+/// released.
 #[test]
 fn a_caller_that_goes_away_leaves_no_slot_behind() {
     let (slots, _) = setup(1);
