--- a/src/cancel.rs
+++ b/src/cancel.rs
@@ -23,14 +23,14 @@
 #[derive(Debug, Default)]
 struct Inner {
     next: atomic::AtomicI32,
-    keys: hash_map::RandomState,
+    hasher: hash_map::RandomState,
     sessions: papaya::HashMap<Pid, (Secret, Sender<()>)>,
 }
 
 impl Inner {
     /// A keyed hash: whoever knows some secrets cannot work out the others.
     fn secret(&self, number: i32) -> Secret {
-        let hash = self.keys.hash_one(number).to_le_bytes();
+        let hash = self.hasher.hash_one(number).to_le_bytes();
         Secret::from_le_bytes([hash[0], hash[1], hash[2], hash[3]])
     }
 }
--- a/src/forward.rs
+++ b/src/forward.rs
@@ -58,8 +58,8 @@
     #[must_use]
     pub fn endpoint(&self, address: net::SocketAddr) -> sync::Arc<endpoint::Endpoint> {
         let endpoints = self.endpoints.pin();
-        let new = || sync::Arc::new(endpoint::Endpoint::new(address, self.means.clone()));
-        endpoints.get_or_insert_with(address, new).clone()
+        let new_endpoint = || sync::Arc::new(endpoint::Endpoint::new(address, self.means.clone()));
+        endpoints.get_or_insert_with(address, new_endpoint).clone()
     }
 
     /// Forgets peers that are no longer among the live VMs; their connections end
@@ -103,14 +103,14 @@
         match answer {
             Ok(reply) if reply.transaction == transaction::State::Idle => Self::Idle,
             Ok(_) => Self::Pinned,
-            Err(outcome::Outcome::Unknown { .. }) if ends(class) => Self::Idle,
+            Err(outcome::Outcome::Unknown { .. }) if ends_transaction(class) => Self::Idle,
             Err(_) if pinned => Self::Pinned,
             Err(_) => Self::Idle,
         }
     }
 }
 
-fn ends(class: class::Class) -> bool {
+fn ends_transaction(class: class::Class) -> bool {
     matches!(class, class::Class::Commit | class::Class::Rollback)
 }
 
@@ -128,22 +128,22 @@
     }
 
     async fn forward(&mut self, batch: batch::Batch) -> peer::Answer {
-        self.recover();
+        self.discard_interrupted();
         if self.state == State::Lost {
-            self.acknowledge(batch.class)?;
+            self.resolve_lost(batch.class)?;
         }
         let pinned = self.state == State::Pinned;
         self.state = State::Busy { pinned };
         if pinned {
-            return self.stay(&batch).await;
+            return self.forward_pinned(&batch).await;
         }
-        let answer = self.roam(&batch).await;
+        let answer = self.forward_unpinned(&batch).await;
         self.state = State::after(false, batch.class, &answer);
         answer
     }
 
     /// Gives up a session whose last run was dropped half way.
-    fn recover(&mut self) {
+    fn discard_interrupted(&mut self) {
         if let State::Busy { pinned } = self.state {
             self.place = None;
             self.state = if pinned { State::Lost } else { State::Idle };
@@ -152,8 +152,8 @@
 
     /// Lets the caller end a lost transaction. A commit ends it too, but is refused:
     /// a fresh session would report success for a commit of nothing.
-    fn acknowledge(&mut self, class: class::Class) -> Result<(), outcome::Outcome> {
-        if ends(class) {
+    fn resolve_lost(&mut self, class: class::Class) -> Result<(), outcome::Outcome> {
+        if ends_transaction(class) {
             self.state = State::Idle;
         }
         match class {
@@ -163,19 +163,19 @@
     }
 
     /// Runs a batch of an open transaction where the transaction is.
-    async fn stay(&mut self, batch: &batch::Batch) -> peer::Answer {
+    async fn forward_pinned(&mut self, batch: &batch::Batch) -> peer::Answer {
         let attempt = self.attempt(batch).await;
-        let gone = resend::ended(&attempt);
+        let session_ended = resend::ended(&attempt);
         let answer = attempt.unwrap_or_else(|failure| {
             Err(match failure {
                 dial::Failure::Unsent => resend::lost(),
                 _ => resend::unknown(failure),
             })
         });
-        if gone {
+        if session_ended {
             self.place = None;
         }
-        self.state = match (gone, ends(batch.class)) {
+        self.state = match (session_ended, ends_transaction(batch.class)) {
             (true, true) => State::Idle,
             (true, false) => State::Lost,
             (false, _) => State::after(true, batch.class, &answer),
@@ -185,11 +185,11 @@
 
     /// Runs a batch outside of a transaction at the first member that takes it,
     /// round by round until the deadline.
-    async fn roam(&mut self, batch: &batch::Batch) -> peer::Answer {
+    async fn forward_unpinned(&mut self, batch: &batch::Batch) -> peer::Answer {
         let mut last = resend::no_server();
         loop {
             let members = self.directory.members(&self.database);
-            match self.round(batch, &members, last).await {
+            match self.try_members(batch, &members, last).await {
                 resend::Verdict::Done(answer) => return answer,
                 resend::Verdict::Next(outcome) => last = outcome,
             }
@@ -202,7 +202,7 @@
     }
 
     /// Tries each member at most once.
-    async fn round(
+    async fn try_members(
         &mut self,
         batch: &batch::Batch,
         members: &[Member],
@@ -214,7 +214,7 @@
                 break;
             };
             tried[index] = true;
-            match self.visit(batch, &members[index]).await {
+            match self.try_member(batch, &members[index]).await {
                 resend::Verdict::Next(outcome) => last = outcome,
                 done @ resend::Verdict::Done(_) => return done,
             }
@@ -239,11 +239,11 @@
         choice.member
     }
 
-    async fn visit(&mut self, batch: &batch::Batch, member: &Member) -> resend::Verdict {
-        let attempt = if self.enter(member).await {
+    async fn try_member(&mut self, batch: &batch::Batch, member: &Member) -> resend::Verdict {
+        let attempt = if self.connect(member).await {
             self.attempt(batch).await
         } else {
-            report(batch, &member.vm, "unreachable");
+            record_attempt(batch, &member.vm, "unreachable");
             Err(dial::Failure::Unsent)
         };
         let unanswered = attempt.is_err();
@@ -257,7 +257,7 @@
     }
 
     /// Makes the member the session's place, unless it already is.
-    async fn enter(&mut self, member: &Member) -> bool {
+    async fn connect(&mut self, member: &Member) -> bool {
         let place = self.place.as_ref();
         if place.is_some_and(|place| place.is_at(member.address)) {
             return true;
@@ -273,7 +273,7 @@
         let now = self.pool.now();
         let place = self.place.as_mut().ok_or(dial::Failure::Unsent)?;
         let attempt = place.run(&self.database, batch, now).await;
-        report(batch, place.vm(), label(&attempt));
+        record_attempt(batch, place.vm(), result_label(&attempt));
         attempt
     }
 
@@ -288,7 +288,7 @@
     }
 }
 
-fn label(attempt: &resend::Attempt) -> &'static str {
+fn result_label(attempt: &resend::Attempt) -> &'static str {
     match attempt {
         Ok(Ok(_)) => "done",
         Ok(Err(_)) => "refused",
@@ -298,7 +298,7 @@
     }
 }
 
-fn report(batch: &batch::Batch, vm: &id::Vm, result: &'static str) {
+fn record_attempt(batch: &batch::Batch, vm: &id::Vm, result: &'static str) {
     metrics::counter!(telemetry::FORWARDS, "result" => result).increment(1);
     tracing::debug!(
         target: "mangotray::forward",
--- a/src/group.rs
+++ b/src/group.rs
@@ -25,10 +25,10 @@
 use crate::upstream;
 
 /// Time between two looks at whether the reserved term is still of use.
-const RESERVE_EVERY: std::time::Duration = std::time::Duration::from_secs(2);
+const RESERVE_CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
 /// Age of answers up to which an instance counts as reachable for routing.
-const REACHABLE_WITHIN: std::time::Duration = std::time::Duration::from_secs(1);
+const REACHABLE_MAX_AGE: std::time::Duration = std::time::Duration::from_secs(1);
 
 /// What a group's runtime is made of.
 pub struct Parts {
@@ -82,14 +82,14 @@
         let rank = sync::Arc::new(atomic::AtomicU32::new(parts.rank));
         let declaration = arc_swap::ArcSwap::from_pointee(parts.declaration.clone());
         let declaration = sync::Arc::new(declaration);
-        let failover = succession(&parts, &watch, &rank, &declaration);
+        let failover = build_failover(&parts, &watch, &rank, &declaration);
         let tally = failover.tally.clone();
-        let mut tasks = probes(&parts, &watch);
+        let mut tasks = spawn_probes(&parts, &watch);
         tasks.push(parts.executor.spawn(failover.run()));
         tasks.push(
             parts
                 .executor
-                .spawn(reserve(parts.terms.clone(), watch.clone())),
+                .spawn(keep_term_reserved(parts.terms.clone(), watch.clone())),
         );
         let pools = parts
             .upstreams
@@ -178,7 +178,7 @@
     /// Whether a majority of the instances answers this proxy.
     #[must_use]
     pub fn reachable(&self) -> bool {
-        let since = self.clock.now().saturating_sub(REACHABLE_WITHIN);
+        let since = self.clock.now().saturating_sub(REACHABLE_MAX_AGE);
         self.watch.board().reachable(since)
     }
 
@@ -230,7 +230,7 @@
     ) -> Option<id::Index> {
         let candidates: Vec<_> = (0..self.pools.len())
             .filter(|index| !failed.contains(index))
-            .filter(|index| of_present_term(board, *index))
+            .filter(|index| in_leader_term(board, *index))
             .map(|index| self.candidate(board, index))
             .collect();
         route::read(floor, board.leader(), &candidates)
@@ -242,9 +242,9 @@
         let declaration = self.declaration();
         let board = self.watch.board();
         let leader = board.leader();
-        let ahead = leader.and_then(|leader| board.status(leader.index));
+        let leader_status = leader.and_then(|leader| board.status(leader.index));
         let instances = (0..self.pools.len())
-            .map(|index| self.instance_status(&board, index, ahead))
+            .map(|index| self.instance_status(&board, index, leader_status))
             .collect();
         admin::Group {
             name: declaration.name.clone(),
@@ -261,20 +261,21 @@
         &self,
         board: &board::Board,
         index: id::Index,
-        ahead: Option<status::Status>,
+        leader_status: Option<status::Status>,
     ) -> admin::Instance {
         let seen = &board.seen()[index];
         let status = seen.last.map(|last| last.status);
         let lag = status
-            .zip(ahead)
-            .filter(|(status, ahead)| status.stamp.term == ahead.stamp.term);
+            .zip(leader_status)
+            .filter(|(status, leader)| status.stamp.term == leader.stamp.term);
         admin::Instance {
             name: self.declaration().instances[index].name.clone(),
             role: status.map(|status| status.role),
             stamp: status.map(|status| status.stamp).unwrap_or_default(),
             fence: status.map_or(0, |status| status.fence),
-            lag_records: lag
-                .map(|(status, ahead)| ahead.stamp.position.saturating_sub(status.stamp.position)),
+            lag_records: lag.map(|(status, leader)| {
+                leader.stamp.position.saturating_sub(status.stamp.position)
+            }),
             reachable: status.is_some() && seen.failures == 0,
             connections: self.pools[index].open(),
             busy: self.pools[index].load(),
@@ -300,7 +301,7 @@
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
 
-fn probes(parts: &Parts, watch: &sync::Arc<probe::Watch>) -> Vec<async_executor::Task<()>> {
+fn spawn_probes(parts: &Parts, watch: &sync::Arc<probe::Watch>) -> Vec<async_executor::Task<()>> {
     let upstreams = parts.upstreams.iter().enumerate();
     upstreams
         .map(|(index, upstream)| {
@@ -312,7 +313,7 @@
         .collect()
 }
 
-fn succession(
+fn build_failover(
     parts: &Parts,
     watch: &sync::Arc<probe::Watch>,
     rank: &sync::Arc<atomic::AtomicU32>,
@@ -335,7 +336,7 @@
 
 /// Keeps a term above all known ones reserved, for promotions while the store is down.
 /// After a promotion by anybody the old reservation is of no use.
-async fn reserve(terms: sync::Arc<term::Registry>, watch: sync::Arc<probe::Watch>) {
+async fn keep_term_reserved(terms: sync::Arc<term::Registry>, watch: sync::Arc<probe::Watch>) {
     loop {
         let known = watch.board().highest_fence();
         if terms.held().is_none_or(|held| held <= known)
@@ -343,13 +344,13 @@
         {
             tracing::info!(?failure, "no term could be reserved in advance");
         }
-        async_io::Timer::after(enrol::jittered(RESERVE_EVERY)).await;
+        async_io::Timer::after(enrol::jittered(RESERVE_CHECK_INTERVAL)).await;
     }
 }
 
 /// Whether an instance's log has reached the leader's term. The tail of a replaced
 /// primary may pass for fresh, though it holds records that nobody will confirm.
-fn of_present_term(board: &board::Board, index: id::Index) -> bool {
+fn in_leader_term(board: &board::Board, index: id::Index) -> bool {
     let term = board.status(index).map(|status| status.stamp.term);
     board
         .leader()
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -16,19 +16,19 @@
 use crate::upstream;
 
 /// Heartbeat of a group that has seen requests lately or has a failing instance.
-const ACTIVE_HEARTBEAT: time::Duration = time::Duration::from_millis(100);
+const ACTIVE_HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
 /// Heartbeat of an idle group; bounds the control traffic at the target size.
-const IDLE_HEARTBEAT: time::Duration = time::Duration::from_millis(500);
+const IDLE_HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// How long after its last request a group counts as active.
-const ACTIVE_FOR: time::Duration = time::Duration::from_secs(5);
+const ACTIVE_WINDOW: time::Duration = time::Duration::from_secs(5);
 
 /// Least time between the starts of two probes of one instance.
-const PACE: time::Duration = time::Duration::from_millis(1);
+const MIN_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(1);
 
 /// Least time between two probes of an instance that fails.
-const FAILED_PACE: time::Duration = time::Duration::from_millis(40);
+const MIN_FAILED_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(40);
 
 /// Observations of one group, with those who wait for them.
 pub struct Watch {
@@ -36,8 +36,8 @@
     clock: sync::Arc<dyn clock::Clock>,
     changed: event_listener::Event,
     demand: event_listener::Event,
-    wanted: atomic::AtomicU64,
-    requested: atomic::AtomicU64,
+    wanted_since: atomic::AtomicU64,
+    last_request: atomic::AtomicU64,
 }
 
 impl Watch {
@@ -49,8 +49,8 @@
             clock,
             changed: event_listener::Event::new(),
             demand: event_listener::Event::new(),
-            wanted: atomic::AtomicU64::new(0),
-            requested: atomic::AtomicU64::new(0),
+            wanted_since: atomic::AtomicU64::new(0),
+            last_request: atomic::AtomicU64::new(0),
         }
     }
 
@@ -63,13 +63,13 @@
     /// Notes that a request has come, which quickens the heartbeat.
     pub fn touch(&self) {
         let now = nanos(self.clock.now());
-        self.requested.fetch_max(now, atomic::Ordering::Relaxed);
+        self.last_request.fetch_max(now, atomic::Ordering::Relaxed);
     }
 
     /// Asks for a probe of every instance that starts at or after `since`.
     pub fn want(&self, since: id::Time) {
         let since = nanos(since);
-        if self.wanted.fetch_max(since, atomic::Ordering::AcqRel) < since {
+        if self.wanted_since.fetch_max(since, atomic::Ordering::AcqRel) < since {
             self.demand.notify(usize::MAX);
         }
     }
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Waits for any news, at most `patience`.
-    pub async fn news(&self, patience: time::Duration) {
-        wait(self.changed.listen(), patience).await;
+    /// Waits for any news, at most `timeout`.
+    pub async fn news(&self, timeout: time::Duration) {
+        wait(self.changed.listen(), timeout).await;
     }
 
     /// Notes an answered probe.
@@ -134,18 +134,22 @@
                 }
                 Err(_) => self.failed(index),
             }
-            let pace = if failed { FAILED_PACE } else { PACE };
-            async_io::Timer::after((started + pace).saturating_sub(finished)).await;
-            self.rest(started).await;
+            let min_interval = if failed {
+                MIN_FAILED_PROBE_INTERVAL
+            } else {
+                MIN_PROBE_INTERVAL
+            };
+            async_io::Timer::after((started + min_interval).saturating_sub(finished)).await;
+            self.wait_for_next_probe(started).await;
         }
     }
 
-    async fn rest(&self, started: id::Time) {
+    async fn wait_for_next_probe(&self, started: id::Time) {
         loop {
             let listener = self.demand.listen();
             let elapsed = self.clock.now().saturating_sub(started);
-            let heartbeat = self.heartbeat();
-            let wanted = self.wanted.load(atomic::Ordering::Acquire) > nanos(started);
+            let heartbeat = self.heartbeat_interval();
+            let wanted = self.wanted_since.load(atomic::Ordering::Acquire) > nanos(started);
             if wanted || elapsed >= heartbeat {
                 return;
             }
@@ -153,10 +157,10 @@
         }
     }
 
-    fn heartbeat(&self) -> time::Duration {
-        let requested = self.requested.load(atomic::Ordering::Relaxed);
+    fn heartbeat_interval(&self) -> time::Duration {
+        let requested = self.last_request.load(atomic::Ordering::Relaxed);
         let quiet = nanos(self.clock.now()).saturating_sub(requested);
-        let active = requested > 0 && quiet < nanos(ACTIVE_FOR);
+        let active = requested > 0 && quiet < nanos(ACTIVE_WINDOW);
         let failing = self
             .board
             .load()
@@ -164,9 +168,9 @@
             .iter()
             .any(|seen| seen.failures > 0);
         if active || failing {
-            ACTIVE_HEARTBEAT
+            ACTIVE_HEARTBEAT_INTERVAL
         } else {
-            IDLE_HEARTBEAT
+            IDLE_HEARTBEAT_INTERVAL
         }
     }
 
@@ -180,9 +184,9 @@
     }
 }
 
-async fn wait(listener: event_listener::EventListener, patience: time::Duration) {
+async fn wait(listener: event_listener::EventListener, timeout: time::Duration) {
     let timer = async {
-        async_io::Timer::after(patience).await;
+        async_io::Timer::after(timeout).await;
     };
     future::or(listener, timer).await;
 }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -20,7 +20,7 @@
 use crate::transaction;
 
 /// Time between two looks at whether the group has come into service.
-const START_POLL: time::Duration = time::Duration::from_millis(20);
+const START_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// How far a lane may go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 }
 
 /// Where the session's batches go at present.
-enum Way {
+enum Target {
     Direct(sync::Arc<group::Group>, direct::Lane),
     Forward(forward::Lane),
 }
@@ -42,9 +42,9 @@
     directory: sync::Arc<directory::Directory>,
     database: CompactString,
     reach: Reach,
-    way: Option<Way>,
-    open: bool,
-    forwarded: Option<sync::Arc<()>>,
+    target: Option<Target>,
+    in_transaction: bool,
+    forwarded_guard: Option<sync::Arc<()>>,
 }
 
 type Answer = Result<reply::Reply, outcome::Outcome>;
@@ -57,38 +57,39 @@
             directory,
             database: database.into(),
             reach,
-            way: None,
-            open: false,
-            forwarded: None,
+            target: None,
+            in_transaction: false,
+            forwarded_guard: None,
         }
     }
 
     async fn relay(&mut self, batch: batch::Batch) -> Answer {
         if self.reach == Reach::Here {
-            if !self.open && self.directory.draining() {
+            if !self.in_transaction && self.directory.draining() {
                 return Err(draining());
             }
-            self.forwarded.get_or_insert_with(|| self.directory.enter());
+            self.forwarded_guard
+                .get_or_insert_with(|| self.directory.enter());
         }
-        if !self.open {
-            self.choose();
+        if !self.in_transaction {
+            self.choose_target();
             self.await_start(&batch).await;
         }
-        let answer = match &mut self.way {
-            Some(Way::Direct(_, lane)) => lane::Lane::run(lane, batch).await,
-            Some(Way::Forward(lane)) => lane::Lane::run(lane, batch).await,
+        let answer = match &mut self.target {
+            Some(Target::Direct(_, lane)) => lane::Lane::run(lane, batch).await,
+            Some(Target::Forward(lane)) => lane::Lane::run(lane, batch).await,
             None => Err(not_served()),
         };
-        let open = answer
+        let in_transaction = answer
             .as_ref()
             .is_ok_and(|reply| reply.transaction != transaction::State::Idle);
-        if answer.is_err() && self.open {
+        if answer.is_err() && self.in_transaction {
             // The transaction is over: what is left of it ends with the lane.
-            self.way = None;
+            self.target = None;
         }
-        self.open = open;
-        if !open {
-            self.forwarded = None;
+        self.in_transaction = in_transaction;
+        if !in_transaction {
+            self.forwarded_guard = None;
         }
         answer
     }
@@ -97,39 +98,41 @@
     /// way instead of refusing.
     async fn await_start(&mut self, batch: &batch::Batch) {
         let clock = self.directory.shared().clock.clone();
-        while self.stranded() && clock.now() + START_POLL < batch.deadline {
-            async_io::Timer::after(START_POLL).await;
-            self.choose();
+        while self.has_no_server() && clock.now() + START_POLL_INTERVAL < batch.deadline {
+            async_io::Timer::after(START_POLL_INTERVAL).await;
+            self.choose_target();
         }
     }
 
-    fn stranded(&self) -> bool {
+    fn has_no_server(&self) -> bool {
         let members = |entry: sync::Arc<entry::Entry>| entry.members.load().len();
-        let alone = self.directory.entry(&self.database).map_or(0, members) == 0;
-        let direct = matches!(self.way, Some(Way::Direct(..)));
-        self.reach == Reach::Everywhere && alone && !direct
+        let no_members = self.directory.entry(&self.database).map_or(0, members) == 0;
+        let direct = matches!(self.target, Some(Target::Direct(..)));
+        self.reach == Reach::Everywhere && no_members && !direct
     }
 
-    fn choose(&mut self) {
+    fn choose_target(&mut self) {
         let Some(entry) = self.directory.entry(&self.database) else {
-            self.way = None;
+            self.target = None;
             return;
         };
-        let alone = self.reach == Reach::Here || entry.members.load().is_empty();
-        let local = entry.local().filter(|group| alone || group.reachable());
-        match (local, &self.way) {
-            (Some(group), Some(Way::Direct(known, _))) if sync::Arc::ptr_eq(&group, known) => {}
+        let local_only = self.reach == Reach::Here || entry.members.load().is_empty();
+        let local = entry
+            .local()
+            .filter(|group| local_only || group.reachable());
+        match (local, &self.target) {
+            (Some(group), Some(Target::Direct(known, _))) if sync::Arc::ptr_eq(&group, known) => {}
             (Some(group), _) => {
                 let lane = direct::Lane::new(group.clone());
-                self.way = Some(Way::Direct(group, lane));
+                self.target = Some(Target::Direct(group, lane));
             }
-            (None, Some(Way::Forward(_))) => {}
-            (None, _) if self.reach == Reach::Here => self.way = None,
-            (None, _) => self.way = Some(Way::Forward(self.forward())),
+            (None, Some(Target::Forward(_))) => {}
+            (None, _) if self.reach == Reach::Here => self.target = None,
+            (None, _) => self.target = Some(Target::Forward(self.forward_lane())),
         }
     }
 
-    fn forward(&self) -> forward::Lane {
+    fn forward_lane(&self) -> forward::Lane {
         let pool = self.directory.shared().peers.clone();
         forward::Lane::new(pool, self.directory.clone(), &self.database)
     }
--- a/src/tracker.rs
+++ b/src/tracker.rs
@@ -19,20 +19,20 @@
 
 /// Added to the age of a roster that a peer pushes, for its time on the way: one that
 /// looked fresher with each hop could go round for ever.
-const TRANSIT: time::Duration = time::Duration::from_millis(100);
+const TRANSIT_ALLOWANCE: time::Duration = time::Duration::from_millis(100);
 
 /// Time between two reads in place of a silent watcher, for each proxy: a fleet cut to
 /// pieces, in which each reads for itself, makes 50 reads a second, whatever its size.
-const REPLACE_EACH: time::Duration = time::Duration::from_millis(20);
+const FALLBACK_INTERVAL_PER_PROXY: time::Duration = time::Duration::from_millis(20);
 
 /// The newest roster, and the proxies that may be alive.
 pub struct Tracker {
     vm: id::Vm,
     view: member::View,
     /// When the read was started that gave the newest roster.
-    read: Option<id::Time>,
+    read_at: Option<id::Time>,
     /// When this proxy last set out to read the store.
-    tried: id::Time,
+    attempted_at: id::Time,
     checksum: roster::Checksum,
     newest: roster::Roster,
     /// Newest registration of each proxy that is not held for dead.
@@ -52,8 +52,8 @@
         Self {
             view: member::View::new(vm.clone(), domain),
             vm,
-            read: None,
-            tried: now,
+            read_at: None,
+            attempted_at: now,
             checksum: 0,
             newest: roster::Roster::default(),
             known: collections::BTreeMap::new(),
@@ -64,23 +64,25 @@
     #[must_use]
     pub fn due(&self, now: id::Time) -> bool {
         let live = self.live(now);
-        let waited = now.saturating_sub(self.tried);
-        let pause = REPLACE_EACH * u32::try_from(live.len()).unwrap_or(u32::MAX);
-        due(&self.vm, &live, self.read, self.tried, now) || (waited >= pause && self.watches(now))
+        let waited = now.saturating_sub(self.attempted_at);
+        let fallback_interval =
+            FALLBACK_INTERVAL_PER_PROXY * u32::try_from(live.len()).unwrap_or(u32::MAX);
+        due(&self.vm, &live, self.read_at, self.attempted_at, now)
+            || (waited >= fallback_interval && self.watches(now))
     }
 
     /// Whether this proxy watches the store, for itself or in place of a silent one.
     #[must_use]
     pub fn watches(&self, now: id::Time) -> bool {
         let suspects = self.suspects(now);
-        let mut steady = self.live(now);
-        steady.retain(|vm| !suspects.contains(vm));
-        spread::watchers(&steady).contains(&self.vm)
+        let mut responsive = self.live(now);
+        responsive.retain(|vm| !suspects.contains(vm));
+        spread::watchers(&responsive).contains(&self.vm)
     }
 
     /// Notes that this proxy sets out to read the store.
     pub fn trying(&mut self, now: id::Time) {
-        self.tried = now;
+        self.attempted_at = now;
     }
 
     /// The platform's list of the newest roster, for when the list cannot be read.
@@ -91,12 +93,12 @@
 
     /// Takes in a roster whose read was started at that time; true if its content is new.
     pub fn take(&mut self, roster: roster::Roster, read: id::Time) -> bool {
-        if self.read.is_some_and(|known| read <= known) {
+        if self.read_at.is_some_and(|known| read <= known) {
             return false;
         }
         let checksum = roster.checksum();
-        let fresh = self.read.is_none() || checksum != self.checksum;
-        self.read = Some(read);
+        let fresh = self.read_at.is_none() || checksum != self.checksum;
+        self.read_at = Some(read);
         self.checksum = checksum;
         self.newest = roster;
         self.confirm(read);
@@ -108,23 +110,23 @@
     pub fn update(&mut self, update: roster::Update, asked: id::Time) -> bool {
         let Some(read) = asked.checked_sub(update.mark.age) else {
             // From before this process: as old as can be told.
-            return self.read.is_none() && self.adopt(update, id::Time::ZERO);
+            return self.read_at.is_none() && self.apply(update, id::Time::ZERO);
         };
-        self.adopt(update, read)
+        self.apply(update, read)
     }
 
     /// Takes in a roster that a peer pushed; true if its content is new.
     pub fn pushed(&mut self, update: roster::Update, now: id::Time) -> bool {
-        self.update(update, now.saturating_sub(TRANSIT))
+        self.update(update, now.saturating_sub(TRANSIT_ALLOWANCE))
     }
 
-    fn adopt(&mut self, update: roster::Update, read: id::Time) -> bool {
+    fn apply(&mut self, update: roster::Update, read: id::Time) -> bool {
         if let Some(content) = update.content {
             return self.take(content, read);
         }
-        let same = self.read.is_some() && update.mark.checksum == self.checksum;
-        if same && self.read < Some(read) {
-            self.read = Some(read);
+        let same = self.read_at.is_some() && update.mark.checksum == self.checksum;
+        if same && self.read_at < Some(read) {
+            self.read_at = Some(read);
             self.confirm(read);
         }
         false
@@ -146,7 +148,7 @@
     /// Which roster is held.
     #[must_use]
     pub fn mark(&self, now: id::Time) -> Option<roster::Mark> {
-        self.read.map(|read| roster::Mark {
+        self.read_at.map(|read| roster::Mark {
             age: now.saturating_sub(read),
             checksum: self.checksum,
         })
@@ -189,7 +191,7 @@
     /// Proxies that may be alive, this one among them, by name.
     #[must_use]
     pub fn live(&self, now: id::Time) -> Vec<id::Vm> {
-        let dead = self.named(now, member::State::Dead);
+        let dead = self.in_state(now, member::State::Dead);
         let mut live: Vec<id::Vm> = self.known.keys().cloned().collect();
         live.retain(|vm| !dead.contains(vm) && *vm != self.vm);
         live.push(self.vm.clone());
@@ -200,13 +202,13 @@
     /// Registered proxies that are silent or whose lease is gone; to be asked again soon.
     #[must_use]
     pub fn suspects(&self, now: id::Time) -> Vec<id::Vm> {
-        let suspects = self.named(now, member::State::Suspect).into_iter();
+        let suspects = self.in_state(now, member::State::Suspect).into_iter();
         suspects.filter(|vm| self.known.contains_key(vm)).collect()
     }
 
     /// The proxies that may be alive, with their registrations.
     pub fn roster(&mut self, now: id::Time) -> roster::Roster {
-        let dead = self.named(now, member::State::Dead);
+        let dead = self.in_state(now, member::State::Dead);
         let registered = &self.newest.records;
         self.known
             .retain(|vm, _| !dead.contains(vm) || registered.contains_key(vm));
@@ -228,7 +230,7 @@
         let mut candidates = self.view.candidates(now);
         candidates.retain(|candidate| self.known.contains_key(&candidate.vm));
         if candidates.iter().all(|candidate| candidate.leaving) {
-            let announced = self.announced(now);
+            let announced = self.announced_leaving(now);
             for candidate in &mut candidates {
                 candidate.leaving = !announced.contains(&candidate.vm);
             }
@@ -237,7 +239,7 @@
     }
 
     /// Proxies that leave for no other reason than that the platform says so.
-    fn announced(&self, now: id::Time) -> collections::BTreeSet<id::Vm> {
+    fn announced_leaving(&self, now: id::Time) -> collections::BTreeSet<id::Vm> {
         let members = self.view.members(now).into_iter();
         members
             .filter(|member| member.cause == member::Cause::Announced)
@@ -245,7 +247,7 @@
             .collect()
     }
 
-    fn named(&self, now: id::Time, state: member::State) -> collections::BTreeSet<id::Vm> {
+    fn in_state(&self, now: id::Time, state: member::State) -> collections::BTreeSet<id::Vm> {
         let members = self.view.members(now).into_iter();
         members
             .filter(|member| member.state == state)
@@ -273,14 +275,14 @@
 pub fn due(
     vm: &id::Vm,
     live: &[id::Vm],
-    read: Option<id::Time>,
-    tried: id::Time,
+    read_at: Option<id::Time>,
+    attempted_at: id::Time,
     now: id::Time,
 ) -> bool {
-    let Some(read) = read else {
+    let Some(read_at) = read_at else {
         return true;
     };
-    spread::watchers(live).contains(vm) || spread::silent(vm, read.max(tried), now)
+    spread::watchers(live).contains(vm) || spread::silent(vm, read_at.max(attempted_at), now)
 }
 
 #[cfg(test)]
