--- a/src/cancel.rs
+++ b/src/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancel requests of callers.
+//! Registry of sessions for cancel requests.
 
 use std::collections::hash_map;
 use std::hash::BuildHasher;
@@ -8,13 +8,13 @@
 use async_channel::Receiver;
 use async_channel::Sender;
 
-/// Number that a session is known by, as told in `BackendKeyData`.
+/// Identifies a session; sent to the caller in `BackendKeyData`.
 pub type Pid = i32;
 
-/// Secret that a cancel request has to show.
+/// Secret that a cancel request must contain.
 pub type Secret = i32;
 
-/// All sessions of a process that can be canceled; clones share them.
+/// The sessions of this process that can be canceled; clones share the same registry.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     inner: sync::Arc<Inner>,
@@ -28,7 +28,7 @@
 }
 
 impl Inner {
-    /// A keyed hash: whoever knows some secrets cannot work out the others.
+    /// Derives the secret with a keyed hash, so that known secrets do not reveal others.
     fn secret(&self, number: i32) -> Secret {
         let hash = self.hasher.hash_one(number).to_le_bytes();
         Secret::from_le_bytes([hash[0], hash[1], hash[2], hash[3]])
@@ -36,13 +36,13 @@
 }
 
 impl Registry {
-    /// A registry without sessions.
+    /// Creates an empty registry.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Registers a session until the handle is dropped.
+    /// Registers a session; dropping the handle removes it.
     ///
     /// ```
     /// let registry = mangotray::cancel::Registry::new();
@@ -51,7 +51,7 @@
     /// ```
     #[must_use]
     pub fn register(&self) -> Handle {
-        // A pid is taken only when no other session holds it, as the counter wraps.
+        // The counter wraps around, so a pid may still be in use by another session.
         let (sender, receiver) = async_channel::bounded(1);
         let sessions = self.inner.sessions.pin();
         let (pid, secret) = loop {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Cancels what the session runs at the moment; false when pid or secret is wrong.
+    /// Cancels the session's current request; returns false when pid or secret is wrong.
     ///
     /// ```
     /// assert!(!mangotray::cancel::Registry::new().cancel(1, 2));
@@ -85,13 +85,13 @@
         if *expected != secret {
             return false;
         }
-        // A full channel means that a cancel is already on its way.
+        // A full channel means that a cancel is already pending.
         let _ = sender.try_send(());
         true
     }
 }
 
-/// A session's end of its entry in the registry.
+/// A session's registration; receives its cancel requests.
 #[derive(Debug)]
 pub struct Handle {
     registry: Registry,
@@ -101,7 +101,7 @@
 }
 
 impl Handle {
-    /// The session's number.
+    /// The session's pid.
     #[must_use]
     pub const fn pid(&self) -> Pid {
         self.pid
@@ -113,8 +113,8 @@
         self.secret
     }
 
-    /// Forgets a cancel that came before the next request: it was meant for an
-    /// earlier one and would otherwise end work that nobody asked to end.
+    /// Discards a pending cancel and returns whether there was one. Called before a request,
+    /// since an earlier cancel was meant for a previous request and must not end this one.
     ///
     /// ```
     /// let registry = mangotray::cancel::Registry::new();
@@ -137,7 +137,7 @@
     /// futures_lite::future::block_on(handle.canceled());
     /// ```
     pub async fn canceled(&self) {
-        // The registry holds a sender for as long as the handle lives.
+        // The registry keeps a sender as long as the handle exists, so this cannot fail.
         let _ = self.receiver.recv().await;
     }
 }
--- a/src/forward.rs
+++ b/src/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding of a session to a proxy that serves its group.
+//! Forwards a session's batches to a proxy that serves its group.
 
 use std::net;
 use std::sync;
@@ -23,29 +23,29 @@
 
 pub use crate::choice::Choice;
 
-/// One member of a group's serving set.
+/// A proxy in a group's serving set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Name of its VM, for the logs.
+    /// Name of its VM, used in logs.
     pub vm: id::Vm,
-    /// Where it listens for peers.
+    /// Address on which it listens for peers.
     pub address: net::SocketAddr,
 }
 
-/// Tells which proxies serve a database.
+/// Looks up the proxies that serve a database.
 pub trait Directory: Send + Sync {
-    /// The present serving set in order of preference, without this proxy itself.
+    /// The current serving set in order of preference, excluding this proxy.
     fn members(&self, database: &str) -> Vec<Member>;
 }
 
-/// All peers that this proxy has connections to.
+/// Connections to peers, by address.
 pub struct Pool {
     means: sync::Arc<endpoint::Means>,
     endpoints: papaya::HashMap<net::SocketAddr, sync::Arc<endpoint::Endpoint>>,
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     #[must_use]
     pub fn new(means: endpoint::Means) -> Self {
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The peer at an address.
+    /// The endpoint for an address; created on first use.
     #[must_use]
     pub fn endpoint(&self, address: net::SocketAddr) -> sync::Arc<endpoint::Endpoint> {
         let endpoints = self.endpoints.pin();
@@ -62,8 +62,8 @@
         endpoints.get_or_insert_with(address, new_endpoint).clone()
     }
 
-    /// Forgets peers that are no longer among the live VMs; their connections end
-    /// with the last session that uses them.
+    /// Removes peers whose VMs are no longer live; their connections close when the last
+    /// session that uses them ends.
     pub fn retain(&self, live: impl Fn(&net::SocketAddr) -> bool) {
         self.endpoints.pin().retain(|address, _| live(address));
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// A session's way to a member of its group's serving set.
+/// Forwards one session's batches to a member of its group's serving set.
 pub struct Lane {
     pool: sync::Arc<Pool>,
     directory: sync::Arc<dyn Directory>,
@@ -82,23 +82,23 @@
     state: State,
 }
 
-/// What the lane knows of the session's transaction.
+/// State of the session's transaction as known to the lane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// No transaction is open: the next batch may go anywhere.
+    /// No transaction is open; the next batch may go to any member.
     Idle,
-    /// A transaction is open at the present place.
+    /// A transaction is open at the current place.
     Pinned,
-    /// A batch is under way. Found at the start of a run, it shows that the one
-    /// before was dropped, so nobody knows what the session holds.
+    /// A batch is in flight. At the start of a run it means that the previous run was dropped
+    /// before it finished, so the state of the remote session is unknown.
     Busy { pinned: bool },
-    /// The transaction was lost with its place. Statements are refused until the
-    /// caller ends it: elsewhere they would run as transactions of their own.
+    /// The transaction was lost together with its place. Statements are refused until the
+    /// caller ends it; on another proxy each would run in a transaction of its own.
     Lost,
 }
 
 impl State {
-    /// State after an answer from a place that still has the session.
+    /// The state after an answer, when the place still holds the session.
     fn after(pinned: bool, class: class::Class, answer: &peer::Answer) -> Self {
         match answer {
             Ok(reply) if reply.transaction == transaction::State::Idle => Self::Idle,
@@ -115,7 +115,7 @@
 }
 
 impl Lane {
-    /// A session that opens at its first batch.
+    /// Creates a lane; its remote session is opened by the first batch.
     #[must_use]
     pub fn new(pool: sync::Arc<Pool>, directory: sync::Arc<dyn Directory>, database: &str) -> Self {
         Self {
@@ -142,7 +142,7 @@
         answer
     }
 
-    /// Gives up a session whose last run was dropped half way.
+    /// Discards a remote session whose last run was dropped before it finished.
     fn discard_interrupted(&mut self) {
         if let State::Busy { pinned } = self.state {
             self.place = None;
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Lets the caller end a lost transaction. A commit ends it too, but is refused:
-    /// a fresh session would report success for a commit of nothing.
+    /// Lets the caller end a lost transaction. A commit also ends it but is refused, since a
+    /// new session would report success for an empty commit.
     fn resolve_lost(&mut self, class: class::Class) -> Result<(), outcome::Outcome> {
         if ends_transaction(class) {
             self.state = State::Idle;
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Runs a batch of an open transaction where the transaction is.
+    /// Runs a batch of an open transaction at the place that holds the transaction.
     async fn forward_pinned(&mut self, batch: &batch::Batch) -> peer::Answer {
         let attempt = self.attempt(batch).await;
         let session_ended = resend::ended(&attempt);
@@ -183,8 +183,8 @@
         answer
     }
 
-    /// Runs a batch outside of a transaction at the first member that takes it,
-    /// round by round until the deadline.
+    /// Runs a batch outside a transaction at the first member that accepts it, and retries the
+    /// members in rounds, with a jittered pause, until the deadline.
     async fn forward_unpinned(&mut self, batch: &batch::Batch) -> peer::Answer {
         let mut last = resend::no_server();
         loop {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Tries each member at most once.
+    /// Tries each member at most once, until one gives a final answer.
     async fn try_members(
         &mut self,
         batch: &batch::Batch,
@@ -248,15 +248,15 @@
         };
         let unanswered = attempt.is_err();
         let verdict = resend::Verdict::new(batch.class, attempt);
-        // A session without an answer may still be busy there; the next batch must
-        // not wait behind it.
+        // Without an answer the remote session may still be running the batch; the next one
+        // must not queue behind it.
         if unanswered || matches!(verdict, resend::Verdict::Next(_)) {
             self.place = None;
         }
         verdict
     }
 
-    /// Makes the member the session's place, unless it already is.
+    /// Connects the session to the member unless it already is; returns false on failure.
     async fn connect(&mut self, member: &Member) -> bool {
         let place = self.place.as_ref();
         if place.is_some_and(|place| place.is_at(member.address)) {
--- a/src/group.rs
+++ b/src/group.rs
@@ -24,45 +24,45 @@
 use crate::term;
 use crate::upstream;
 
-/// Time between two looks at whether the reserved term is still of use.
+/// Interval between checks whether the reserved term is still usable.
 const RESERVE_CHECK_INTERVAL: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// Age of answers up to which an instance counts as reachable for routing.
+/// Maximum age of an answer for its instance to count as reachable for routing.
 const REACHABLE_MAX_AGE: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// What a group's runtime is made of.
+/// Dependencies and settings of a [`Group`].
 pub struct Parts {
     /// The operators' declaration.
     pub declaration: database::Group,
-    /// The instances, in the declaration's order.
+    /// The instances, in the order of the declaration.
     pub upstreams: Vec<sync::Arc<dyn upstream::Upstream>>,
     /// This proxy's share of each instance.
     pub limit: pool::Limit,
     /// Source of unique terms.
     pub terms: sync::Arc<term::Registry>,
-    /// Time.
+    /// Clock used for all times of the group.
     pub clock: sync::Arc<dyn clock::Clock>,
     /// Failure domain of this proxy.
     pub domain: id::Domain,
-    /// Baseline or the product's own rules.
+    /// The default policy or a baseline.
     pub policy: policy::Policy,
-    /// This proxy's place among those that may promote; 0 tries first.
+    /// This proxy's rank among those that may promote; 0 tries first.
     pub rank: u32,
-    /// Where the group's tasks run.
+    /// Executor that runs the group's tasks.
     pub executor: sync::Arc<async_executor::Executor<'static>>,
 }
 
-/// One database group: observations, connections, failover.
+/// A database group on this proxy: observations, connections and failover.
 pub struct Group {
     declaration: sync::Arc<arc_swap::ArcSwap<database::Group>>,
     /// Observations of the instances.
     pub watch: sync::Arc<probe::Watch>,
-    /// Time.
+    /// Clock used for all times of the group.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// Baseline or the product's own rules.
+    /// The default policy or a baseline.
     pub policy: policy::Policy,
     pools: Vec<pool::Pool>,
-    /// End of the seats that the share rests on, in nanoseconds of the clock.
+    /// Expiry of the seats behind the share, in nanoseconds of the clock.
     until: atomic::AtomicU64,
     limit: sync::Mutex<pool::Limit>,
     retries: sync::Mutex<retry::Budget>,
@@ -74,7 +74,7 @@
 }
 
 impl Group {
-    /// Starts the group's probes and its failover.
+    /// Creates the group and starts its probes, failover and reservation of terms.
     #[must_use]
     pub fn start(parts: Parts) -> sync::Arc<Self> {
         let count = parts.upstreams.len();
@@ -113,29 +113,29 @@
         })
     }
 
-    /// The operators' declaration in force.
+    /// The current declaration by the operators.
     #[must_use]
     pub fn declaration(&self) -> sync::Arc<database::Group> {
         self.declaration.load_full()
     }
 
-    /// Puts a declaration of the same instances in force.
+    /// Replaces the declaration by another one with the same instances.
     pub fn redeclare(&self, declaration: database::Group) {
         self.declaration.store(sync::Arc::new(declaration));
     }
 
-    /// Working connections to an instance.
+    /// Connection pool of an instance.
     #[must_use]
     pub fn pool(&self, index: id::Index) -> &pool::Pool {
         &self.pools[index]
     }
 
-    /// Changes this proxy's place among those that may promote.
+    /// Changes this proxy's rank among those that may promote.
     pub fn set_rank(&self, rank: u32) {
         self.rank.store(rank, atomic::Ordering::Relaxed);
     }
 
-    /// Time until which the instances may be used; moves on with each renewal.
+    /// Time until which the instances may be used; extended by each renewal.
     #[must_use]
     pub fn until(&self) -> id::Time {
         id::Time::from_nanos(self.until.load(atomic::Ordering::Acquire))
@@ -144,11 +144,11 @@
     /// Whether the instances may be used now.
     #[must_use]
     pub fn usable(&self) -> bool {
-        let some = self.lock_limit().connections > 0;
-        some && self.clock.now() < self.until()
+        let has_share = self.lock_limit().connections > 0;
+        has_share && self.clock.now() < self.until()
     }
 
-    /// Changes the share and the time until which it may be used.
+    /// Sets the share and the time until which it may be used.
     pub fn set_share(&self, limit: pool::Limit, until: id::Time) {
         let nanos = u64::try_from(until.as_nanos()).unwrap_or(u64::MAX);
         self.until.store(nanos, atomic::Ordering::Release);
@@ -159,36 +159,36 @@
         }
     }
 
-    /// Ends all use of the instances that can be ended: what is running ends by itself
-    /// at `until`.
+    /// Stops using the instances: ends the tasks and closes connections that run nothing.
+    /// Batches that are already running end by the previous `until`.
     pub fn revoke(&self) {
         self.until.store(0, atomic::Ordering::Release);
-        // Sessions may hold the group for long; without seats it must neither probe nor
-        // promote.
+        // Sessions may keep the group alive for a long time; without seats it must neither
+        // probe nor promote.
         lock(&self.tasks).clear();
         self.pools.iter().for_each(pool::Pool::revoke);
     }
 
-    /// Whether no more is in use than the share allows.
+    /// Whether the connections in use are within the share.
     #[must_use]
     pub fn settled(&self) -> bool {
         self.pools.iter().all(pool::Pool::settle)
     }
 
-    /// Whether a majority of the instances answers this proxy.
+    /// Whether a majority of the instances has answered this proxy recently.
     #[must_use]
     pub fn reachable(&self) -> bool {
         let since = self.clock.now().saturating_sub(REACHABLE_MAX_AGE);
         self.watch.board().reachable(since)
     }
 
-    /// What this proxy thinks of the primary.
+    /// The failure detector's verdict on the primary.
     #[must_use]
     pub fn verdict(&self) -> detect::Verdict {
         detect::Rule::default().judge(&self.watch.board(), self.clock.now())
     }
 
-    /// Age that a batch's data may have, when all its tables are declared so.
+    /// Maximum age of a batch's data; `None` unless all its tables have a declared limit.
     #[must_use]
     pub fn age_limit(&self, batch: &batch::Batch) -> Option<std::time::Duration> {
         if batch.tables.is_empty() {
@@ -198,12 +198,12 @@
         limits.min().flatten()
     }
 
-    /// What bounds the attempts beyond the first, for all requests of the group.
+    /// Retry budget shared by all requests of the group.
     pub fn retries(&self) -> sync::MutexGuard<'_, retry::Budget> {
         lock(&self.retries)
     }
 
-    /// How long confirmations take.
+    /// Estimate of the time that confirmations take.
     pub fn confirmations(&self) -> sync::MutexGuard<'_, confirmation::Estimate> {
         lock(&self.confirmations)
     }
@@ -219,8 +219,8 @@
         covering.map(|age| age.limit).min()
     }
 
-    /// The instance that a read including `floor` is sent to, leaving out those that
-    /// failed this request before.
+    /// Chooses the instance for a read that must include `floor`, excluding instances that
+    /// already failed this request.
     #[must_use]
     pub fn choose(
         &self,
@@ -334,8 +334,8 @@
     }
 }
 
-/// Keeps a term above all known ones reserved, for promotions while the store is down.
-/// After a promotion by anybody the old reservation is of no use.
+/// Keeps a term above all known ones reserved, so that a promotion is possible while the store
+/// is down. A promotion by any proxy makes the old reservation unusable.
 async fn keep_term_reserved(terms: sync::Arc<term::Registry>, watch: sync::Arc<probe::Watch>) {
     loop {
         let known = watch.board().highest_fence();
@@ -348,8 +348,8 @@
     }
 }
 
-/// Whether an instance's log has reached the leader's term. The tail of a replaced
-/// primary may pass for fresh, though it holds records that nobody will confirm.
+/// Whether an instance's log has reached the leader's term. The log of a replaced primary may
+/// look fresh although its tail holds records that will never be confirmed.
 fn in_leader_term(board: &board::Board, index: id::Index) -> bool {
     let term = board.status(index).map(|status| status.stamp.term);
     board
--- a/src/lane.rs
+++ b/src/lane.rs
@@ -1,4 +1,4 @@
-//! Border between a caller's session and the group that serves it.
+//! Interface between a caller's session and the database group that serves it.
 
 use futures_util::future;
 
@@ -7,8 +7,8 @@
 use crate::reply;
 use crate::stamp;
 
-/// One session's way into its database group. Holds the connection that an open
-/// transaction is pinned to; dropping the lane rolls such a transaction back.
+/// Runs one session's batches on its database group. Holds the connection to which an open
+/// transaction is pinned; dropping the lane rolls the transaction back.
 pub trait Lane: Send {
     /// Runs a batch to its final outcome.
     fn run(
@@ -17,12 +17,12 @@
     ) -> future::BoxFuture<'_, Result<reply::Reply, outcome::Outcome>>;
 }
 
-/// Opens lanes by database name.
+/// Opens lanes for databases by name.
 pub trait Switch: Send + Sync {
     /// A lane for the named database, or `None` when no group serves it.
     fn lane(&self, database: &str) -> Option<Box<dyn Lane>>;
 
-    /// Default deadline of requests to the named database.
+    /// Default timeout of requests to the named database.
     fn deadline(&self, database: &str) -> std::time::Duration;
 }
 
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -1,8 +1,8 @@
-//! Keeps the observations of a group fresh.
+//! Probes the instances of a group and keeps their latest observations.
 //!
-//! One probe per instance is in flight at a time and serves everyone who waits:
-//! commits for confirmation, reads for a sample. Without demand a slow heartbeat
-//! remains for the failure detector.
+//! At most one probe per instance is in flight. Its result is shared by all waiters: commits
+//! that wait for confirmation and reads that wait for a sample. Without waiters, instances
+//! are probed at a slow heartbeat for the failure detector.
 
 use std::sync;
 use std::sync::atomic;
@@ -15,33 +15,35 @@
 use crate::id;
 use crate::upstream;
 
-/// Heartbeat of a group that has seen requests lately or has a failing instance.
+/// Heartbeat interval of a group with recent requests or a failing instance.
 const ACTIVE_HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Heartbeat of an idle group; bounds the control traffic at the target size.
+/// Heartbeat interval of an idle group; limits the control traffic at the target fleet size.
 const IDLE_HEARTBEAT_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// How long after its last request a group counts as active.
+/// Time after its last request during which a group counts as active.
 const ACTIVE_WINDOW: time::Duration = time::Duration::from_secs(5);
 
-/// Least time between the starts of two probes of one instance.
+/// Minimum time between the starts of two probes of one instance.
 const MIN_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(1);
 
-/// Least time between two probes of an instance that fails.
+/// Minimum time between the starts of two probes when the first one failed.
 const MIN_FAILED_PROBE_INTERVAL: time::Duration = time::Duration::from_millis(40);
 
-/// Observations of one group, with those who wait for them.
+/// Observations of one group, with notification of waiters.
 pub struct Watch {
     board: arc_swap::ArcSwap<board::Board>,
     clock: sync::Arc<dyn clock::Clock>,
     changed: event_listener::Event,
     demand: event_listener::Event,
+    /// Earliest start of the probes asked for, in nanoseconds of the clock.
     wanted_since: atomic::AtomicU64,
+    /// Time of the last request, in nanoseconds of the clock; 0 before the first one.
     last_request: atomic::AtomicU64,
 }
 
 impl Watch {
-    /// A watch over `count` instances.
+    /// Creates a watch for `count` instances.
     #[must_use]
     pub fn new(count: usize, clock: sync::Arc<dyn clock::Clock>) -> Self {
         Self {
@@ -54,19 +56,19 @@
         }
     }
 
-    /// The observations of this moment.
+    /// A snapshot of the current observations.
     #[must_use]
     pub fn board(&self) -> sync::Arc<board::Board> {
         self.board.load_full()
     }
 
-    /// Notes that a request has come, which quickens the heartbeat.
+    /// Records a request, which shortens the heartbeat interval.
     pub fn touch(&self) {
         let now = nanos(self.clock.now());
         self.last_request.fetch_max(now, atomic::Ordering::Relaxed);
     }
 
-    /// Asks for a probe of every instance that starts at or after `since`.
+    /// Requests a probe of every instance that starts at or after `since`.
     pub fn want(&self, since: id::Time) {
         let since = nanos(since);
         if self.wanted_since.fetch_max(since, atomic::Ordering::AcqRel) < since {
@@ -74,9 +76,9 @@
         }
     }
 
-    /// Waits until the board gives an answer. With `renew`, fresh probes are asked for
-    /// until it does; without, one round that started at or after `since` is enough.
-    /// `None` when the deadline comes first.
+    /// Waits until `check` returns a value for the board. With `renew`, new probes are requested
+    /// until it does; otherwise only one round that starts at or after `since` is requested.
+    /// Returns `None` when the deadline passes first.
     pub async fn until<T>(
         &self,
         since: id::Time,
@@ -101,22 +103,22 @@
         }
     }
 
-    /// Waits for any news, at most `timeout`.
+    /// Waits for the next change of the observations, at most `timeout`.
     pub async fn news(&self, timeout: time::Duration) {
         wait(self.changed.listen(), timeout).await;
     }
 
-    /// Notes an answered probe.
+    /// Records an answered probe.
     pub fn answered(&self, index: id::Index, observation: board::Observation) {
         self.update(|board| board.answered(index, observation));
     }
 
-    /// Notes a probe without an answer.
+    /// Records a failed probe.
     pub fn failed(&self, index: id::Index) {
         self.update(|board| board.failed(index));
     }
 
-    /// Probes one instance for ever; run one such task for each instance.
+    /// Probes one instance in an endless loop; run one such task per instance.
     pub async fn probe(&self, index: id::Index, upstream: sync::Arc<dyn upstream::Upstream>) {
         loop {
             let started = self.clock.now();
@@ -144,6 +146,7 @@
         }
     }
 
+    /// Waits until a probe newer than `started` is requested or the heartbeat is due.
     async fn wait_for_next_probe(&self, started: id::Time) {
         loop {
             let listener = self.demand.listen();
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,5 +1,5 @@
-//! A session's lane that follows its group: direct while this proxy serves it,
-//! forwarded to a proxy that does otherwise.
+//! Sends a session's batches to its group: directly while this proxy serves the group,
+//! otherwise through a proxy that does.
 
 use std::sync;
 use std::time;
@@ -19,38 +19,39 @@
 use crate::reply;
 use crate::transaction;
 
-/// Time between two looks at whether the group has come into service.
+/// Interval between checks whether the group is being served.
 const START_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// How far a lane may go.
+/// Which proxies a lane may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// To this proxy's own instances or to any peer.
+    /// This proxy's own connections to the instances, or any peer.
     Everywhere,
-    /// To this proxy's own instances only.
+    /// This proxy's own connections to the instances only.
     Here,
 }
 
-/// Where the session's batches go at present.
+/// Where the session's batches are currently sent.
 enum Target {
     Direct(sync::Arc<group::Group>, direct::Lane),
     Forward(forward::Lane),
 }
 
-/// A lane that chooses its way anew whenever no transaction is open.
+/// A lane that chooses its target again whenever no transaction is open.
 pub struct Lane {
     directory: sync::Arc<directory::Directory>,
     database: CompactString,
     reach: Reach,
     target: Option<Target>,
     in_transaction: bool,
+    /// Counts a peer's batch or open transaction as work in progress on this proxy.
     forwarded_guard: Option<sync::Arc<()>>,
 }
 
 type Answer = Result<reply::Reply, outcome::Outcome>;
 
 impl Lane {
-    /// A lane without an open transaction.
+    /// Creates a lane without an open transaction.
     #[must_use]
     pub fn new(directory: sync::Arc<directory::Directory>, database: &str, reach: Reach) -> Self {
         Self {
@@ -84,7 +85,7 @@
             .as_ref()
             .is_ok_and(|reply| reply.transaction != transaction::State::Idle);
         if answer.is_err() && self.in_transaction {
-            // The transaction is over: what is left of it ends with the lane.
+            // The transaction is over; dropping the lane rolls back what is left of it.
             self.target = None;
         }
         self.in_transaction = in_transaction;
@@ -94,8 +95,8 @@
         answer
     }
 
-    /// While nobody serves the group yet, as just after it was declared, waits for a
-    /// way instead of refusing.
+    /// Waits, at most until the deadline, while no proxy serves the group, for example just after
+    /// it was declared, instead of refusing the batch.
     async fn await_start(&mut self, batch: &batch::Batch) {
         let clock = self.directory.shared().clock.clone();
         while self.has_no_server() && clock.now() + START_POLL_INTERVAL < batch.deadline {
--- a/src/tracker.rs
+++ b/src/tracker.rs
@@ -1,9 +1,9 @@
-//! What this proxy makes of the rosters and heartbeats that reach it, apart from sockets.
+//! Tracks the live proxies from the rosters and heartbeats that reach this one. Does no I/O.
 //!
-//! Few proxies read the store; the others get the newest roster from them. What goes
-//! wrong: a store that comes back empty after an outage, or a list that lags, would strike
-//! out proxies that serve. One notices by groups that nobody serves. Hence a proxy that
-//! was registered stays until `member::View` holds it for dead.
+//! A few proxies read the roster from the store; the others receive it from their peers.
+//! A store that comes back empty after an outage, or a list that lags, must not remove
+//! proxies that still serve, since their groups would be left unserved. A registered proxy
+//! is therefore kept until `member::View` reports it dead.
 
 use std::collections;
 use std::time;
@@ -17,30 +17,31 @@
 use crate::roster;
 use crate::spread;
 
-/// Added to the age of a roster that a peer pushes, for its time on the way: one that
-/// looked fresher with each hop could go round for ever.
+/// Added to the age of a roster pushed by a peer, to account for network delay. Without it
+/// a roster would appear fresher with each hop and could circulate forever.
 const TRANSIT_ALLOWANCE: time::Duration = time::Duration::from_millis(100);
 
-/// Time between two reads in place of a silent watcher, for each proxy: a fleet cut to
-/// pieces, in which each reads for itself, makes 50 reads a second, whatever its size.
+/// Interval between reads in place of a silent watcher, multiplied by the number of live
+/// proxies. Limits a partitioned fleet, in which every proxy reads for itself, to 50 reads
+/// per second regardless of its size.
 const FALLBACK_INTERVAL_PER_PROXY: time::Duration = time::Duration::from_millis(20);
 
-/// The newest roster, and the proxies that may be alive.
+/// The newest roster and the proxies that may be alive.
 pub struct Tracker {
     vm: id::Vm,
     view: member::View,
-    /// When the read was started that gave the newest roster.
+    /// Start of the read that returned the newest roster.
     read_at: Option<id::Time>,
-    /// When this proxy last set out to read the store.
+    /// Start of the last attempt of this proxy to read the store.
     attempted_at: id::Time,
     checksum: roster::Checksum,
     newest: roster::Roster,
-    /// Newest registration of each proxy that is not held for dead.
+    /// Newest registration of each proxy that is not considered dead.
     known: collections::BTreeMap<id::Vm, enrol::Record>,
 }
 
 impl Tracker {
-    /// A tracker that knows only its own VM.
+    /// Creates a tracker that knows only its own VM.
     ///
     /// ```
     /// use std::time::Duration;
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Whether this proxy reads the store now.
+    /// Whether this proxy should read the store now.
     #[must_use]
     pub fn due(&self, now: id::Time) -> bool {
         let live = self.live(now);
@@ -71,7 +72,7 @@
             || (waited >= fallback_interval && self.watches(now))
     }
 
-    /// Whether this proxy watches the store, for itself or in place of a silent one.
+    /// Whether this proxy watches the store, as a regular watcher or in place of a silent one.
     #[must_use]
     pub fn watches(&self, now: id::Time) -> bool {
         let suspects = self.suspects(now);
@@ -80,18 +81,18 @@
         spread::watchers(&responsive).contains(&self.vm)
     }
 
-    /// Notes that this proxy sets out to read the store.
+    /// Records that this proxy starts to read the store.
     pub fn trying(&mut self, now: id::Time) {
         self.attempted_at = now;
     }
 
-    /// The platform's list of the newest roster, for when the list cannot be read.
+    /// The newest roster; its listings stand in when the platform's list cannot be read.
     #[must_use]
     pub fn newest(&self) -> &roster::Roster {
         &self.newest
     }
 
-    /// Takes in a roster whose read was started at that time; true if its content is new.
+    /// Applies a roster whose read started at `read`; returns true if its content is new.
     pub fn take(&mut self, roster: roster::Roster, read: id::Time) -> bool {
         if self.read_at.is_some_and(|known| read <= known) {
             return false;
@@ -105,17 +106,17 @@
         fresh
     }
 
-    /// Takes in a peer's answer to a question asked at that time; true if it brought a
-    /// roster of new content.
+    /// Applies a peer's answer to a request sent at `asked`; returns true if it contained a
+    /// roster with new content.
     pub fn update(&mut self, update: roster::Update, asked: id::Time) -> bool {
         let Some(read) = asked.checked_sub(update.mark.age) else {
-            // From before this process: as old as can be told.
+            // The read predates this process, so it gets the earliest time possible.
             return self.read_at.is_none() && self.apply(update, id::Time::ZERO);
         };
         self.apply(update, read)
     }
 
-    /// Takes in a roster that a peer pushed; true if its content is new.
+    /// Applies a roster pushed by a peer; returns true if its content is new.
     pub fn pushed(&mut self, update: roster::Update, now: id::Time) -> bool {
         self.update(update, now.saturating_sub(TRANSIT_ALLOWANCE))
     }
@@ -132,10 +133,10 @@
         false
     }
 
-    /// Takes in what the newest roster proves at the time of its read.
+    /// Updates the view and the registrations from the newest roster, read at `read`.
     fn confirm(&mut self, read: id::Time) {
         let others = self.newest.records.values();
-        // The own record may be of an earlier process on this VM.
+        // This VM's own record may belong to an earlier process.
         let others = others.filter(|record| record.vm != self.vm);
         let signs: Vec<evidence::Sign> = others.map(enrol::Record::sign).collect();
         self.view.leases(&signs, read);
@@ -145,7 +146,7 @@
             .extend(records.map(|(vm, record)| (vm.clone(), record.clone())));
     }
 
-    /// Which roster is held.
+    /// Age and checksum of the current roster; `None` before the first one.
     #[must_use]
     pub fn mark(&self, now: id::Time) -> Option<roster::Mark> {
         self.read_at.map(|read| roster::Mark {
@@ -154,7 +155,8 @@
         })
     }
 
-    /// What a peer that holds that roster lacks.
+    /// The update for a peer with the roster `peer`; `None` if it is at least as fresh. Omits
+    /// the content when the checksums match.
     #[must_use]
     pub fn answer(&self, peer: Option<roster::Mark>, now: id::Time) -> Option<roster::Update> {
         let mark = self.mark(now)?;
@@ -166,29 +168,29 @@
         Some(roster::Update { mark, content })
     }
 
-    /// Takes in a heartbeat.
+    /// Applies a heartbeat of another proxy.
     pub fn heard(&mut self, sign: &evidence::Sign, now: id::Time) {
         if sign.vm != self.vm {
             self.view.heard(sign, now);
         }
     }
 
-    /// Notes that a proxy did not answer.
+    /// Records that a proxy did not answer.
     pub fn missed(&mut self, vm: &id::Vm, now: id::Time) {
         self.view.missed(vm, now);
     }
 
-    /// Takes in the operators' file.
+    /// Applies the operators' configuration.
     pub fn declared(&mut self, catalog: &catalog::Catalog) {
         self.view.declared(catalog);
     }
 
-    /// Notes that this VM itself shuts down.
+    /// Records that this VM is shutting down.
     pub fn drain(&mut self) {
         self.view.drain();
     }
 
-    /// Proxies that may be alive, this one among them, by name.
+    /// Proxies that may be alive, including this one, sorted by name.
     #[must_use]
     pub fn live(&self, now: id::Time) -> Vec<id::Vm> {
         let dead = self.in_state(now, member::State::Dead);
@@ -199,14 +201,15 @@
         live
     }
 
-    /// Registered proxies that are silent or whose lease is gone; to be asked again soon.
+    /// Registered proxies that are silent or have lost their lease; they are probed again soon.
     #[must_use]
     pub fn suspects(&self, now: id::Time) -> Vec<id::Vm> {
         let suspects = self.in_state(now, member::State::Suspect).into_iter();
         suspects.filter(|vm| self.known.contains_key(vm)).collect()
     }
 
-    /// The proxies that may be alive, with their registrations.
+    /// The proxies that may be alive, with their registrations. Drops dead proxies that are no
+    /// longer registered.
     pub fn roster(&mut self, now: id::Time) -> roster::Roster {
         let dead = self.in_state(now, member::State::Dead);
         let registered = &self.newest.records;
@@ -220,11 +223,11 @@
         }
     }
 
-    /// Proxies to choose serving sets from. Only who was registered counts: one that
-    /// started while the store is out can get no seats, and must not take them from others.
+    /// Proxies from which serving sets are chosen. Unregistered proxies are excluded: a proxy
+    /// that starts during an outage of the store can get no seats and must not displace others.
     ///
-    /// A list that says of all of them that they leave would empty the fleet; until others
-    /// have come, those that still run go on.
+    /// When every candidate is leaving, those that leave only because the platform announced it
+    /// keep serving until replacements have registered.
     #[must_use]
     pub fn candidates(&self, now: id::Time) -> Vec<placement::Candidate> {
         let mut candidates = self.view.candidates(now);
@@ -238,7 +241,7 @@
         candidates
     }
 
-    /// Proxies that leave for no other reason than that the platform says so.
+    /// Proxies whose only reason to leave is the platform's announcement.
     fn announced_leaving(&self, now: id::Time) -> collections::BTreeSet<id::Vm> {
         let members = self.view.members(now).into_iter();
         members
@@ -256,8 +259,8 @@
     }
 }
 
-/// Whether a proxy reads the roster from the store: it is one of the few that always do,
-/// or nobody that it hears of has for long.
+/// Whether a proxy should read the roster from the store: it has no roster yet, it is one of
+/// the watchers, or its roster and its last attempt are both old.
 ///
 /// ```
 /// use std::time::Duration;
--- a/src/tracker/tests.rs
+++ b/src/tracker/tests.rs
@@ -44,7 +44,7 @@
     tracker::Tracker::new(vm.into(), "d".into(), at(0))
 }
 
-/// Proxies that new work may go to.
+/// Proxies that may be given new work.
 fn staying(tracker: &tracker::Tracker, now: u64) -> Vec<id::Vm> {
     let candidates = tracker.candidates(at(now)).into_iter();
     candidates
@@ -53,18 +53,18 @@
         .collect()
 }
 
-// Symptom: no group is served after an outage of the platform.
-// Events: all leases end in the outage; the store comes back with no registration.
-// Cause: who is not registered at the moment was taken for gone.
+// Guards against groups left unserved after a platform outage. All leases expire during the
+// outage and the store comes back without registrations; unregistered proxies must not be
+// treated as gone.
 #[test]
-fn an_empty_store_or_list_strikes_nobody_out() {
+fn an_empty_store_or_list_removes_no_proxy() {
     let mut tracker = tracker("a");
     assert!(tracker.take(roster(&["a", "b", "c"], &[]), at(1)));
     tracker.heard(&record("b").sign(), at(59));
     assert!(tracker.take(roster(&[], &[]), at(60)));
     assert_eq!(staying(&tracker, 60), ["a", "b", "c"]);
     assert_eq!(tracker.roster(at(60)).records.len(), 3);
-    // The one that is silent as well is gone.
+    // A proxy that is also silent is removed.
     assert_eq!(tracker.suspects(at(60)), ["c"]);
     tracker.missed(&"c".into(), at(61));
     assert_eq!(staying(&tracker, 66), ["a", "b"]);
@@ -85,11 +85,10 @@
     assert_eq!(staying(&tracker, 2), ["a"]);
 }
 
-// Symptom: no group is served by anybody.
-// Events: the platform replaces the whole fleet and says so before the new VMs run.
-// Cause: nobody was left to choose.
+// Guards against an empty set of candidates, which leaves every group unserved. The platform
+// replaces the whole fleet and announces it before the new VMs run.
 #[test]
-fn a_fleet_that_leaves_as_a_whole_serves_until_others_come() {
+fn a_fleet_that_leaves_together_serves_until_replaced() {
     let mut tracker = tracker("a");
     tracker.take(roster(&["a", "b"], &["a", "b"]), at(1));
     assert_eq!(staying(&tracker, 1), ["a", "b"]);
@@ -108,11 +107,10 @@
     assert_eq!(staying(&tracker, 1), ["b"]);
 }
 
-// Symptom: groups move to a proxy that cannot serve them.
-// Events: a proxy starts while the store is out, and greets the others.
-// Cause: it was chosen though it can get no seats.
+// Guards against groups moving to a proxy that cannot serve them. A proxy that starts during
+// a store outage sends heartbeats but can get no seats, so it must not be chosen.
 #[test]
-fn who_was_never_registered_serves_nothing() {
+fn unregistered_proxies_serve_nothing() {
     let mut tracker = tracker("a");
     tracker.take(roster(&["a"], &[]), at(1));
     tracker.heard(&record("late").sign(), at(2));
@@ -124,7 +122,7 @@
 }
 
 #[test]
-fn rosters_pass_by_content_once_and_never_back() {
+fn roster_content_is_sent_once_and_older_rosters_are_ignored() {
     let (mut a, mut b) = (tracker("a"), tracker("b"));
     assert!(a.take(roster(&["a", "b"], &[]), at(1)));
     let old = a.answer(None, at(2)).unwrap();
@@ -142,7 +140,7 @@
     assert_eq!(b.roster(at(8)).records.len(), 3);
 }
 
-/// Reads of the store a second by a whole fleet, over two minutes in virtual time.
+/// Store reads per second by a whole fleet, over two minutes of virtual time.
 fn reads(nodes: u32) -> f64 {
     let live: Vec<id::Vm> = (0..nodes)
         .map(|node| compact_str::format_compact!("vm-{node}"))
--- a/src/transaction.rs
+++ b/src/transaction.rs
@@ -1,6 +1,6 @@
 //! State of a caller's transaction.
 
-/// As carried by `ReadyForQuery`.
+/// The transaction state reported in `ReadyForQuery`.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
