--- a/src/entry.rs
+++ b/src/entry.rs
@@ -19,7 +19,7 @@
     pub serving: arc_swap::ArcSwap<Vec<id::Vm>>,
     /// Where the others of them accept forwarded work.
     pub members: arc_swap::ArcSwap<Vec<forward::Member>>,
-    local: arc_swap::ArcSwapOption<group::Group>,
+    runtime: arc_swap::ArcSwapOption<group::Group>,
     retired: sync::atomic::AtomicBool,
     finished: sync::atomic::AtomicBool,
 }
@@ -33,7 +33,7 @@
             declared: arc_swap::ArcSwap::from_pointee(declared),
             serving: arc_swap::ArcSwap::default(),
             members: arc_swap::ArcSwap::default(),
-            local: arc_swap::ArcSwapOption::empty(),
+            runtime: arc_swap::ArcSwapOption::empty(),
             retired: sync::atomic::AtomicBool::new(false),
             finished: sync::atomic::AtomicBool::new(false),
         }
@@ -42,27 +42,27 @@
     /// The runtime, while this VM may use the instances.
     #[must_use]
     pub fn local(&self) -> Option<sync::Arc<group::Group>> {
-        self.local.load_full().filter(|group| group.usable())
+        self.runtime.load_full().filter(|group| group.usable())
     }
 
     /// The runtime, whether or not it may be used at this moment.
     #[must_use]
     pub fn runtime(&self) -> Option<sync::Arc<group::Group>> {
-        self.local.load_full()
+        self.runtime.load_full()
     }
 
     /// Puts a runtime in place of the one before.
     pub fn set_runtime(&self, group: Option<sync::Arc<group::Group>>) {
-        self.local.store(group);
+        self.runtime.store(group);
     }
 
     /// Takes a changed declaration over. The runtime goes on where its instances and
     /// limits are the same; otherwise its work is ended and the keeper starts another.
     pub fn redeclare(&self, declared: &database::Group) {
-        let same = same_instances(&self.declared.load(), declared);
+        let unchanged = same_runtime_settings(&self.declared.load(), declared);
         self.declared.store(sync::Arc::new(declared.clone()));
         match self.runtime() {
-            Some(group) if same => group.redeclare(declared.clone()),
+            Some(group) if unchanged => group.redeclare(declared.clone()),
             Some(group) => {
                 group.revoke();
                 self.set_runtime(None);
@@ -85,7 +85,7 @@
         }
         let members = self.serving.load().len();
         self.rank(vm)
-            .map_or(0, |rank| fair_part(seats, members, rank))
+            .map_or(0, |rank| even_share(seats, members, rank))
     }
 
     /// Gives the group up for good: its seats go back and its keeper ends.
@@ -112,19 +112,19 @@
 }
 
 /// Part of `seats` that member `rank` of `members` takes.
-fn fair_part(seats: usize, members: usize, rank: usize) -> usize {
+fn even_share(seats: usize, members: usize, rank: usize) -> usize {
     seats / members + usize::from(rank < seats % members)
 }
 
-fn same_instances(old: &database::Group, new: &database::Group) -> bool {
-    let place = |instance: &database::Instance| (instance.name.clone(), instance.address);
+fn same_runtime_settings(old: &database::Group, new: &database::Group) -> bool {
+    let identity = |instance: &database::Instance| (instance.name.clone(), instance.address);
     let limits = (old.connections, old.slots) == (new.connections, new.slots);
     limits
         && old
             .instances
             .iter()
-            .map(place)
-            .eq(new.instances.iter().map(place))
+            .map(identity)
+            .eq(new.instances.iter().map(identity))
 }
 
 /// Limit made up of several seats.
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -10,11 +10,11 @@
 use crate::store;
 
 /// First wait after a failed call to the store; doubles with each failure.
-const RETRY_FIRST: time::Duration = time::Duration::from_millis(500);
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(500);
 
 /// Longest such wait: proxies that know nobody all watch, and must not flood a store
 /// that comes back.
-const RETRY_LONGEST: time::Duration = time::Duration::from_secs(4);
+const MAX_BACKOFF: time::Duration = time::Duration::from_secs(4);
 
 /// Watches the configuration.
 pub struct Follower {
@@ -46,7 +46,7 @@
                 }
                 Err(failure) => {
                     tracing::warn!(?failure, "configuration not readable, the last one stays");
-                    async_io::Timer::after(retry(failures)).await;
+                    async_io::Timer::after(backoff(failures)).await;
                     failures += 1;
                 }
             }
@@ -54,7 +54,7 @@
     }
 }
 
-fn retry(failures: u32) -> time::Duration {
-    let doubled = RETRY_FIRST.saturating_mul(2_u32.saturating_pow(failures));
-    enrol::jittered(doubled.min(RETRY_LONGEST))
+fn backoff(failures: u32) -> time::Duration {
+    let delay = INITIAL_BACKOFF.saturating_mul(2_u32.saturating_pow(failures));
+    enrol::jittered(delay.min(MAX_BACKOFF))
 }
--- a/src/hello.rs
+++ b/src/hello.rs
@@ -18,8 +18,8 @@
 pub const VERSION: u32 = 2;
 
 const MAGIC: [u8; 8] = *b"mangtray";
-const LIMIT: usize = 1024;
-const TIMEOUT: time::Duration = time::Duration::from_secs(2);
+const MAX_HELLO_BYTES: usize = 1024;
+const HANDSHAKE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// What each side says first: the client asks, the server answers with its own.
 ///
@@ -59,7 +59,7 @@
     pub fn accepts(&self, other: &Self) -> bool {
         self.magic == other.magic
             && self.version == other.version
-            && same(self.key.as_bytes(), other.key.as_bytes())
+            && constant_time_eq(self.key.as_bytes(), other.key.as_bytes())
     }
 
     /// Greets as the client.
@@ -68,12 +68,12 @@
     /// When the stream breaks, stays silent, or the other side is not a peer.
     pub async fn ask<In, Out>(&self, stream: Box<dyn wire::Duplex>) -> io::Result<Framed<In, Out>> {
         let exchange = async {
-            let mut framed = framed(stream);
+            let mut framed = frame_hellos(stream);
             framed.send(self.clone()).await?;
-            self.check(&mut framed).await?;
+            self.check_peer(&mut framed).await?;
             Ok(framed)
         };
-        bounded(exchange).await.map(established)
+        with_timeout(exchange).await.map(into_peer_codec)
     }
 
     /// Greets as the server; a stream that is refused gets no answer at all.
@@ -85,15 +85,15 @@
         stream: Box<dyn wire::Duplex>,
     ) -> io::Result<Framed<In, Out>> {
         let exchange = async {
-            let mut framed = framed(stream);
-            self.check(&mut framed).await?;
+            let mut framed = frame_hellos(stream);
+            self.check_peer(&mut framed).await?;
             framed.send(self.clone()).await?;
             Ok(framed)
         };
-        bounded(exchange).await.map(established)
+        with_timeout(exchange).await.map(into_peer_codec)
     }
 
-    async fn check(&self, framed: &mut Framed<Self, Self>) -> io::Result<()> {
+    async fn check_peer(&self, framed: &mut Framed<Self, Self>) -> io::Result<()> {
         let other = framed.next().await;
         let other = other.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()))?;
         if self.accepts(&other) {
@@ -108,23 +108,23 @@
 
 /// Compares in a time that does not depend on where the texts differ, so the key
 /// cannot be found byte by byte.
-fn same(left: &[u8], right: &[u8]) -> bool {
+fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     let differences = left.iter().zip(right).fold(0, |sum, (a, b)| sum | (a ^ b));
     left.len() == right.len() && differences == 0
 }
 
-fn framed(stream: Box<dyn wire::Duplex>) -> Framed<Hello, Hello> {
-    codec::Framed::new(stream.compat(), packet::Codec::new(LIMIT))
+fn frame_hellos(stream: Box<dyn wire::Duplex>) -> Framed<Hello, Hello> {
+    codec::Framed::new(stream.compat(), packet::Codec::new(MAX_HELLO_BYTES))
 }
 
-fn established<In, Out>(framed: Framed<Hello, Hello>) -> Framed<In, Out> {
+fn into_peer_codec<In, Out>(framed: Framed<Hello, Hello>) -> Framed<In, Out> {
     framed.map_codec(|_| packet::Codec::new(packet::LIMIT))
 }
 
-async fn bounded<T>(exchange: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let expiry = async {
-        async_io::Timer::after(TIMEOUT).await;
+async fn with_timeout<T>(exchange: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+    let timeout = async {
+        async_io::Timer::after(HANDSHAKE_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    future::or(exchange, expiry).await
+    future::or(exchange, timeout).await
 }
--- a/src/place.rs
+++ b/src/place.rs
@@ -63,13 +63,13 @@
         run.session = self.session;
         run.open = (!self.opened).then(|| database.into());
         run.sequence = self.sequence;
-        let fresh = !self.opened;
+        let first_run = !self.opened;
         self.sequence += 1;
         // Set before the answer is there: a run that is dropped half way may have
         // opened the session.
         self.opened = true;
         let attempt = self.connection.run(run).await;
-        if fresh && attempt == Err(dial::Failure::Unsent) {
+        if first_run && attempt == Err(dial::Failure::Unsent) {
             self.opened = false;
         }
         attempt
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -68,15 +68,15 @@
 /// ```
 #[must_use]
 pub fn serving(group: &str, vms: &[Candidate], count: usize) -> Vec<id::Vm> {
-    let mut ranked = ranked(group, vms);
+    let mut ranked = rank_by_score(group, vms);
     ranked.dedup_by(|a, b| a.1.vm == b.1.vm);
-    let mut used: collections::HashMap<&str, usize> = collections::HashMap::new();
+    let mut per_domain: collections::HashMap<&str, usize> = collections::HashMap::new();
     let mut rounds: Vec<(usize, &Candidate)> = ranked
         .into_iter()
         .map(|(_, candidate)| {
-            let place = used.entry(&candidate.domain).or_default();
-            *place += 1;
-            (*place, candidate)
+            let occurrence = per_domain.entry(&candidate.domain).or_default();
+            *occurrence += 1;
+            (*occurrence, candidate)
         })
         .collect();
     // Stable: within a round the order by score remains.
@@ -89,7 +89,7 @@
 }
 
 /// Candidates that stay, by falling score; names break ties so that all nodes agree.
-fn ranked<'a>(group: &str, vms: &'a [Candidate]) -> Vec<(u64, &'a Candidate)> {
+fn rank_by_score<'a>(group: &str, vms: &'a [Candidate]) -> Vec<(u64, &'a Candidate)> {
     let mut ranked: Vec<(u64, &Candidate)> = vms
         .iter()
         .filter(|candidate| !candidate.leaving)
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -5,7 +5,7 @@
 
 const DOMAINS: usize = 3;
 
-fn fleet(size: usize) -> Vec<placement::Candidate> {
+fn candidates(size: usize) -> Vec<placement::Candidate> {
     (0..size)
         .map(|number| placement::Candidate {
             vm: format!("entry-{number}").into(),
@@ -15,13 +15,13 @@
         .collect()
 }
 
-fn sets(groups: usize, vms: &[placement::Candidate]) -> Vec<Vec<id::Vm>> {
+fn serving_sets(groups: usize, vms: &[placement::Candidate]) -> Vec<Vec<id::Vm>> {
     (0..groups)
         .map(|number| placement::serving(&format!("group-{number}"), vms, placement::SERVING))
         .collect()
 }
 
-fn changed(before: &[Vec<id::Vm>], after: &[Vec<id::Vm>]) -> usize {
+fn added_members(before: &[Vec<id::Vm>], after: &[Vec<id::Vm>]) -> usize {
     before
         .iter()
         .zip(after)
@@ -40,8 +40,8 @@
 
 #[test]
 fn no_domain_is_used_twice_while_another_is_free() {
-    let vms = fleet(8);
-    for set in sets(200, &vms) {
+    let vms = candidates(8);
+    for set in serving_sets(200, &vms) {
         let domains: collections::HashSet<_> = set
             .iter()
             .map(|vm| &vms.iter().find(|known| known.vm == *vm).unwrap().domain)
@@ -52,7 +52,7 @@
 
 #[test]
 fn domains_are_shared_when_there_are_too_few() {
-    let vms: Vec<_> = fleet(8)
+    let vms: Vec<_> = candidates(8)
         .into_iter()
         .filter(|vm| vm.domain == "domain-0")
         .collect();
@@ -63,57 +63,64 @@
 
 #[test]
 fn order_of_the_list_and_repeated_lines_do_not_matter() {
-    let vms = fleet(8);
+    let vms = candidates(8);
     let mut other = vms.clone();
     other.reverse();
     other.extend(vms.clone());
-    assert_eq!(sets(100, &vms), sets(100, &other));
+    assert_eq!(serving_sets(100, &vms), serving_sets(100, &other));
 }
 
 /// Symptom: groups of unaffected VMs reconnect whenever one VM goes. Events: one VM
 /// leaves. Cause: a placement that renumbers the VMs moves sets that did not hold it.
 #[test]
-fn a_leaving_vm_moves_only_its_own_seats() {
-    let mut vms = fleet(30);
-    let before = sets(1_400, &vms);
-    let gone = vms[7].vm.clone();
-    let held = before.iter().filter(|set| set.contains(&gone)).count();
+fn a_leaving_vm_changes_only_its_own_serving_sets() {
+    let mut vms = candidates(30);
+    let before = serving_sets(1_400, &vms);
+    let leaving_vm = vms[7].vm.clone();
+    let held = before
+        .iter()
+        .filter(|set| set.contains(&leaving_vm))
+        .count();
     vms[7].leaving = true;
-    let after = sets(1_400, &vms);
-    assert!(after.iter().all(|set| !set.contains(&gone)));
-    println!("moved {} of {} seats", changed(&before, &after), 1_400 * 3);
-    assert_eq!(changed(&before, &after), held);
+    let after = serving_sets(1_400, &vms);
+    assert!(after.iter().all(|set| !set.contains(&leaving_vm)));
+    println!(
+        "moved {} of {} seats",
+        added_members(&before, &after),
+        1_400 * 3
+    );
+    assert_eq!(added_members(&before, &after), held);
 }
 
 #[test]
 fn a_joining_vm_takes_only_what_it_wins() {
-    let before = sets(1_400, &fleet(30));
-    let after = sets(1_400, &fleet(31));
+    let before = serving_sets(1_400, &candidates(30));
+    let after = serving_sets(1_400, &candidates(31));
     let won = after
         .iter()
         .filter(|set| set.contains(&"entry-30".into()))
         .count();
-    assert_eq!(changed(&before, &after), won);
-    let fair = 1_400 * placement::SERVING / 31;
-    assert!(won < 2 * fair, "won {won} of a fair {fair}");
+    assert_eq!(added_members(&before, &after), won);
+    let mean = 1_400 * placement::SERVING / 31;
+    assert!(won < 2 * mean, "won {won} of a fair {mean}");
 }
 
 #[test]
 fn load_is_balanced_at_the_target_size() {
-    let vms = fleet(690);
-    let mut seats: collections::HashMap<id::Vm, usize> = collections::HashMap::new();
-    for vm in sets(1_400, &vms).into_iter().flatten() {
-        *seats.entry(vm).or_default() += 1;
+    let vms = candidates(690);
+    let mut groups_per_vm: collections::HashMap<id::Vm, usize> = collections::HashMap::new();
+    for vm in serving_sets(1_400, &vms).into_iter().flatten() {
+        *groups_per_vm.entry(vm).or_default() += 1;
     }
-    let least = vms
+    let counts = vms
         .iter()
-        .map(|known| seats.get(&known.vm).copied().unwrap_or(0));
-    let (least, most) = (least.clone().min().unwrap(), least.max().unwrap());
+        .map(|known| groups_per_vm.get(&known.vm).copied().unwrap_or(0));
+    let (least, most) = (counts.clone().min().unwrap(), counts.max().unwrap());
     println!(
         "seats on a VM: least {least}, most {most}, mean {}",
         1_400.0 * 3.0 / 690.0
     );
     assert!(most <= 20, "a VM serves {most} groups, the mean is 6");
-    let idle = vms.len() - seats.len();
+    let idle = vms.len() - groups_per_vm.len();
     assert!(idle <= 20, "{idle} of 690 VMs serve nothing");
 }
--- a/src/report.rs
+++ b/src/report.rs
@@ -18,7 +18,7 @@
     directory: sync::Arc<directory::Directory>,
     drain: drain::Signal,
     /// Groups whose gauges were set; those no longer served go to zero.
-    measured: sync::Mutex<collections::BTreeSet<id::Group>>,
+    published: sync::Mutex<collections::BTreeSet<id::Group>>,
 }
 
 impl Report {
@@ -36,7 +36,7 @@
             revision: atomic::AtomicU64::new(0),
             directory,
             drain,
-            measured: sync::Mutex::default(),
+            published: sync::Mutex::default(),
         }
     }
 
@@ -55,21 +55,21 @@
     /// Notes the revision in force; an earlier one changes nothing.
     pub fn adopted(&self, revision: id::Revision) {
         self.revision.fetch_max(revision, atomic::Ordering::AcqRel);
-        metrics::gauge!(telemetry::CONFIG_REVISION).set(as_float(revision));
+        metrics::gauge!(telemetry::CONFIG_REVISION).set(gauge_value(revision));
     }
 }
 
 /// Sets the gauges of one group.
-fn publish(group: &id::Group, queue: usize, connections: usize) {
+fn set_gauges(group: &id::Group, queue: usize, connections: usize) {
     let label = || group.to_string();
-    metrics::gauge!(telemetry::QUEUE_DEPTH, "group" => label()).set(as_float(queue as u64));
+    metrics::gauge!(telemetry::QUEUE_DEPTH, "group" => label()).set(gauge_value(queue as u64));
     metrics::gauge!(telemetry::UPSTREAM_CONNECTIONS, "group" => label())
-        .set(as_float(connections as u64));
+        .set(gauge_value(connections as u64));
 }
 
 /// Gauges are floating-point; what is counted stays far below the first inexact integer.
 #[allow(clippy::cast_precision_loss)]
-fn as_float(count: u64) -> f64 {
+fn gauge_value(count: u64) -> f64 {
     count as f64
 }
 
@@ -88,14 +88,14 @@
         let groups = self.directory.status();
         for group in &groups {
             let connections = group.instances.iter().map(|i| i.connections).sum();
-            publish(&group.name, group.queue, connections);
+            set_gauges(&group.name, group.queue, connections);
         }
         let served: collections::BTreeSet<_> = groups.into_iter().map(|g| g.name).collect();
-        let measured = self.measured.lock();
-        let mut measured = measured.unwrap_or_else(sync::PoisonError::into_inner);
-        measured
+        let published = self.published.lock();
+        let mut published = published.unwrap_or_else(sync::PoisonError::into_inner);
+        published
             .difference(&served)
-            .for_each(|group| publish(group, 0, 0));
-        *measured = served;
+            .for_each(|group| set_gauges(group, 0, 0));
+        *published = served;
     }
 }
--- a/src/revision/tests.rs
+++ b/src/revision/tests.rs
@@ -7,7 +7,7 @@
     // Events: pushes, exchanges and direct reads arrive in any order.
     // Cause: a late message would overwrite a newer revision.
     #[test]
-    fn a_node_never_goes_back(offers in prop::collection::vec((0..6_u64, "[ab]"), 0..40)) {
+    fn a_node_never_adopts_an_older_revision(offers in prop::collection::vec((0..6_u64, "[ab]"), 0..40)) {
         let mut state = revision::State::default();
         let mut newest = 0;
         for (revision, text) in offers {
--- a/src/store.rs
+++ b/src/store.rs
@@ -109,12 +109,12 @@
         Box::pin(future::ready(Err(refused)))
     }
 
-    /// Waits until the key's version differs from `seen` or `patience` has passed.
+    /// Waits until the key's version differs from `seen` or `timeout` has passed.
     fn watch<'a>(
         &'a self,
         key: &'a str,
         seen: Version,
-        patience: time::Duration,
+        timeout: time::Duration,
     ) -> future::BoxFuture<'a, Result<Option<Entry>, Failure>>;
 
     /// Opens a lease that ends `ttl` after its last renewal.
