--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,5 @@
-//! One declared group on this proxy: served here, forwarded, or both in turn.
+//! A declared group on this proxy, which may be served here, forwarded, or alternate between
+//! the two.
 
 use std::sync;
 
@@ -9,15 +10,15 @@
 use crate::pool;
 use crate::seat;
 
-/// A declared group with its serving set and, while this VM holds seats, its runtime.
+/// A declared group with its serving set and, while this VM holds seats, its local runtime.
 pub struct Entry {
     /// Name of the group.
     pub name: id::Group,
     /// The operators' declaration.
     pub declared: arc_swap::ArcSwap<database::Group>,
-    /// VMs that should serve the group, best first.
+    /// VMs that should serve the group, in order of preference.
     pub serving: arc_swap::ArcSwap<Vec<id::Vm>>,
-    /// Where the others of them accept forwarded work.
+    /// The other VMs of the serving set, with the addresses that accept forwarded work.
     pub members: arc_swap::ArcSwap<Vec<forward::Member>>,
     runtime: arc_swap::ArcSwapOption<group::Group>,
     retired: sync::atomic::AtomicBool,
@@ -25,7 +26,7 @@
 }
 
 impl Entry {
-    /// A group that is not served here yet.
+    /// Creates an entry without a runtime.
     #[must_use]
     pub fn new(declared: database::Group) -> Self {
         Self {
@@ -39,25 +40,25 @@
         }
     }
 
-    /// The runtime, while this VM may use the instances.
+    /// The runtime, if there is one and it may use the instances now.
     #[must_use]
     pub fn local(&self) -> Option<sync::Arc<group::Group>> {
         self.runtime.load_full().filter(|group| group.usable())
     }
 
-    /// The runtime, whether or not it may be used at this moment.
+    /// The runtime, if there is one, whether or not it may use the instances now.
     #[must_use]
     pub fn runtime(&self) -> Option<sync::Arc<group::Group>> {
         self.runtime.load_full()
     }
 
-    /// Puts a runtime in place of the one before.
+    /// Replaces the runtime; `None` removes it.
     pub fn set_runtime(&self, group: Option<sync::Arc<group::Group>>) {
         self.runtime.store(group);
     }
 
-    /// Takes a changed declaration over. The runtime goes on where its instances and
-    /// limits are the same; otherwise its work is ended and the keeper starts another.
+    /// Applies a changed declaration. The runtime is kept if its instances and limits are
+    /// unchanged; otherwise it is revoked and removed, and the keeper starts a new one.
     pub fn redeclare(&self, declared: &database::Group) {
         let unchanged = same_runtime_settings(&self.declared.load(), declared);
         self.declared.store(sync::Arc::new(declared.clone()));
@@ -71,13 +72,14 @@
         }
     }
 
-    /// This VM's rank in the serving set.
+    /// Position of `vm` in the serving set, from 0; `None` when it is not a member.
     #[must_use]
     pub fn rank(&self, vm: &id::Vm) -> Option<usize> {
         self.serving.load().iter().position(|member| member == vm)
     }
 
-    /// Seats that this VM should hold: all are shared out among the serving set.
+    /// Number of seats that `vm` should hold. All `seats` are divided evenly among the serving
+    /// set; a VM outside of it and a retired group get none.
     #[must_use]
     pub fn wanted(&self, vm: &id::Vm, seats: usize) -> usize {
         if self.retired.load(sync::atomic::Ordering::Acquire) {
@@ -88,30 +90,31 @@
             .map_or(0, |rank| even_share(seats, members, rank))
     }
 
-    /// Gives the group up for good: its seats go back and its keeper ends.
+    /// Permanently stops serving the group: its seats are released and its keeper ends.
     pub fn retire(&self) {
         self.retired.store(true, sync::atomic::Ordering::Release);
     }
 
-    /// Notes that the last seat was given back.
+    /// Records that the last seat was released.
     pub fn finish(&self) {
         self.finished.store(true, sync::atomic::Ordering::Release);
     }
 
-    /// Whether no seat is held under this entry any more.
+    /// Whether the last seat of this entry was released.
     #[must_use]
     pub fn finished(&self) -> bool {
         self.finished.load(sync::atomic::Ordering::Acquire)
     }
 
-    /// Whether the group was given up.
+    /// Whether the group was retired.
     #[must_use]
     pub fn retired(&self) -> bool {
         self.retired.load(sync::atomic::Ordering::Acquire)
     }
 }
 
-/// Part of `seats` that member `rank` of `members` takes.
+/// Number of `seats` for the member at position `rank` when divided among `members`; the first
+/// positions get the remainder, one seat each.
 fn even_share(seats: usize, members: usize, rank: usize) -> usize {
     seats / members + usize::from(rank < seats % members)
 }
@@ -127,7 +130,7 @@
             .eq(new.instances.iter().map(identity))
 }
 
-/// Limit made up of several seats.
+/// Total limit of the seats in `held`, without their control connections.
 ///
 /// ```
 /// use mangotray::{database, entry};
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the operators' configuration in the store, where this proxy watches it.
+//! Watches the operators' configuration in the store, on the proxies that are selected as
+//! watchers.
 
 use std::sync;
 use std::time;
@@ -9,27 +10,27 @@
 use crate::spread;
 use crate::store;
 
-/// First wait after a failed call to the store; doubles with each failure.
+/// Delay after the first failed call to the store; doubles with each further failure.
 const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(500);
 
-/// Longest such wait: proxies that know nobody all watch, and must not flood a store
-/// that comes back.
+/// Upper bound of the delay before jitter. A proxy that knows no other proxies always watches,
+/// and many such proxies must not overload a store that has just recovered.
 const MAX_BACKOFF: time::Duration = time::Duration::from_secs(4);
 
-/// Watches the configuration.
+/// Watches the configuration and passes each version to `gossip`.
 pub struct Follower {
     store: sync::Arc<dyn store::Store>,
     gossip: sync::Arc<gossip::Gossip>,
 }
 
 impl Follower {
-    /// A follower that has seen nothing yet.
+    /// Creates a follower that has not read a version yet.
     #[must_use]
     pub fn new(store: sync::Arc<dyn store::Store>, gossip: sync::Arc<gossip::Gossip>) -> Self {
         Self { store, gossip }
     }
 
-    /// Watches for ever, whenever this proxy is one of those that do.
+    /// Runs without end; watches the store while this proxy is selected as a watcher.
     pub async fn run(&self) {
         let mut seen = 0;
         let mut failures = 0;
@@ -45,7 +46,10 @@
                     self.gossip.stored(found.as_ref()).await;
                 }
                 Err(failure) => {
-                    tracing::warn!(?failure, "configuration not readable, the last one stays");
+                    tracing::warn!(
+                        ?failure,
+                        "cannot read the configuration from the store; keeping the last one"
+                    );
                     async_io::Timer::after(backoff(failures)).await;
                     failures += 1;
                 }
--- a/src/hello.rs
+++ b/src/hello.rs
@@ -1,4 +1,5 @@
-//! First messages on a connection between proxies: is this a peer of the same system?
+//! Handshake on a connection between proxies, which checks that both belong to the same
+//! installation.
 
 use std::io;
 use std::time;
@@ -14,17 +15,17 @@
 use crate::packet;
 use crate::wire;
 
-/// Version of the protocol between proxies; both sides must speak the same.
+/// Version of the protocol between proxies; both sides must use the same version.
 pub const VERSION: u32 = 2;
 
 const MAGIC: [u8; 8] = *b"mangtray";
 const MAX_HELLO_BYTES: usize = 1024;
 const HANDSHAKE_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// What each side says first: the client asks, the server answers with its own.
+/// First message of each side: the client sends its own, the server checks it and replies.
 ///
-/// Without it a stray client, or a proxy of another installation that was given a
-/// reused address, could run statements or spread a foreign configuration.
+/// Without the handshake an unrelated client, or a proxy of another installation at a reused
+/// address, could run statements or distribute another installation's configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Hello {
     magic: [u8; 8],
@@ -32,12 +33,12 @@
     key: CompactString,
 }
 
-/// A byte stream that has passed the exchange of greetings.
+/// A byte stream framed into packets, as returned by the handshake.
 pub type Framed<In, Out> =
     codec::Framed<compat::Compat<Box<dyn wire::Duplex>>, packet::Codec<In, Out>>;
 
 impl Hello {
-    /// A greeting with the key that all proxies of one installation share.
+    /// Creates a message with the key that all proxies of one installation share.
     ///
     /// ```
     /// use mangotray::hello;
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Whether a peer that says `other` belongs to the same system.
+    /// Whether a peer that sent `other` belongs to the same installation and uses the same
+    /// protocol version.
     #[must_use]
     pub fn accepts(&self, other: &Self) -> bool {
         self.magic == other.magic
@@ -62,10 +64,10 @@
             && constant_time_eq(self.key.as_bytes(), other.key.as_bytes())
     }
 
-    /// Greets as the client.
+    /// Performs the client's side of the handshake.
     ///
     /// # Errors
-    /// When the stream breaks, stays silent, or the other side is not a peer.
+    /// When the stream fails, the handshake times out, or the other side is not a peer.
     pub async fn ask<In, Out>(&self, stream: Box<dyn wire::Duplex>) -> io::Result<Framed<In, Out>> {
         let exchange = async {
             let mut framed = frame_hellos(stream);
@@ -76,10 +78,10 @@
         with_timeout(exchange).await.map(into_peer_codec)
     }
 
-    /// Greets as the server; a stream that is refused gets no answer at all.
+    /// Performs the server's side of the handshake; a refused client gets no reply.
     ///
     /// # Errors
-    /// When the stream breaks, stays silent, or the other side is not a peer.
+    /// When the stream fails, the handshake times out, or the other side is not a peer.
     pub async fn answer<In, Out>(
         &self,
         stream: Box<dyn wire::Duplex>,
@@ -106,8 +108,8 @@
     }
 }
 
-/// Compares in a time that does not depend on where the texts differ, so the key
-/// cannot be found byte by byte.
+/// Compares in a time that does not depend on where the inputs differ, so that the key can't be
+/// guessed byte by byte from response times.
 fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
     let differences = left.iter().zip(right).fold(0, |sum, (a, b)| sum | (a ^ b));
     left.len() == right.len() && differences == 0
--- a/src/place.rs
+++ b/src/place.rs
@@ -1,4 +1,4 @@
-//! The session that a lane holds at one member of its serving set.
+//! A lane's session at one VM of the serving set.
 
 use std::net;
 use std::sync;
@@ -9,7 +9,7 @@
 use crate::peer;
 use crate::resend;
 
-/// A session at a peer; dropping it ends the session there.
+/// A session at a peer; dropping it closes the session at the peer.
 pub struct Place {
     vm: id::Vm,
     address: net::SocketAddr,
@@ -20,7 +20,7 @@
 }
 
 impl Place {
-    /// A session that opens at the peer with its first batch.
+    /// Creates a session; the peer opens it with the first batch.
     #[must_use]
     pub fn new(
         vm: id::Vm,
@@ -43,16 +43,16 @@
         &self.vm
     }
 
-    /// Whether this is a session at that address that can still be used.
+    /// Whether the peer has this address and the connection to it is still alive.
     #[must_use]
     pub fn is_at(&self, address: net::SocketAddr) -> bool {
         self.address == address && self.connection.alive()
     }
 
-    /// Sends one batch and waits for its answer.
+    /// Sends one batch and waits for the answer.
     ///
     /// # Errors
-    /// A failure says whether the batch can still run.
+    /// The failure tells whether the peer can still run the batch.
     pub async fn run(
         &mut self,
         database: &str,
@@ -65,8 +65,8 @@
         run.sequence = self.sequence;
         let first_run = !self.opened;
         self.sequence += 1;
-        // Set before the answer is there: a run that is dropped half way may have
-        // opened the session.
+        // Set before the answer arrives: if this future is dropped while it waits, the peer may
+        // already have opened the session.
         self.opened = true;
         let attempt = self.connection.run(run).await;
         if first_run && attempt == Err(dial::Failure::Unsent) {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,25 +1,27 @@
-//! Which VMs serve which database group.
+//! Assigns database groups to the VMs that serve them, by rendezvous hashing.
 //!
-//! Rendezvous hashing: each VM scores itself against the group's name, and the best
-//! scores serve. Every proxy computes the same set from the same list of VMs, without
-//! asking anybody; a VM that joins or leaves moves only the groups that it wins or loses.
-//! The set only says who *should* serve; who *may* use the instances is in `share`.
+//! Each VM gets a score from the hash of its name and the group's name, and the VMs with the
+//! highest scores form the group's serving set. Every proxy computes the same set from the same
+//! list of VMs without coordination. When a VM joins or leaves, only the serving sets that gain
+//! or lose this VM change. The serving set says which VMs *should* serve; which VMs *may* use
+//! the instances is in `share`.
 
 use std::cmp;
 use std::collections;
 
 use crate::id;
 
-/// VMs that serve one group: enough to lose one VM or one failure domain and still serve
-/// while the next one is lost, few enough that each gets a useful share of 20 connections.
+/// Maximum number of VMs that serve one group. With three, the group is still served after the
+/// loss of one VM or failure domain and during the loss of a second; with more, each VM's share
+/// of 20 connections would be too small to be useful.
 pub const SERVING: usize = 3;
 
-/// Connections that a serving VM needs at each instance: one for control, one for work.
+/// Connections that a serving VM needs to each instance: one for control, one for statements.
 pub const MIN_CONNECTIONS: usize = 2;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
-/// Never part of UTF-8, so that ("ab", "c") and ("a", "bc") differ.
+/// A byte that never occurs in UTF-8, so that ("ab", "c") and ("a", "bc") hash differently.
 const SEPARATOR: u8 = 0xff;
 
 /// A VM that may serve groups.
@@ -27,17 +29,17 @@
 pub struct Candidate {
     /// Name of the VM.
     pub vm: id::Vm,
-    /// Failure domain that it runs in.
+    /// Failure domain of the VM.
     pub domain: id::Domain,
-    /// True while the VM is going away; it is never chosen.
+    /// True while the VM is being removed; such a VM is never selected.
     pub leaving: bool,
 }
 
-/// Number of VMs that serve a group with these limits of one instance.
+/// Number of VMs that serve a group, from the connection and slot limits of one instance.
 ///
-/// It depends on the declaration only, never on who is alive: proxies with different
-/// views of the fleet must agree on it. It is never above the instance's slots, so that
-/// each serving VM has a whole slot.
+/// The number depends only on the declaration, not on which VMs are alive, because proxies with
+/// different views of the fleet must agree on it. It never exceeds `slots` unless `slots` is 0,
+/// so that each serving VM has a whole slot.
 ///
 /// ```
 /// use mangotray::placement;
@@ -50,9 +52,10 @@
     (connections / MIN_CONNECTIONS).min(slots).clamp(1, SERVING)
 }
 
-/// The VMs that serve `group`, best first; fewer than `count` when there are too few.
+/// Selects the VMs that serve `group`, in order of preference; fewer than `count` when not
+/// enough VMs are available.
 ///
-/// No failure domain is used twice while another one with a VM is unused.
+/// A failure domain is used again only when every other domain with a VM is already in use.
 ///
 /// ```
 /// use mangotray::placement;
@@ -79,7 +82,7 @@
             (*occurrence, candidate)
         })
         .collect();
-    // Stable: within a round the order by score remains.
+    // The sort is stable, so VMs of the same round stay in order of their score.
     rounds.sort_by_key(|(round, _)| *round);
     rounds
         .into_iter()
@@ -88,7 +91,8 @@
         .collect()
 }
 
-/// Candidates that stay, by falling score; names break ties so that all nodes agree.
+/// Candidates that are not leaving, by descending score. Ties are broken by name, so that all
+/// nodes get the same order.
 fn rank_by_score<'a>(group: &str, vms: &'a [Candidate]) -> Vec<(u64, &'a Candidate)> {
     let mut ranked: Vec<(u64, &Candidate)> = vms
         .iter()
@@ -102,8 +106,8 @@
 
 /// Score of a VM for a group, the same on every node and in every version.
 ///
-/// Written out here: a library's default hash may change with its version, and two
-/// versions side by side would then choose two serving sets.
+/// The hash is implemented here because a library's default hash may change between versions;
+/// nodes of different versions would then compute different serving sets.
 ///
 /// ```
 /// use mangotray::placement;
@@ -119,7 +123,7 @@
     mix(hash)
 }
 
-/// Spreads the few differing bits of similar names over the whole word.
+/// Finalises the hash, so that the few bits in which similar names differ affect all 64 bits.
 fn mix(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn score_is_the_same_in_every_version() {
-    // Computed from the definition by a separate program.
+    // Expected value from an independent implementation of the hash.
     assert_eq!(
         placement::score("dome-sched-1", "entry-1"),
         4_705_686_109_814_426_093
@@ -70,8 +70,9 @@
     assert_eq!(serving_sets(100, &vms), serving_sets(100, &other));
 }
 
-/// Symptom: groups of unaffected VMs reconnect whenever one VM goes. Events: one VM
-/// leaves. Cause: a placement that renumbers the VMs moves sets that did not hold it.
+/// Guards against reconnects of unrelated groups when one VM leaves. They occur when placement
+/// depends on a VM's index in the list: removing one VM renumbers the others and changes serving
+/// sets that did not contain it.
 #[test]
 fn a_leaving_vm_changes_only_its_own_serving_sets() {
     let mut vms = candidates(30);
@@ -85,7 +86,7 @@
     let after = serving_sets(1_400, &vms);
     assert!(after.iter().all(|set| !set.contains(&leaving_vm)));
     println!(
-        "moved {} of {} seats",
+        "replaced {} of {} members of serving sets",
         added_members(&before, &after),
         1_400 * 3
     );
@@ -102,7 +103,10 @@
         .count();
     assert_eq!(added_members(&before, &after), won);
     let mean = 1_400 * placement::SERVING / 31;
-    assert!(won < 2 * mean, "won {won} of a fair {mean}");
+    assert!(
+        won < 2 * mean,
+        "the new VM serves {won} groups, the mean is {mean}"
+    );
 }
 
 #[test]
@@ -117,7 +121,7 @@
         .map(|known| groups_per_vm.get(&known.vm).copied().unwrap_or(0));
     let (least, most) = (counts.clone().min().unwrap(), counts.max().unwrap());
     println!(
-        "seats on a VM: least {least}, most {most}, mean {}",
+        "groups per VM: least {least}, most {most}, mean {}",
         1_400.0 * 3.0 / 690.0
     );
     assert!(most <= 20, "a VM serves {most} groups, the mean is 6");
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,4 +1,4 @@
-//! State of this process, as operators see it.
+//! State of this process, as reported to operators.
 
 use std::collections;
 use std::sync;
@@ -10,19 +10,19 @@
 use crate::id;
 use crate::telemetry;
 
-/// Collects the state of one process.
+/// Collects the status and the gauges of one process.
 pub struct Report {
     vm: id::Vm,
     incarnation: id::Incarnation,
     revision: atomic::AtomicU64,
     directory: sync::Arc<directory::Directory>,
     drain: drain::Signal,
-    /// Groups whose gauges were set; those no longer served go to zero.
+    /// Groups whose gauges were set; the gauges of groups no longer served are reset to 0.
     published: sync::Mutex<collections::BTreeSet<id::Group>>,
 }
 
 impl Report {
-    /// A report before any configuration is in force.
+    /// Creates a report with revision 0, before any configuration is in force.
     #[must_use]
     pub fn new(
         vm: id::Vm,
@@ -46,20 +46,19 @@
         &self.vm
     }
 
-    /// Revision in force; 0 before the first.
+    /// Revision of the configuration in force; 0 before the first.
     #[must_use]
     pub fn revision(&self) -> id::Revision {
         self.revision.load(atomic::Ordering::Acquire)
     }
 
-    /// Notes the revision in force; an earlier one changes nothing.
+    /// Records the revision in force. An earlier revision does not lower [`Self::revision`].
     pub fn adopted(&self, revision: id::Revision) {
         self.revision.fetch_max(revision, atomic::Ordering::AcqRel);
         metrics::gauge!(telemetry::CONFIG_REVISION).set(gauge_value(revision));
     }
 }
 
-/// Sets the gauges of one group.
 fn set_gauges(group: &id::Group, queue: usize, connections: usize) {
     let label = || group.to_string();
     metrics::gauge!(telemetry::QUEUE_DEPTH, "group" => label()).set(gauge_value(queue as u64));
@@ -67,7 +66,8 @@
         .set(gauge_value(connections as u64));
 }
 
-/// Gauges are floating-point; what is counted stays far below the first inexact integer.
+/// Converts a count to a gauge's floating-point value; counts stay far below the first integer
+/// that a float can't represent exactly.
 #[allow(clippy::cast_precision_loss)]
 fn gauge_value(count: u64) -> f64 {
     count as f64
--- a/src/revision.rs
+++ b/src/revision.rs
@@ -1,46 +1,47 @@
-//! The operators' file as one node holds it; never goes back a revision.
+//! A node's copy of the operators' file, which is only ever replaced by a newer revision.
 
 use compact_str::CompactString;
 
 use crate::id;
 use crate::placement;
 
-/// Fingerprint of a text, the same on every node.
+/// Checksum of a text, the same on every node.
 pub type Checksum = u64;
 
 /// A revision of the operators' file.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct File {
-    /// Revision, as counted in the store.
+    /// Revision number from the store.
     pub revision: id::Revision,
-    /// Whole text.
+    /// Complete text of the file.
     pub text: CompactString,
 }
 
-/// Short form of what a node holds, for exchange between nodes.
+/// Revision and checksum of a node's file, which nodes exchange to compare their copies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Digest {
-    /// Revision held; 0 when there is none.
+    /// Revision of the file; 0 when the node has none.
     pub revision: id::Revision,
-    /// Checksum of its text.
+    /// Checksum of the file's text.
     pub checksum: Checksum,
 }
 
-/// What became of a revision that was offered.
+/// Result of [`State::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// Newer than what was held; in force now.
+    /// Newer than the current revision, which it has replaced.
     Adopted,
-    /// Older than what is held; dropped.
+    /// Older than the current revision, or revision 0; ignored.
     Stale,
-    /// Held already.
+    /// Identical to the current revision.
     Same,
-    /// Another text under the revision that is held; dropped. The store's counter was
-    /// broken, for instance by a restored backup: the operators have to apply again.
+    /// Same revision as the current one but a different text; ignored. The store's revision
+    /// counter went back, for instance through a restored backup: the operators have to apply
+    /// the file again.
     Conflict,
 }
 
-/// Newest revision that a node has seen.
+/// Newest revision that a node has received.
 ///
 /// ```
 /// use mangotray::revision;
@@ -58,7 +59,7 @@
 }
 
 impl State {
-    /// Takes a revision in, if it is newer than the one held.
+    /// Adopts a revision if it is newer than the current one.
     pub fn offer(&mut self, revision: id::Revision, text: &str) -> Offer {
         let digest = Digest {
             revision,
@@ -81,19 +82,19 @@
         Offer::Adopted
     }
 
-    /// The file held, if any.
+    /// The current file, if any.
     #[must_use]
     pub const fn file(&self) -> Option<&File> {
         self.file.as_ref()
     }
 
-    /// Short form of what is held.
+    /// Digest of the current file.
     #[must_use]
     pub const fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// True when a node with this digest holds something newer.
+    /// Whether a node with this digest has a newer revision.
     ///
     /// ```
     /// use mangotray::revision;
@@ -108,7 +109,7 @@
         digest.revision > self.digest.revision
     }
 
-    /// The file, when it is newer than what a node with this digest holds.
+    /// The current file, if it is newer than the file of a node with this digest.
     ///
     /// ```
     /// use mangotray::revision;
@@ -123,7 +124,7 @@
     }
 }
 
-/// Fingerprint of a text; tells files apart that bear one revision by mistake.
+/// Checksum of a text; distinguishes different files that have the same revision by mistake.
 ///
 /// ```
 /// use mangotray::revision;
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -1,4 +1,4 @@
-//! The proxies that are registered and the platform's list, as read from the store.
+//! Registered proxies and the platform's list of VMs, as read from the store.
 
 use std::collections;
 use std::time;
@@ -9,38 +9,38 @@
 use crate::placement;
 use crate::store;
 
-/// Fingerprint of a roster's content, the same on every proxy.
+/// Checksum of a roster's content, the same on every proxy.
 pub type Checksum = u64;
 
-/// Registered proxies and the platform's list.
+/// Registered proxies and the platform's list of VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Roster {
     /// Registrations, by VM.
     pub records: collections::BTreeMap<id::Vm, enrol::Record>,
-    /// The platform's list, by VM.
+    /// The platform's list, sorted by VM.
     pub listings: Vec<store::Listing>,
 }
 
-/// Short form of a roster, for exchange between proxies.
+/// Age and checksum of a roster, which proxies exchange to compare their rosters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Mark {
-    /// Time since the read of the store that gave it was started.
+    /// Time since the start of the store read that returned this roster.
     pub age: time::Duration,
-    /// Fingerprint of its content.
+    /// Checksum of the roster's content.
     pub checksum: Checksum,
 }
 
-/// A roster on its way to another proxy.
+/// A roster as sent to another proxy.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Update {
-    /// Which roster it is.
+    /// Age and checksum of the roster.
     pub mark: Mark,
-    /// Its content, when the receiver lacks it.
+    /// Content of the roster; `None` when the receiver already has it.
     pub content: Option<Roster>,
 }
 
 impl Roster {
-    /// Reads the registrations out of the store's entries; an unreadable one is left out.
+    /// Builds a roster from the store's entries; entries that can't be parsed are skipped.
     ///
     /// ```
     /// let roster = mangotray::roster::Roster::new(&[], &[]);
@@ -58,10 +58,10 @@
         Self { records, listings }
     }
 
-    /// Fingerprint of the content.
+    /// Checksum of the content.
     ///
     /// # Panics
-    /// Never: a roster is plain data.
+    /// Never: a roster can always be serialised to JSON.
     ///
     /// ```
     /// let empty = mangotray::roster::Roster::default();
@@ -79,7 +79,8 @@
         placement::score("roster", &text)
     }
 
-    /// Where a proxy accepts other proxies.
+    /// Address at which the proxy on `vm` accepts connections from other proxies; `None` when it
+    /// is not registered.
     #[must_use]
     pub fn member(&self, vm: &id::Vm) -> Option<forward::Member> {
         let record = self.records.get(vm)?;
@@ -89,8 +90,8 @@
         })
     }
 
-    /// The `count` proxies that rank first for `key`, in order; the same on every
-    /// proxy with the same roster.
+    /// The `count` proxies with the highest scores for `key`, in descending order; the same on
+    /// every proxy with the same roster.
     #[must_use]
     pub fn first(&self, key: &str, count: usize) -> Vec<id::Vm> {
         let mut names: Vec<_> = self.records.keys().cloned().collect();
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,4 +1,4 @@
-//! What an instance of a database group tells about itself.
+//! Status that an instance of a database group reports about itself.
 
 use crate::id;
 use crate::role;
@@ -7,15 +7,16 @@
 /// Answer of one instance to a status probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Status {
-    /// Last applied record.
+    /// Stamp of the last applied record.
     pub stamp: stamp::Stamp,
-    /// Highest term the instance has been fenced at; it refuses logs of lower terms.
+    /// Highest term at which the instance was fenced; it refuses logs of lower terms.
     pub fence: id::Term,
-    /// Whether the instance believes that it leads the group.
+    /// Role that the instance reports for itself.
     pub role: role::Role,
-    /// False while an instance that lost its log has not yet copied it again;
-    /// such an instance must not count towards a majority.
+    /// False after the instance lost its log and until it has copied the log again; until then
+    /// it must not count towards a majority.
     pub voter: bool,
-    /// Start of the instance's process; stamps seen under another incarnation are void.
+    /// Identifies one start of the instance's process; stamps from another incarnation are
+    /// invalid.
     pub incarnation: id::Incarnation,
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,4 +1,4 @@
-//! Border to the platform's key-value service.
+//! Interface to the platform's key-value service and its list of VMs.
 
 use std::time;
 
@@ -7,14 +7,14 @@
 
 use crate::id;
 
-/// Version of a stored value, as counted by the service; 0 means "absent".
+/// Version of a stored value, assigned by the service; 0 means that the key is absent.
 pub type Version = u64;
 
-/// Number of the service's content: it rises when the service comes back from an older copy of
-/// what it held, and has lost what it had acknowledged since. 0 where it never does.
+/// Era of the service's content. It rises when the service is restored from an older copy and
+/// has lost the writes acknowledged since. 0 for a service whose content never goes back.
 pub type Era = u64;
 
-/// Number of a lease at the service.
+/// Identifier of a lease at the service.
 pub type Lease = CompactString;
 
 /// A stored value with its version.
@@ -22,50 +22,50 @@
 pub struct Entry {
     /// Full key.
     pub key: CompactString,
-    /// Value as stored; at most one megabyte.
+    /// Stored value; at most one megabyte.
     pub value: bytes::Bytes,
     /// Version for compare-and-swap.
     pub version: Version,
-    /// Lease that the entry goes with, if any.
+    /// Lease with which the entry is removed, if any.
     pub lease: Option<Lease>,
 }
 
-/// Why a call to the service has no answer that can be used.
+/// Failure of a call to the service, with a description.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was changed: the service refused the call or could not be reached.
+    /// The call had no effect: the service refused it or could not be reached.
     NotRun(CompactString),
-    /// The call may have taken effect; read back before trying again.
+    /// The call may have taken effect; read the key again before a retry.
     Unknown(CompactString),
 }
 
-/// Outcome of a compare-and-swap that was answered.
+/// Result of a conditional write that the service answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Swap {
     /// The value is stored.
     Stored,
-    /// Another version was found; nothing was changed.
+    /// A key had a different version; nothing was changed.
     Conflict,
 }
 
-/// A key whose version says that the caller may still write.
+/// Precondition of a write: the version that a key must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guard<'a> {
     /// Full key.
     pub key: &'a str,
-    /// Version that it must have.
+    /// Required version.
     pub version: Version,
 }
 
-/// The key-value service, met through whatever protocol the platform speaks.
+/// The key-value service, independent of the platform's protocol.
 pub trait Store: Send + Sync {
     /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> future::BoxFuture<'a, Result<Option<Entry>, Failure>>;
 
-    /// Reads all keys with a prefix; one call at the service.
+    /// Reads all keys with a prefix, in one call to the service.
     fn list<'a>(&'a self, prefix: &'a str) -> future::BoxFuture<'a, Result<Vec<Entry>, Failure>>;
 
-    /// Stores a value if the key's version is still `expect`, bound to `lease` if given.
+    /// Stores a value if the key's version is `expect`, bound to `lease` if given.
     fn swap<'a>(
         &'a self,
         key: &'a str,
@@ -74,42 +74,43 @@
         lease: Option<&'a str>,
     ) -> future::BoxFuture<'a, Result<Swap, Failure>>;
 
-    /// Latest era that an answer has told of.
+    /// Latest era that an answer has reported.
     ///
-    /// An answer that tells of an earlier one is a failure. Where this is the same before and
-    /// after some calls, their answers all belong to that era.
+    /// An answer that reports an earlier era is a failure. If the era is the same before and
+    /// after a series of calls, all their answers belong to this era.
     fn era(&self) -> Era {
         0
     }
 
-    /// Stores a value under keys that must all be absent, bound to `lease`; all in one call.
+    /// Stores a value under several keys, bound to `lease`, if all of them are absent; one atomic
+    /// call.
     ///
-    /// A service that cannot do this refuses.
+    /// The default refuses, for services without such a call.
     fn create<'a>(
         &'a self,
         _keys: &'a [&'a str],
         _value: bytes::Bytes,
         _lease: &'a str,
     ) -> future::BoxFuture<'a, Result<Swap, Failure>> {
-        let refused = Failure::NotRun("this service writes one key at a time".into());
+        let refused = Failure::NotRun("the service cannot write several keys in one call".into());
         Box::pin(future::ready(Err(refused)))
     }
 
-    /// Stores a value, whatever is there, if the guarding keys still have their versions; all in
-    /// one call.
+    /// Stores a value, whatever the key's version, if all `guards` match; one atomic call.
     ///
-    /// A service that cannot do this refuses, so that whoever relies on it does not act.
+    /// The default refuses, for services without such a call, so that code that relies on the
+    /// guards does not proceed.
     fn put_guarded<'a>(
         &'a self,
         _key: &'a str,
         _value: bytes::Bytes,
         _guards: &'a [Guard<'a>],
     ) -> future::BoxFuture<'a, Result<Swap, Failure>> {
-        let refused = Failure::NotRun("this service has no guarded writes".into());
+        let refused = Failure::NotRun("the service does not support guarded writes".into());
         Box::pin(future::ready(Err(refused)))
     }
 
-    /// Waits until the key's version differs from `seen` or `timeout` has passed.
+    /// Waits until the key's version differs from `seen` or `timeout` has elapsed.
     fn watch<'a>(
         &'a self,
         key: &'a str,
@@ -117,29 +118,29 @@
         timeout: time::Duration,
     ) -> future::BoxFuture<'a, Result<Option<Entry>, Failure>>;
 
-    /// Opens a lease that ends `ttl` after its last renewal.
+    /// Creates a lease that expires `ttl` after its last renewal.
     fn grant(&self, ttl: time::Duration) -> future::BoxFuture<'_, Result<Lease, Failure>>;
 
-    /// Renews a lease; false when the service no longer knows it.
+    /// Renews a lease; returns false when the lease no longer exists.
     fn renew<'a>(&'a self, lease: &'a str) -> future::BoxFuture<'a, Result<bool, Failure>>;
 
-    /// Ends a lease and removes the entries bound to it.
+    /// Revokes a lease and removes the entries bound to it.
     fn revoke<'a>(&'a self, lease: &'a str) -> future::BoxFuture<'a, Result<(), Failure>>;
 }
 
-/// One line of the platform's lagging list of VMs.
+/// One entry of the platform's list of VMs, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Listing {
     /// Name of the VM.
     pub vm: id::Vm,
-    /// Failure domain that the platform reports.
+    /// Failure domain reported by the platform.
     pub domain: id::Domain,
-    /// True once the platform has announced that the VM is going away.
+    /// True once the platform has announced the VM's removal.
     pub leaving: bool,
 }
 
-/// The platform's lagging list of live and leaving VMs.
+/// The platform's list of live and leaving VMs, which may be out of date.
 pub trait Inventory: Send + Sync {
-    /// Reads the list; what it says may be several seconds old.
+    /// Reads the list; its content may be several seconds old.
     fn vms(&self) -> future::BoxFuture<'_, Result<Vec<Listing>, Failure>>;
 }
