--- a/desk/src/urgency.rs
+++ b/desk/src/urgency.rs
@@ -26,9 +26,9 @@
     pub due: id::Time,
     /// Time in which requests of the route should be answered.
     pub objective: time::Duration,
-    /// Latest start of the statement, on this node's clock; the requester has given up after it.
+    /// Latest start of the statement, on this node's clock; the sender has given up after it.
     pub until: id::Time,
-    /// Deadline of the answer, on this node's clock; the requester does not wait any longer.
+    /// Deadline of the answer, on this node's clock; the sender does not wait any longer.
     pub awaited: id::Time,
 }
 
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -221,9 +221,9 @@
 pub struct Digest {
     /// Requesting process; the request counts as its heartbeat.
     pub sign: evidence::Sign,
-    /// Report on the requester's configuration; `None` if only the witness report is requested.
+    /// Report on the asking proxy's configuration; `None` if only the witness report is requested.
     pub report: Option<spread::Report>,
-    /// Mark of the roster that the requester holds, if any.
+    /// Mark of the roster that the asking proxy holds, if any.
     pub roster: Option<roster::Mark>,
 }
 
