--- a/lab/src/capacity/decision.rs
+++ b/lab/src/capacity/decision.rs
@@ -113,7 +113,7 @@
             finished: started,
             status,
         };
-        board.answered(index, observation);
+        board.record_answer(index, observation);
     }
     board
 }
--- a/lab/src/capacity/document.rs
+++ b/lab/src/capacity/document.rs
@@ -88,7 +88,7 @@
         let roster = many[0].clone();
         let candidates: Vec<_> = roster.records.values().map(candidate).collect();
         let update = roster::Update {
-            mark: roster::Mark {
+            mark: roster::Digest {
                 age: time::Duration::ZERO,
                 checksum: roster.checksum(),
             },
@@ -126,7 +126,7 @@
 /// Serving sets of all groups of the target.
 fn place(candidates: &[placement::Candidate]) -> usize {
     (0..1_400)
-        .map(|group| placement::serving(&format!("dome_sched_{group}"), candidates, 3).len())
+        .map(|group| placement::serving_set(&format!("dome_sched_{group}"), candidates, 3).len())
         .sum()
 }
 
@@ -167,7 +167,7 @@
     };
     let age = time::Duration::ZERO;
     peer::News {
-        sign: evidence::Sign {
+        sign: evidence::Heartbeat {
             vm: "entry-1".into(),
             domain: "domain-1".into(),
             incarnation: 1,
--- a/lab/src/capacity/peers.rs
+++ b/lab/src/capacity/peers.rs
@@ -34,7 +34,7 @@
     let entries = bench.platform.entries();
     let entry = entries
         .iter()
-        .find(|entry| entry.key.starts_with(enrol::PREFIX));
+        .find(|entry| entry.key.starts_with(enrol::KEY_PREFIX));
     let entry = entry.ok_or_else(|| eyre::eyre!("the proxy is not registered"))?;
     let record: enrol::Record = serde_json::from_slice(&entry.value)?;
     let (mut memory, mut load) = (Vec::new(), Vec::new());
--- a/src/accept.rs
+++ b/src/accept.rs
@@ -58,7 +58,7 @@
     /// # Errors
     /// When the other side is not a peer of this system, or the stream breaks.
     pub async fn serve(&self, stream: Box<dyn wire::Duplex>) -> io::Result<()> {
-        let transport = self.hello.answer(stream).await?;
+        let transport = self.hello.accept(stream).await?;
         let heard = atomic::AtomicBool::new(true);
         let work = self.answer(transport, &heard);
         future::or(work, silence(self.idle, &heard)).compat().await
@@ -125,7 +125,7 @@
         }
         let database = run.open.as_deref();
         let database = database.ok_or_else(|| no_server("the session has ended"))?;
-        let lane = self.handler.switch().lane(database);
+        let lane = self.handler.lanes().lane(database);
         let lane = lane.ok_or_else(|| no_server("the group is not served here"))?;
         let session = sync::Arc::new(Session::new(lane));
         sessions.insert(run.session, session.clone());
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -139,7 +139,7 @@
     limits: Limits,
     waiting: backlog::Backlog,
     running: Vec<Running>,
-    service: Option<time::Duration>,
+    average_service_time: Option<time::Duration>,
 }
 
 impl Queue {
@@ -156,7 +156,7 @@
             limits,
             waiting: backlog::Backlog::default(),
             running: Vec::new(),
-            service: None,
+            average_service_time: None,
         }
     }
 
@@ -180,23 +180,23 @@
 
     /// Moving average of the time between a ticket's start and its release.
     #[must_use]
-    pub fn service(&self) -> Option<time::Duration> {
-        self.service
+    pub fn average_service_time(&self) -> Option<time::Duration> {
+        self.average_service_time
     }
 
     /// Estimated time until a ticket of this class, offered now, would get a slot.
     #[must_use]
-    pub fn delay(&self, priority: Priority) -> time::Duration {
+    pub fn estimated_delay(&self, priority: Priority) -> time::Duration {
         if self.running.len() < self.limits.slots {
             return time::Duration::ZERO;
         }
-        self.estimated_wait(self.waiting.up_to(priority))
+        self.estimated_wait(self.waiting.count_up_to(priority))
     }
 
     /// Time at which `expire` should next be called.
     #[must_use]
-    pub fn wake(&self) -> Option<id::Time> {
-        let earliest = self.waiting.earliest()?;
+    pub fn next_expiry(&self) -> Option<id::Time> {
+        let earliest = self.waiting.earliest_deadline()?;
         Some(earliest.saturating_sub(self.expected_service()))
     }
 
@@ -234,8 +234,8 @@
 
     /// Refuses the tickets that can no longer be answered in time and fills free slots.
     pub fn expire(&mut self, now: id::Time) -> Change {
-        // Uses the same time as `wake`, so that a call at that time removes at least one ticket.
-        let due = self.waiting.due(now + self.expected_service());
+        // Uses the same time as `next_expiry`, so that a call at that time removes at least one ticket.
+        let due = self.waiting.take_due(now + self.expected_service());
         let refused = due.into_iter().map(deadline_refusal).collect();
         let run = std::iter::from_fn(|| self.dispatch(now)).collect();
         Change { run, refused }
@@ -260,13 +260,13 @@
     }
 
     fn record_service_time(&mut self, sample: time::Duration) {
-        let average = self.service.unwrap_or(sample);
+        let average = self.average_service_time.unwrap_or(sample);
         let sample = sample.min((average * MAX_SAMPLE_FACTOR).max(MIN_SAMPLE_CAP));
-        self.service = Some((average * (SMOOTHING - 1) + sample) / SMOOTHING);
+        self.average_service_time = Some((average * (SMOOTHING - 1) + sample) / SMOOTHING);
     }
 
     fn expected_service(&self) -> time::Duration {
-        self.service.unwrap_or_default()
+        self.average_service_time.unwrap_or_default()
     }
 
     /// Estimated time until a ticket with `ahead` tickets before it gets a slot.
@@ -278,12 +278,14 @@
 
     /// Time by which the ticket's answer would miss its deadline; `None` if it would be in time.
     fn lateness(&self, ticket: &Ticket, now: id::Time) -> Option<time::Duration> {
-        let done = now + self.estimated_wait(self.waiting.ahead(ticket)) + self.expected_service();
+        let done = now
+            + self.estimated_wait(self.waiting.count_ahead_of(ticket))
+            + self.expected_service();
         (done > ticket.deadline).then(|| done.saturating_sub(ticket.deadline))
     }
 
     fn enqueue(&mut self, ticket: Ticket) -> Verdict {
-        let own_full = self.waiting.of(ticket.caller) >= self.limits.per_caller;
+        let own_full = self.waiting.count_of_caller(ticket.caller) >= self.limits.per_caller;
         let full = own_full || self.waiting.len() >= self.limits.length;
         let retry = Some(self.estimated_wait(self.waiting.len()).max(MIN_RETRY_DELAY));
         let reason = reason::Reason::Overload;
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -111,7 +111,7 @@
     }
     let order = drain(&mut queue, 0, ms(0));
     let turn = order.iter().position(|request| *request == 1).unwrap();
-    assert_eq!(turn, backlog::PATIENCE as usize);
+    assert_eq!(turn, backlog::MAX_SKIPS as usize);
 }
 
 #[test]
@@ -150,7 +150,7 @@
 /// Guards against late answers under overload. With a service time of 10 ms and ten waiting
 /// requests, a request with 50 ms left must be refused instead of queued.
 #[test]
-fn what_cannot_be_in_time_is_refused_on_arrival() {
+fn a_request_that_cannot_be_in_time_is_refused_on_arrival() {
     let mut queue = queue(1, 100, 100);
     queue.offer(write(0, 1, 1_000), ms(0));
     queue.release(0, ms(10));
@@ -180,7 +180,7 @@
         );
         queue.release(request, now + ms(5));
     }
-    assert!(queue.service().unwrap() < ms(6));
+    assert!(queue.average_service_time().unwrap() < ms(6));
 }
 
 #[test]
@@ -189,7 +189,7 @@
     queue.offer(write(0, 1, 1_000), ms(0));
     queue.offer(write(1, 1, 20), ms(0));
     queue.offer(write(2, 2, 90), ms(0));
-    assert_eq!(queue.wake(), Some(ms(20)));
+    assert_eq!(queue.next_expiry(), Some(ms(20)));
     let change = queue.expire(ms(20));
     assert_eq!(change.refused[0].ticket.request, 1);
     assert!(change.run.is_empty());
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_granted_slot_starts_what_waits() {
+fn an_added_slot_starts_a_waiting_request() {
     let mut queue = queue(0, 10, 10);
     assert_eq!(queue.offer(write(1, 1, 1_000), ms(0)), WAIT);
     let limits = admission::Limits {
@@ -360,7 +360,7 @@
 
     /// Whatever other callers send, a waiting ticket gets a slot after a bounded number of starts.
     #[test]
-    fn nobody_starves(seed in any::<u64>(), class in 0..3_usize) {
+    fn no_ticket_starves(seed in any::<u64>(), class in 0..3_usize) {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut queue = queue(1, 40, 10);
         queue.offer(write(0, 0, 1_000_000), ms(0));
@@ -376,7 +376,7 @@
         while running != 30 {
             running = queue.release(running, ms(0)).run[0].request;
             starts += 1;
-            prop_assert!(starts <= 30 * (backlog::PATIENCE + 2), "still waiting");
+            prop_assert!(starts <= 30 * (backlog::MAX_SKIPS + 2), "still waiting");
             request += 1;
             let priority = CLASSES[random.usize(0..3)];
             queue.offer(ticket(request, random.u64(1..200), priority, random.u64(1_000..2_000)), ms(0));
--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -1,6 +1,6 @@
 //! Waiting tickets of one queue, in the order of service.
 //!
-//! The highest class is served first, but a class that was passed over [`PATIENCE`] times is
+//! The highest class is served first, but a class that was passed over [`MAX_SKIPS`] times is
 //! served once. Within a class, callers are served in turn (round robin). Within a turn, and
 //! among the tickets of one caller, the earliest deadline is served first. `docs/LIMITS.md`
 //! compares this with other orders.
@@ -9,7 +9,7 @@
 use crate::id;
 
 /// Number of tickets of other classes that may be served before a waiting class is served once.
-pub const PATIENCE: u32 = 8;
+pub const MAX_SKIPS: u32 = 8;
 
 const CLASSES: [admission::Priority; 3] = [
     admission::Priority::Write,
@@ -62,7 +62,7 @@
     /// tickets that wait for the next.
     turns: [u64; CLASSES.len()],
     /// Per class, tickets of other classes that were served in succession while it waited.
-    passed: [u32; CLASSES.len()],
+    skips: [u32; CLASSES.len()],
     sequence: u64,
 }
 
@@ -81,39 +81,46 @@
 
     /// Number of waiting tickets of this class and of higher classes.
     #[must_use]
-    pub fn up_to(&self, priority: admission::Priority) -> usize {
-        let counted = |w: &&Waiting| w.ticket.priority <= priority;
+    pub fn count_up_to(&self, priority: admission::Priority) -> usize {
+        let counted = |waiting: &&Waiting| waiting.ticket.priority <= priority;
         self.waiting.iter().filter(counted).count()
     }
 
     /// Number of waiting tickets of a caller.
     #[must_use]
-    pub fn of(&self, caller: u64) -> usize {
-        let counted = |w: &&Waiting| w.ticket.caller == caller;
+    pub fn count_of_caller(&self, caller: u64) -> usize {
+        let counted = |waiting: &&Waiting| waiting.ticket.caller == caller;
         self.waiting.iter().filter(counted).count()
     }
 
     /// Earliest deadline of all waiting tickets.
     #[must_use]
-    pub fn earliest(&self) -> Option<id::Time> {
-        self.waiting.iter().map(|w| w.ticket.deadline).min()
+    pub fn earliest_deadline(&self) -> Option<id::Time> {
+        self.waiting
+            .iter()
+            .map(|waiting| waiting.ticket.deadline)
+            .min()
     }
 
     /// Number of waiting tickets that would be served before this one, by class, turn and deadline.
     #[must_use]
-    pub fn ahead(&self, ticket: &admission::Ticket) -> usize {
-        let earlier = |w: &&Waiting| w.ticket.deadline <= ticket.deadline;
+    pub fn count_ahead_of(&self, ticket: &admission::Ticket) -> usize {
+        let earlier = |waiting: &&Waiting| waiting.ticket.deadline <= ticket.deadline;
         let own = self
             .waiting
             .iter()
-            .filter(|w| w.same_caller_and_class(ticket));
+            .filter(|waiting| waiting.same_caller_and_class(ticket));
         let before = u64::try_from(own.filter(earlier).count()).unwrap_or(u64::MAX);
         let turn = self.turns[ticket.priority as usize] + 1 + before;
         self.waiting
             .iter()
-            .filter(|w| !w.same_caller_and_class(ticket) || earlier(w))
-            .filter(|w| {
-                let key = (w.ticket.priority, w.turn, w.ticket.deadline);
+            .filter(|waiting| !waiting.same_caller_and_class(ticket) || earlier(waiting))
+            .filter(|waiting| {
+                let key = (
+                    waiting.ticket.priority,
+                    waiting.turn,
+                    waiting.ticket.deadline,
+                );
                 key <= (ticket.priority, turn, ticket.deadline)
             })
             .count()
@@ -126,8 +133,8 @@
         let own = self
             .waiting
             .iter()
-            .filter(|w| w.same_caller_and_class(&ticket));
-        let last = own.map(|w| w.turn).max().unwrap_or_default();
+            .filter(|waiting| waiting.same_caller_and_class(&ticket));
+        let last = own.map(|waiting| waiting.turn).max().unwrap_or_default();
         self.sequence += 1;
         self.waiting.push(Waiting {
             ticket,
@@ -137,11 +144,11 @@
         let own = self
             .waiting
             .iter_mut()
-            .filter(|w| w.same_caller_and_class(&ticket));
+            .filter(|waiting| waiting.same_caller_and_class(&ticket));
         let mut own: Vec<&mut Waiting> = own.collect();
-        let mut turns: Vec<u64> = own.iter().map(|w| w.turn).collect();
+        let mut turns: Vec<u64> = own.iter().map(|waiting| waiting.turn).collect();
         turns.sort_unstable();
-        own.sort_unstable_by_key(|w| (w.ticket.deadline, w.sequence));
+        own.sort_unstable_by_key(|waiting| (waiting.ticket.deadline, waiting.sequence));
         for (waiting, turn) in own.into_iter().zip(turns) {
             waiting.turn = turn;
         }
@@ -154,9 +161,9 @@
             .waiting
             .iter()
             .enumerate()
-            .filter(|(_, w)| !own || w.ticket.caller == ticket.caller)
-            .filter(|(_, w)| w.ticket.priority > ticket.priority)
-            .max_by_key(|(_, w)| (w.ticket.priority, w.order()))
+            .filter(|(_, waiting)| !own || waiting.ticket.caller == ticket.caller)
+            .filter(|(_, waiting)| waiting.ticket.priority > ticket.priority)
+            .max_by_key(|(_, waiting)| (waiting.ticket.priority, waiting.order()))
             .map(|(at, _)| at)?;
         Some(self.waiting.swap_remove(victim).ticket)
     }
@@ -164,15 +171,16 @@
     /// Removes a request; returns false if it was not waiting.
     pub fn remove(&mut self, request: id::Request) -> bool {
         let before = self.waiting.len();
-        self.waiting.retain(|w| w.ticket.request != request);
+        self.waiting
+            .retain(|waiting| waiting.ticket.request != request);
         self.waiting.len() < before
     }
 
     /// Removes and returns all tickets with a deadline at or before `by`.
-    pub fn due(&mut self, by: id::Time) -> Vec<admission::Ticket> {
+    pub fn take_due(&mut self, by: id::Time) -> Vec<admission::Ticket> {
         self.waiting
-            .extract_if(.., |w| w.ticket.deadline <= by)
-            .map(|w| w.ticket)
+            .extract_if(.., |waiting| waiting.ticket.deadline <= by)
+            .map(|waiting| waiting.ticket)
             .collect()
     }
 
@@ -183,8 +191,8 @@
             .waiting
             .iter()
             .enumerate()
-            .filter(|(_, w)| w.ticket.priority == class)
-            .min_by_key(|(_, w)| w.order())
+            .filter(|(_, waiting)| waiting.ticket.priority == class)
+            .min_by_key(|(_, waiting)| waiting.order())
             .map(|(at, _)| at)?;
         let next = self.waiting.swap_remove(at);
         let turn = &mut self.turns[class as usize];
@@ -192,20 +200,21 @@
         Some(next.ticket)
     }
 
-    /// The highest waiting class, unless a class has been passed over [`PATIENCE`] times. Updates
+    /// The highest waiting class, unless a class has been passed over [`MAX_SKIPS`] times. Updates
     /// the counts of passed-over classes.
     fn next_class(&mut self) -> Option<admission::Priority> {
         let has_waiting = |class: &admission::Priority| {
             let mut waiting = self.waiting.iter();
-            waiting.any(|w| w.ticket.priority == *class)
+            waiting.any(|waiting| waiting.ticket.priority == *class)
         };
         let classes: Vec<admission::Priority> = CLASSES.into_iter().filter(has_waiting).collect();
-        let passed_over = |class: &&admission::Priority| self.passed[**class as usize] >= PATIENCE;
-        let chosen = *classes.iter().find(passed_over).or(classes.first())?;
+        let skipped_often =
+            |class: &&admission::Priority| self.skips[**class as usize] >= MAX_SKIPS;
+        let chosen = *classes.iter().find(skipped_often).or(classes.first())?;
         for class in CLASSES {
-            let passed = &mut self.passed[class as usize];
+            let skips = &mut self.skips[class as usize];
             let skipped = class != chosen && classes.contains(&class);
-            *passed = if skipped { *passed + 1 } else { 0 };
+            *skips = if skipped { *skips + 1 } else { 0 };
         }
         Some(chosen)
     }
--- a/src/board.rs
+++ b/src/board.rs
@@ -24,7 +24,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
-pub struct Seen {
+pub struct Instance {
     /// Last answered probe.
     pub last: Option<Observation>,
     /// Number of probes that failed since then.
@@ -45,7 +45,7 @@
 /// Observations of all instances of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Board {
-    seen: Vec<Seen>,
+    seen: Vec<Instance>,
 }
 
 impl Board {
@@ -59,7 +59,7 @@
     #[must_use]
     pub fn new(count: usize) -> Self {
         Self {
-            seen: vec![Seen::default(); count],
+            seen: vec![Instance::default(); count],
         }
     }
 
@@ -75,40 +75,40 @@
 
     /// Observed state of each instance, by index.
     #[must_use]
-    pub fn seen(&self) -> &[Seen] {
+    pub fn instances(&self) -> &[Instance] {
         &self.seen
     }
 
     /// Records an answered probe. An answer to an older probe than the recorded one is dropped.
-    pub fn answered(&mut self, index: id::Index, observation: Observation) {
-        let seen = &mut self.seen[index];
-        if seen
+    pub fn record_answer(&mut self, index: id::Index, observation: Observation) {
+        let instance = &mut self.seen[index];
+        if instance
             .last
             .is_some_and(|last| last.started > observation.started)
         {
             return;
         }
-        if seen.last.map(|last| last.status.stamp) != Some(observation.status.stamp) {
-            seen.behind = None;
+        if instance.last.map(|last| last.status.stamp) != Some(observation.status.stamp) {
+            instance.behind = None;
         }
-        seen.last = Some(observation);
-        seen.failures = 0;
+        instance.last = Some(observation);
+        instance.failures = 0;
         self.compare_with_leader(observation.finished);
     }
 
     fn compare_with_leader(&mut self, now: id::Time) {
         let leader = self.leader().and_then(|leader| self.status(leader.index));
-        for seen in &mut self.seen {
-            let stamp = seen.last.map(|last| last.status.stamp);
+        for instance in &mut self.seen {
+            let stamp = instance.last.map(|last| last.status.stamp);
             let behind = stamp < leader.map(|status| status.stamp);
-            seen.behind = behind.then(|| seen.behind.unwrap_or(now));
+            instance.behind = behind.then(|| instance.behind.unwrap_or(now));
         }
     }
 
     /// Records a probe without an answer.
-    pub fn failed(&mut self, index: id::Index) {
-        let seen = &mut self.seen[index];
-        seen.failures = seen.failures.saturating_add(1);
+    pub fn record_failure(&mut self, index: id::Index) {
+        let instance = &mut self.seen[index];
+        instance.failures = instance.failures.saturating_add(1);
     }
 
     /// Last observed status of an instance, whatever its age.
@@ -198,8 +198,8 @@
         self.seen
             .iter()
             .enumerate()
-            .filter_map(move |(index, seen)| {
-                let last = seen.last.filter(|last| last.started >= since)?;
+            .filter_map(move |(index, instance)| {
+                let last = instance.last.filter(|last| last.started >= since)?;
                 Some((index, last.status))
             })
     }
--- a/src/board/tests.rs
+++ b/src/board/tests.rs
@@ -22,7 +22,7 @@
 
 fn observe(board: &mut Board, index: id::Index, at: u64, status: status::Status) {
     let started = Duration::from_millis(at);
-    board.answered(
+    board.record_answer(
         index,
         Observation {
             started,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_overtaken_answer_is_dropped() {
+fn an_answer_to_an_older_probe_is_dropped() {
     let mut board = Board::new(3);
     observe(&mut board, 0, 10, status(1, 9, 1, Role::Replica));
     observe(&mut board, 0, 8, status(1, 7, 1, Role::Replica));
--- a/src/breaker.rs
+++ b/src/breaker.rs
@@ -88,13 +88,13 @@
 /// let mut breaker = breaker::Breaker::new(breaker::Limits::default());
 /// for _ in 0..5 {
 ///     let permit = breaker.permit(Duration::ZERO).unwrap();
-///     breaker.failure(permit, Duration::ZERO, &mut random);
+///     breaker.record_failure(permit, Duration::ZERO, &mut random);
 /// }
 /// assert!(breaker.permit(Duration::ZERO).is_none());
 /// let later = Duration::from_secs(1);
 /// let trial = breaker.permit(later).unwrap();
 /// assert!(breaker.permit(later).is_none());
-/// breaker.success(trial, later);
+/// breaker.record_success(trial, later);
 /// assert!(breaker.permit(later).is_some());
 /// ```
 #[derive(Debug)]
@@ -105,7 +105,7 @@
     /// ignored; otherwise a late answer to a request sent before the breaker opened would close
     /// it, although it says nothing about the instance's current state.
     epoch: u64,
-    consecutive: u32,
+    consecutive_failures: u32,
     buckets: collections::VecDeque<Bucket>,
     pause: time::Duration,
 }
@@ -125,7 +125,7 @@
             limits,
             state: State::Closed,
             epoch: 0,
-            consecutive: 0,
+            consecutive_failures: 0,
             buckets: collections::VecDeque::new(),
             pause,
         }
@@ -139,7 +139,7 @@
 
     /// Whether a request sent at `now` would be admitted. Doesn't start a trial.
     #[must_use]
-    pub fn passes(&self, now: id::Time) -> bool {
+    pub fn admits(&self, now: id::Time) -> bool {
         match self.state {
             State::Closed => true,
             State::Open { until } | State::HalfOpen { until } => until <= now,
@@ -152,7 +152,7 @@
     /// A trial that reports no result is replaced after `Limits::ceiling`: a trial whose caller
     /// disconnected would otherwise exclude the instance for good.
     pub fn permit(&mut self, now: id::Time) -> Option<Permit> {
-        if !self.passes(now) {
+        if !self.admits(now) {
             return None;
         }
         if self.state != State::Closed {
@@ -164,11 +164,11 @@
     }
 
     /// Records that the request was answered. Closes the breaker if the request was the trial.
-    pub fn success(&mut self, permit: Permit, now: id::Time) {
+    pub fn record_success(&mut self, permit: Permit, now: id::Time) {
         if permit.epoch != self.epoch {
             return;
         }
-        self.consecutive = 0;
+        self.consecutive_failures = 0;
         self.pause = self.limits.pause;
         match self.state {
             State::Closed => self.bucket(now).successes += 1,
@@ -178,7 +178,7 @@
 
     /// Records that the request failed, which may open the breaker. `random` adds jitter to the
     /// pause, so that the trials of many proxies don't reach a recovering instance all at once.
-    pub fn failure(&mut self, permit: Permit, now: id::Time, random: &mut fastrand::Rng) {
+    pub fn record_failure(&mut self, permit: Permit, now: id::Time, random: &mut fastrand::Rng) {
         if permit.epoch != self.epoch {
             return;
         }
@@ -187,9 +187,9 @@
             self.open(now, random);
             return;
         }
-        self.consecutive += 1;
+        self.consecutive_failures += 1;
         self.bucket(now).failures += 1;
-        if self.consecutive >= self.limits.consecutive || self.ratio_exceeded(now) {
+        if self.consecutive_failures >= self.limits.consecutive || self.ratio_exceeded(now) {
             self.open(now, random);
         }
     }
@@ -206,7 +206,7 @@
 
     /// Opens the breaker for a random time between 0.5 and 1.5 times the current pause.
     fn open(&mut self, now: id::Time, random: &mut fastrand::Rng) {
-        self.consecutive = 0;
+        self.consecutive_failures = 0;
         let pause = self.pause.mul_f64(0.5 + random.f64());
         self.enter(State::Open { until: now + pause });
     }
--- a/src/breaker/tests.rs
+++ b/src/breaker/tests.rs
@@ -17,7 +17,7 @@
     let mut breaker = breaker::Breaker::new(breaker::Limits::default());
     for _ in 0..5 {
         let permit = breaker.permit(ms(0)).unwrap();
-        breaker.failure(permit, ms(0), random);
+        breaker.record_failure(permit, ms(0), random);
     }
     let until = assert_matches!(breaker.state(), breaker::State::Open { until } => until);
     (breaker, until)
@@ -29,7 +29,7 @@
     assert!(breaker.permit(until.saturating_sub(ms(1))).is_none());
     let trial = breaker.permit(until).unwrap();
     assert!(breaker.permit(until).is_none());
-    breaker.success(trial, until + ms(5));
+    breaker.record_success(trial, until + ms(5));
     assert_eq!(breaker.state(), breaker::State::Closed);
 }
 
@@ -40,9 +40,9 @@
     for step in 0..300 {
         let permit = breaker.permit(ms(step)).unwrap();
         if step % 3 == 0 {
-            breaker.failure(permit, ms(step), &mut random);
+            breaker.record_failure(permit, ms(step), &mut random);
         } else {
-            breaker.success(permit, ms(step));
+            breaker.record_success(permit, ms(step));
         }
     }
     assert_eq!(breaker.state(), breaker::State::Closed);
@@ -55,9 +55,9 @@
     let mut sample = |breaker: &mut breaker::Breaker, at: id::Time, failed: bool| {
         let permit = breaker.permit(at).unwrap();
         if failed {
-            breaker.failure(permit, at, &mut random);
+            breaker.record_failure(permit, at, &mut random);
         } else {
-            breaker.success(permit, at);
+            breaker.record_success(permit, at);
         }
     };
     (0..18).for_each(|step| sample(&mut breaker, ms(step), step % 2 == 0));
@@ -78,7 +78,7 @@
     for _ in 0..20 {
         let now = until;
         let trial = breaker.permit(now).unwrap();
-        breaker.failure(trial, now, &mut random);
+        breaker.record_failure(trial, now, &mut random);
         until = assert_matches!(breaker.state(), breaker::State::Open { until } => until);
         longest = longest.max(until.saturating_sub(now));
     }
@@ -95,12 +95,12 @@
     let early = breaker.permit(ms(0)).unwrap();
     for _ in 0..5 {
         let permit = breaker.permit(ms(0)).unwrap();
-        breaker.failure(permit, ms(0), &mut random);
+        breaker.record_failure(permit, ms(0), &mut random);
     }
     let trial = breaker.permit(ms(1_000)).unwrap();
-    breaker.success(early, ms(1_001));
+    breaker.record_success(early, ms(1_001));
     assert_matches!(breaker.state(), breaker::State::HalfOpen { .. });
-    breaker.failure(trial, ms(1_002), &mut random);
+    breaker.record_failure(trial, ms(1_002), &mut random);
     assert_matches!(breaker.state(), breaker::State::Open { .. });
 }
 
@@ -113,7 +113,7 @@
     let again = until + breaker::Limits::default().ceiling;
     assert!(breaker.permit(again.saturating_sub(ms(1))).is_none());
     let trial = breaker.permit(again).unwrap();
-    breaker.success(trial, again);
+    breaker.record_success(trial, again);
     assert_eq!(breaker.state(), breaker::State::Closed);
 }
 
--- a/src/cancel.rs
+++ b/src/cancel.rs
@@ -120,11 +120,11 @@
     /// let registry = mangotray::cancel::Registry::new();
     /// let handle = registry.register();
     /// assert!(registry.cancel(handle.pid(), handle.secret()));
-    /// assert!(handle.clear());
-    /// assert!(!handle.clear());
+    /// assert!(handle.discard_pending());
+    /// assert!(!handle.discard_pending());
     /// ```
     #[must_use]
-    pub fn clear(&self) -> bool {
+    pub fn discard_pending(&self) -> bool {
         self.receiver.try_recv().is_ok()
     }
 
@@ -134,9 +134,9 @@
     /// let registry = mangotray::cancel::Registry::new();
     /// let handle = registry.register();
     /// assert!(registry.cancel(handle.pid(), handle.secret()));
-    /// futures_lite::future::block_on(handle.canceled());
+    /// futures_lite::future::block_on(handle.wait());
     /// ```
-    pub async fn canceled(&self) {
+    pub async fn wait(&self) {
         // The registry keeps a sender as long as the handle exists, so this cannot fail.
         let _ = self.receiver.recv().await;
     }
--- a/src/cancel/tests.rs
+++ b/src/cancel/tests.rs
@@ -7,7 +7,7 @@
     let registry = Registry::new();
     let handle = registry.register();
     assert!(!registry.cancel(handle.pid(), handle.secret().wrapping_add(1)));
-    assert!(handle.canceled().now_or_never().is_none());
+    assert!(handle.wait().now_or_never().is_none());
 }
 
 #[test]
@@ -24,6 +24,9 @@
     let registry = Registry::new();
     let handles: Vec<_> = (0..100).map(|_| registry.register()).collect();
     assert!(registry.cancel(handles[42].pid(), handles[42].secret()));
-    let canceled = handles.iter().filter(|handle| handle.clear()).count();
+    let canceled = handles
+        .iter()
+        .filter(|handle| handle.discard_pending())
+        .count();
     assert_eq!(canceled, 1);
 }
--- a/src/command/status.rs
+++ b/src/command/status.rs
@@ -106,7 +106,7 @@
 
 fn list(address: net::SocketAddr, timeout: time::Duration) -> Listed {
     let entries = command::with_store(address, timeout, async |store| {
-        store.list(enrol::PREFIX).await
+        store.list(enrol::KEY_PREFIX).await
     });
     let mut listed = Listed::default();
     match entries {
--- a/src/confirmation.rs
+++ b/src/confirmation.rs
@@ -21,12 +21,12 @@
 /// let mut estimate = mangotray::confirmation::Estimate::default();
 /// let ms = Duration::from_millis;
 /// assert!(estimate.allows(ms(100), ms(0), ms(0)));
-/// estimate.learn(ms(500));
+/// estimate.add_sample(ms(500));
 /// assert!(estimate.allows(ms(100), ms(0), ms(5_000)), "the trial");
 /// assert!(!estimate.allows(ms(100), ms(0), ms(5_010)));
-/// estimate.learn(ms(10));
-/// estimate.learn(ms(10));
-/// estimate.learn(ms(10));
+/// estimate.add_sample(ms(10));
+/// estimate.add_sample(ms(10));
+/// estimate.add_sample(ms(10));
 /// assert!(estimate.allows(ms(100), ms(0), ms(5_020)));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -40,7 +40,7 @@
     ///
     /// The average falls faster than it rises: after a stall only the few trial writes can show
     /// that confirmations are fast again.
-    pub fn learn(&mut self, sample: time::Duration) {
+    pub fn add_sample(&mut self, sample: time::Duration) {
         let average = self.average.unwrap_or(sample);
         self.average = Some(if sample < average {
             (average + sample) / 2
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -122,11 +122,11 @@
     pub async fn drain(self) -> bool {
         self.context.drain.start();
         self.context.directory.drain();
-        self.context.enrolment.drain().await;
+        self.context.enrolment.mark_draining().await;
         let complete = within(self.drain_timeout, self.idle()).await;
         // Others get the seats at once; without it they wait for the lease to end.
         within(RELEASE_TIMEOUT, self.released()).await;
-        self.context.enrolment.leave().await;
+        self.context.enrolment.revoke_lease().await;
         self.halt();
         complete
     }
@@ -207,8 +207,8 @@
     };
     let directory = sync::Arc::new(directory::Directory::new(shared));
     let drain = drain::Signal::new();
-    let switch: sync::Arc<dyn lane::Switch> =
-        sync::Arc::new(directory::Everywhere(directory.clone()));
+    let switch: sync::Arc<dyn lane::Factory> =
+        sync::Arc::new(directory::CallerLanes(directory.clone()));
     let limits = session::Limits {
         request: settings.limits.message_bytes,
         startup: settings.limits.startup_timeout,
--- a/src/detect.rs
+++ b/src/detect.rs
@@ -10,7 +10,7 @@
 
 /// Limits of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Rule {
+pub struct Detector {
     /// Time without an answer after which a primary is suspected.
     #[serde(with = "humantime_serde")]
     pub silence: time::Duration,
@@ -23,7 +23,7 @@
     pub stall: time::Duration,
 }
 
-impl Default for Rule {
+impl Default for Detector {
     fn default() -> Self {
         Self {
             silence: time::Duration::from_millis(350),
@@ -61,18 +61,18 @@
     Suspect(Cause),
 }
 
-impl Rule {
+impl Detector {
     /// Assesses the primary of a group from the observations at time `now`.
     ///
     /// ```
     /// use std::time::Duration;
     /// use mangotray::{board, detect};
     /// let board = board::Board::new(3);
-    /// let verdict = detect::Rule::default().judge(&board, Duration::from_secs(9));
+    /// let verdict = detect::Detector::default().assess(&board, Duration::from_secs(9));
     /// assert_eq!(verdict, detect::Verdict::Blind);
     /// ```
     #[must_use]
-    pub fn judge(&self, board: &board::Board, now: id::Time) -> Verdict {
+    pub fn assess(&self, board: &board::Board, now: id::Time) -> Verdict {
         let recent = now.saturating_sub(self.silence);
         if !board.reachable(recent) {
             return Verdict::Blind;
@@ -80,9 +80,9 @@
         let Some(leader) = board.leader() else {
             return Verdict::Suspect(Cause::Vacant);
         };
-        let seen = &board.seen()[leader.index];
-        let heard = seen.last.map_or(id::Time::ZERO, |last| last.finished);
-        if heard < recent && seen.failures >= self.failures {
+        let instance = &board.instances()[leader.index];
+        let heard = instance.last.map_or(id::Time::ZERO, |last| last.finished);
+        if heard < recent && instance.failures >= self.failures {
             return Verdict::Suspect(Cause::Silent);
         }
         if self.stalled(board, leader, now) {
@@ -100,11 +100,15 @@
     /// can be confirmed. Replicas that lag but advance do not count.
     fn stalled(&self, board: &board::Board, leader: board::Leader, now: id::Time) -> bool {
         board
-            .seen()
+            .instances()
             .iter()
             .enumerate()
             .filter(|(index, _)| *index != leader.index)
-            .all(|(_, seen)| seen.behind.is_some_and(|since| since + self.stall <= now))
+            .all(|(_, instance)| {
+                instance
+                    .behind
+                    .is_some_and(|since| since + self.stall <= now)
+            })
     }
 
     /// Returns whether a replica is fenced above the primary's term and has not advanced for
@@ -113,10 +117,12 @@
     /// An abandoned promotion leaves the replicas that it fenced in this state: they reject the
     /// primary's log until a new term begins, and the group has fewer copies than it seems to have.
     fn fenced_off(&self, board: &board::Board, leader: board::Leader, now: id::Time) -> bool {
-        board.seen().iter().any(|seen| {
-            let fence = seen.last.map(|last| last.status.fence);
-            let still = seen.behind.is_some_and(|since| since + self.stall <= now);
-            seen.failures == 0 && fence > Some(leader.term) && still
+        board.instances().iter().any(|instance| {
+            let fence = instance.last.map(|last| last.status.fence);
+            let still = instance
+                .behind
+                .is_some_and(|since| since + self.stall <= now);
+            instance.failures == 0 && fence > Some(leader.term) && still
         })
     }
 }
--- a/src/detect/tests.rs
+++ b/src/detect/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Cause;
-use super::Rule;
+use super::Detector;
 use super::Verdict;
 use crate::board;
 use crate::id;
@@ -25,7 +25,7 @@
         finished: time,
         status,
     };
-    board.answered(index, observation);
+    board.record_answer(index, observation);
 }
 
 fn observe_all(board: &mut board::Board, millis: u64, primary: u64, replica: u64) {
@@ -34,8 +34,8 @@
     observe(board, 2, millis, Role::Replica, replica);
 }
 
-fn judge(board: &board::Board, millis: u64) -> Verdict {
-    Rule::default().judge(board, Duration::from_millis(millis))
+fn assess(board: &board::Board, millis: u64) -> Verdict {
+    Detector::default().assess(board, Duration::from_millis(millis))
 }
 
 #[test]
@@ -44,11 +44,11 @@
     observe_all(&mut board, 1_000, 1, 1);
     observe(&mut board, 1, 1_500, Role::Replica, 1);
     observe(&mut board, 2, 1_500, Role::Replica, 1);
-    assert_eq!(judge(&board, 1_600), Verdict::Healthy);
+    assert_eq!(assess(&board, 1_600), Verdict::Healthy);
     for _ in 0..3 {
-        board.failed(0);
+        board.record_failure(0);
     }
-    assert_eq!(judge(&board, 1_600), Verdict::Suspect(Cause::Silent));
+    assert_eq!(assess(&board, 1_600), Verdict::Suspect(Cause::Silent));
 }
 
 #[test]
@@ -57,10 +57,10 @@
     // seconds: all answers are old then, so their age alone must not cause a suspicion.
     let mut board = board::Board::new(3);
     observe_all(&mut board, 1_000, 1, 1);
-    assert_eq!(judge(&board, 11_000), Verdict::Blind);
+    assert_eq!(assess(&board, 11_000), Verdict::Blind);
     observe(&mut board, 1, 11_001, Role::Replica, 1);
     observe(&mut board, 2, 11_001, Role::Replica, 1);
-    assert_eq!(judge(&board, 11_002), Verdict::Healthy);
+    assert_eq!(assess(&board, 11_002), Verdict::Healthy);
 }
 
 #[test]
@@ -70,11 +70,11 @@
     let mut board = board::Board::new(3);
     observe_all(&mut board, 1_000, 5, 5);
     observe_all(&mut board, 600_000, 9, 5);
-    assert_eq!(judge(&board, 600_100), Verdict::Healthy);
+    assert_eq!(assess(&board, 600_100), Verdict::Healthy);
     observe_all(&mut board, 600_799, 11, 5);
-    assert_eq!(judge(&board, 600_799), Verdict::Healthy);
+    assert_eq!(assess(&board, 600_799), Verdict::Healthy);
     observe_all(&mut board, 600_801, 12, 5);
-    assert_eq!(judge(&board, 600_801), Verdict::Suspect(Cause::Stalled));
+    assert_eq!(assess(&board, 600_801), Verdict::Suspect(Cause::Stalled));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     for step in 0..100 {
         let millis = 1_000 + step * 100;
         observe_all(&mut board, millis, 1_000 + step, step);
-        assert_eq!(judge(&board, millis), Verdict::Healthy);
+        assert_eq!(assess(&board, millis), Verdict::Healthy);
     }
 }
 
@@ -92,7 +92,7 @@
     let mut board = board::Board::new(3);
     observe(&mut board, 1, 1_000, Role::Replica, 1);
     observe(&mut board, 2, 1_000, Role::Replica, 1);
-    assert_eq!(judge(&board, 1_000), Verdict::Suspect(Cause::Vacant));
+    assert_eq!(assess(&board, 1_000), Verdict::Suspect(Cause::Vacant));
 }
 
 #[test]
@@ -108,7 +108,7 @@
         let time = Duration::from_millis(millis);
         let mut status = board.status(2).unwrap();
         status.fence = 2;
-        board.answered(
+        board.record_answer(
             2,
             board::Observation {
                 started: time,
@@ -116,7 +116,7 @@
                 status,
             },
         );
-        judge(&board, millis)
+        assess(&board, millis)
     };
     assert_eq!(observe_fenced(1_000, 1), Verdict::Healthy);
     assert_eq!(observe_fenced(9_000, 2), Verdict::Healthy);
--- a/src/dial.rs
+++ b/src/dial.rs
@@ -93,7 +93,7 @@
         executor: sync::Arc<async_executor::Executor<'static>>,
         silence: time::Duration,
     ) -> io::Result<Self> {
-        let transport = hello.ask(stream).await?;
+        let transport = hello.connect(stream).await?;
         let config = client::Config::default();
         let new = peer::PeerClient::new(config, transport);
         let client = new.client;
@@ -152,7 +152,7 @@
         futures_lite::future::or(call, expiry).await
     }
 
-    fn failure(&self, error: &client::RpcError, mark: &peer::Mark) -> Failure {
+    fn failure(&self, error: &client::RpcError, mark: &peer::Transmission) -> Failure {
         match error {
             client::RpcError::Send(_) => return Failure::Unsent,
             // Before the connection's task gets to say so: nobody may choose it again.
@@ -198,7 +198,7 @@
     }
 }
 
-fn settle(mark: &peer::Mark, sent: Failure) -> Failure {
+fn settle(mark: &peer::Transmission, sent: Failure) -> Failure {
     if mark.abandon() {
         Failure::Unsent
     } else {
--- a/src/direct.rs
+++ b/src/direct.rs
@@ -38,7 +38,7 @@
 
 /// A connection that an open transaction is bound to.
 struct Pin {
-    place: path::Place,
+    place: path::Target,
     parked: pool::Parked,
     writes: bool,
 }
@@ -76,7 +76,7 @@
             &self.latest,
             outcome,
             self.group.clock.now(),
-            &mut self.group.retries(),
+            &mut self.group.retry_budget(),
             &mut self.backoff,
             &mut fastrand::Rng::new(),
         );
@@ -102,8 +102,8 @@
     }
 
     async fn dispatch(&mut self, batch: batch::Batch) -> Answer {
-        self.path.group.watch.touch();
-        self.path.group.retries().first();
+        self.path.group.watch.record_request();
+        self.path.group.retry_budget().record_first_attempt();
         if let Some(pin) = self.pin.take() {
             return self.pinned(pin, &batch).await;
         }
@@ -129,22 +129,25 @@
             ));
         };
         let commits = batch.class == class::Class::Commit || batch.mixed;
-        self.path.log(batch, place.index, route::Why::Pinned, None);
+        self.path
+            .log(batch, place.index, route::Reason::Pinned, None);
         match self.path.send(place, Some(guard), batch).await {
-            path::Sent::Answered(reply, _) if led && !batch.mixed && read_only(&reply) => {
+            path::Delivery::Answered(reply, _) if led && !batch.mixed && read_only(&reply) => {
                 Err(replaced())
             }
-            path::Sent::Answered(reply, guard) => {
+            path::Delivery::Answered(reply, guard) => {
                 self.settle(batch, place, writes, reply, guard).await
             }
-            path::Sent::Lost(detail) if commits && writes => Err(lost(detail)),
-            path::Sent::Expired if commits && writes => Err(expired()),
+            path::Delivery::Lost(detail) if commits && writes => Err(lost(detail)),
+            path::Delivery::Expired if commits && writes => Err(expired()),
             // The transaction was never asked to commit, so losing its connection
             // has rolled it back.
-            path::Sent::Lost(detail) | path::Sent::Unsent(detail) => Err(rolled_back(detail)),
-            path::Sent::Expired => Err(rolled_back(EXPIRED.into())),
-            path::Sent::Late => Err(late()),
-            path::Sent::Refused(outcome) => Err(outcome),
+            path::Delivery::Lost(detail) | path::Delivery::Unsent(detail) => {
+                Err(rolled_back(detail))
+            }
+            path::Delivery::Expired => Err(rolled_back(EXPIRED.into())),
+            path::Delivery::Late => Err(late()),
+            path::Delivery::Refused(outcome) => Err(outcome),
         }
     }
 
@@ -153,27 +156,28 @@
         let mut attempts = Attempts::new(&group, batch);
         loop {
             let place = self.path.primary(batch).await?;
-            self.path.log(batch, place.index, route::Why::Primary, None);
+            self.path
+                .log(batch, place.index, route::Reason::Primary, None);
             let outcome = match self.path.send(place, None, batch).await {
-                path::Sent::Answered(reply, guard) if refused_by_replica(batch, &reply) => {
+                path::Delivery::Answered(reply, guard) if refused_by_replica(batch, &reply) => {
                     // A transaction may be open, and failed; it ends with the connection.
                     drop(guard);
                     unsent("the instance does not lead any more".into())
                 }
-                path::Sent::Answered(reply, guard) => {
+                path::Delivery::Answered(reply, guard) => {
                     return self.settle(batch, place, true, reply, guard).await;
                 }
-                path::Sent::Unsent(detail) => unsent(detail),
-                path::Sent::Lost(detail) if ends_unfinished(batch) => {
+                path::Delivery::Unsent(detail) => unsent(detail),
+                path::Delivery::Lost(detail) if ends_unfinished(batch) => {
                     return Err(rolled_back(detail));
                 }
-                path::Sent::Expired if ends_unfinished(batch) => {
+                path::Delivery::Expired if ends_unfinished(batch) => {
                     return Err(rolled_back(EXPIRED.into()));
                 }
-                path::Sent::Lost(detail) => return Err(lost(detail)),
-                path::Sent::Expired => return Err(expired()),
-                path::Sent::Late => return Err(late()),
-                path::Sent::Refused(outcome) => return Err(outcome),
+                path::Delivery::Lost(detail) => return Err(lost(detail)),
+                path::Delivery::Expired => return Err(expired()),
+                path::Delivery::Late => return Err(late()),
+                path::Delivery::Refused(outcome) => return Err(outcome),
             };
             if !attempts.again(&outcome).await {
                 return Err(hinted(outcome));
@@ -188,22 +192,24 @@
         let mut failed = Vec::new();
         let mut unanswered = None;
         loop {
-            let found = self.path.source(batch, &failed).await;
+            let found = self.path.read_target(batch, &failed).await;
             let (place, why, floor) =
                 found.map_err(|outcome| finally(unanswered.as_ref(), outcome))?;
             self.path.log(batch, place.index, why, Some(floor));
             let outcome = match self.path.send(place, None, batch).await {
-                path::Sent::Answered(reply, guard) => {
+                path::Delivery::Answered(reply, guard) => {
                     return self.settle(batch, place, false, reply, guard).await;
                 }
-                path::Sent::Unsent(detail) => unsent(detail),
-                path::Sent::Lost(detail) => {
+                path::Delivery::Unsent(detail) => unsent(detail),
+                path::Delivery::Lost(detail) => {
                     unanswered = Some(lost(detail.clone()));
                     lost_read(batch, detail)
                 }
-                path::Sent::Expired => return Err(expired()),
-                path::Sent::Late => return Err(finally(unanswered.as_ref(), late())),
-                path::Sent::Refused(outcome) => return Err(finally(unanswered.as_ref(), outcome)),
+                path::Delivery::Expired => return Err(expired()),
+                path::Delivery::Late => return Err(finally(unanswered.as_ref(), late())),
+                path::Delivery::Refused(outcome) => {
+                    return Err(finally(unanswered.as_ref(), outcome));
+                }
             };
             if !attempts.again(&outcome).await {
                 return Err(finally(unanswered.as_ref(), hinted(outcome)));
@@ -219,7 +225,7 @@
     async fn settle(
         &mut self,
         batch: &batch::Batch,
-        place: path::Place,
+        place: path::Target,
         writes: bool,
         reply: reply::Reply,
         mut guard: pool::Guard,
--- a/src/direct/tests.rs
+++ b/src/direct/tests.rs
@@ -160,7 +160,7 @@
                 incarnation: 1,
             },
         };
-        self.group.watch.answered(index, observation);
+        self.group.watch.record_answer(index, observation);
     }
 
     fn pass(&self, time: time::Duration) {
@@ -226,7 +226,7 @@
     setup.run(class::Class::Read);
     let sent = setup.fate.sent.swap(0, atomic::Ordering::SeqCst);
     assert_eq!(sent, usize::try_from(retry::MAX_ATTEMPTS).unwrap());
-    while setup.group.retries().spend(now) {}
+    while setup.group.retry_budget().take_retry(now) {}
     assert_matches!(
         setup.run(class::Class::Read),
         outcome::Outcome::Unknown { .. }
@@ -245,7 +245,7 @@
     let pool = setup.group.pool(chosen);
     while let Some(permit) = pool.permit() {
         assert_eq!(setup.group.choose(&board, floor, &[]), Some(chosen));
-        pool.record(permit, false);
+        pool.record_result(permit, false);
     }
     assert_ne!(setup.group.choose(&board, floor, &[]), Some(chosen));
 }
@@ -276,9 +276,9 @@
 fn too_few_instances_are_told_from_a_missing_primary() {
     let none = time::Duration::ZERO;
     let setup = setup(0);
-    setup.group.watch.failed(0);
+    setup.group.watch.record_failure(0);
     assert!(refused_for(&setup.primary(none), reason::Reason::NoPrimary));
-    setup.group.watch.failed(1);
+    setup.group.watch.record_failure(1);
     assert!(refused_for(
         &setup.primary(none),
         reason::Reason::NoMajority
--- a/src/directory.rs
+++ b/src/directory.rs
@@ -93,7 +93,7 @@
 
     /// Returns a guard that counts a peer's work, or its open transaction, until it is dropped.
     #[must_use]
-    pub fn enter(&self) -> sync::Arc<()> {
+    pub fn count_forwarded_work(&self) -> sync::Arc<()> {
         self.forwarded_work.clone()
     }
 
@@ -134,13 +134,13 @@
     /// Witnesses for this VM's seats of a group: VMs that report their contact with the store.
     #[must_use]
     pub fn witnesses(&self, group: &str) -> Vec<id::Vm> {
-        let mut vms = self.roster.load().first(group, witness::COUNT);
+        let mut vms = self.roster.load().highest_ranked(group, witness::COUNT);
         vms.sort_unstable();
         vms
     }
 
     /// Queries a peer for its report on its contact with the store; `None` if it does not answer.
-    pub async fn ask(&self, vm: &id::Vm) -> Option<witness::Report> {
+    pub async fn query_witness(&self, vm: &id::Vm) -> Option<witness::Report> {
         let member = self.roster.load().member(vm)?;
         let connection = self
             .shared
@@ -148,15 +148,15 @@
             .endpoint(member.address)
             .connection()
             .await?;
-        let news = connection.exchange(self.digest()).await.ok()?;
+        let news = connection.exchange(self.witness_digest()).await.ok()?;
         Some(news.witness)
     }
 
     /// Digest with which this proxy requests only a peer's witness report.
     #[must_use]
-    pub fn digest(&self) -> peer::Digest {
+    pub fn witness_digest(&self) -> peer::Digest {
         peer::Digest {
-            sign: evidence::Sign {
+            sign: evidence::Heartbeat {
                 vm: self.shared.vm.clone(),
                 domain: self.shared.domain.clone(),
                 incarnation: self.shared.incarnation,
@@ -180,7 +180,7 @@
             (Some(group), Some(until)) => {
                 group.set_share(limit, until);
                 group.set_rank(as_rank(rank));
-                let _ = group.settled();
+                let _ = group.trim_to_share();
             }
             (Some(group), None) => {
                 tracing::info!(target: "mangotray::placement", group = %entry.name,
@@ -192,7 +192,7 @@
                 tracing::info!(target: "mangotray::placement", group = %entry.name,
                     connections = limit.connections, slots = limit.slots, rank,
                     "started serving the group");
-                let group = self.start(&entry.declared.load(), limit, rank);
+                let group = self.start(&entry.declaration.load(), limit, rank);
                 group.set_share(limit, until);
                 entry.set_runtime(Some(group));
             }
@@ -261,15 +261,15 @@
 }
 
 /// Access to all groups, for callers.
-pub struct Everywhere(pub sync::Arc<Directory>);
+pub struct CallerLanes(pub sync::Arc<Directory>);
 
-impl lane::Switch for Everywhere {
+impl lane::Factory for CallerLanes {
     fn lane(&self, database: &str) -> Option<Box<dyn lane::Lane>> {
         self.0.entry(database)?;
         Some(Box::new(relay::Lane::new(
             self.0.clone(),
             database,
-            relay::Reach::Everywhere,
+            relay::Scope::Fleet,
         )))
     }
 
@@ -280,15 +280,15 @@
 
 /// Access to the groups that this proxy serves itself, for work that peers forward. Such work
 /// is not forwarded again, or proxies with different views could forward it in a loop.
-pub struct Here(pub sync::Arc<Directory>);
+pub struct PeerLanes(pub sync::Arc<Directory>);
 
-impl lane::Switch for Here {
+impl lane::Factory for PeerLanes {
     fn lane(&self, database: &str) -> Option<Box<dyn lane::Lane>> {
         self.0.entry(database)?;
         Some(Box::new(relay::Lane::new(
             self.0.clone(),
             database,
-            relay::Reach::Here,
+            relay::Scope::Local,
         )))
     }
 
@@ -299,7 +299,9 @@
 
 fn deadline(directory: &Directory, database: &str) -> time::Duration {
     let entry = directory.entry(database);
-    entry.map_or(time::Duration::ZERO, |entry| entry.declared.load().deadline)
+    entry.map_or(time::Duration::ZERO, |entry| {
+        entry.declaration.load().deadline
+    })
 }
 
 fn as_rank(rank: usize) -> u32 {
--- a/src/enrol.rs
+++ b/src/enrol.rs
@@ -15,7 +15,7 @@
 use crate::witness;
 
 /// Prefix of the keys under which VMs are registered.
-pub const PREFIX: &str = "vm/";
+pub const KEY_PREFIX: &str = "vm/";
 
 /// Time between renewals: two may fail before the lease ends.
 const RENEWAL_INTERVAL: time::Duration = time::Duration::from_secs(3);
@@ -50,8 +50,8 @@
 impl Record {
     /// Heartbeat data of the VM's process.
     #[must_use]
-    pub fn sign(&self) -> evidence::Sign {
-        evidence::Sign {
+    pub fn heartbeat(&self) -> evidence::Heartbeat {
+        evidence::Heartbeat {
             vm: self.vm.clone(),
             domain: self.domain.clone(),
             incarnation: self.incarnation,
@@ -108,7 +108,7 @@
     }
 
     /// Marks the VM as draining, so that peers send it no new work.
-    pub async fn drain(&self) {
+    pub async fn mark_draining(&self) {
         self.lock_record().draining = true;
         if let Err(failure) = self.register().await {
             tracing::warn!(?failure, "cannot store the draining state");
@@ -118,7 +118,7 @@
     }
 
     /// Revokes the lease, so that peers need not wait for it to expire.
-    pub async fn leave(&self) {
+    pub async fn revoke_lease(&self) {
         let lease = self.lease();
         if let Some(lease) = lease {
             let _ = self.store.revoke(&lease).await;
@@ -157,7 +157,7 @@
         let mut grants = lock(&self.grants);
         grants
             .iter_mut()
-            .for_each(|grant| grant.report(vm, asked, answered, report));
+            .for_each(|grant| grant.record_report(vm, asked, answered, report));
     }
 
     /// This VM's report on its own contact with the store.
@@ -168,8 +168,8 @@
 
     /// Heartbeat data that this VM sends to its peers with each call.
     #[must_use]
-    pub fn sign(&self) -> evidence::Sign {
-        self.lock_record().sign()
+    pub fn heartbeat(&self) -> evidence::Heartbeat {
+        self.lock_record().heartbeat()
     }
 
     /// Limits from which the validity of leases is computed.
@@ -186,7 +186,7 @@
         {
             self.record_contact();
             if let Some(grant) = lock(&self.grants).first_mut() {
-                grant.renewed(sent);
+                grant.record_renewal(sent);
             }
             return self.register_if_needed().await;
         }
@@ -240,7 +240,7 @@
     }
 
     fn record_contact(&self) {
-        lock(&self.witness).contact(self.clock.now());
+        lock(&self.witness).record_contact(self.clock.now());
     }
 
     fn lock_record(&self) -> sync::MutexGuard<'_, Record> {
@@ -259,7 +259,7 @@
 /// ```
 #[must_use]
 pub fn key(vm: &str) -> CompactString {
-    format_compact!("{PREFIX}{vm}")
+    format_compact!("{KEY_PREFIX}{vm}")
 }
 
 /// Varies a period at random by up to 20 % in either direction, so that many VMs that start at
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -15,9 +15,9 @@
     /// Name of the group.
     pub name: id::Group,
     /// The operators' declaration.
-    pub declared: arc_swap::ArcSwap<database::Group>,
+    pub declaration: arc_swap::ArcSwap<database::Group>,
     /// VMs that should serve the group, in order of preference.
-    pub serving: arc_swap::ArcSwap<Vec<id::Vm>>,
+    pub serving_set: arc_swap::ArcSwap<Vec<id::Vm>>,
     /// The other VMs of the serving set, with the addresses that accept forwarded work.
     pub members: arc_swap::ArcSwap<Vec<forward::Member>>,
     runtime: arc_swap::ArcSwapOption<group::Group>,
@@ -31,8 +31,8 @@
     pub fn new(declared: database::Group) -> Self {
         Self {
             name: declared.name.clone(),
-            declared: arc_swap::ArcSwap::from_pointee(declared),
-            serving: arc_swap::ArcSwap::default(),
+            declaration: arc_swap::ArcSwap::from_pointee(declared),
+            serving_set: arc_swap::ArcSwap::default(),
             members: arc_swap::ArcSwap::default(),
             runtime: arc_swap::ArcSwapOption::empty(),
             retired: sync::atomic::AtomicBool::new(false),
@@ -42,7 +42,7 @@
 
     /// The runtime, if there is one and it may use the instances now.
     #[must_use]
-    pub fn local(&self) -> Option<sync::Arc<group::Group>> {
+    pub fn usable_runtime(&self) -> Option<sync::Arc<group::Group>> {
         self.runtime.load_full().filter(|group| group.usable())
     }
 
@@ -59,11 +59,11 @@
 
     /// Applies a changed declaration. The runtime is kept if its instances and limits are
     /// unchanged; otherwise it is revoked and removed, and the keeper starts a new one.
-    pub fn redeclare(&self, declared: &database::Group) {
-        let unchanged = same_runtime_settings(&self.declared.load(), declared);
-        self.declared.store(sync::Arc::new(declared.clone()));
+    pub fn set_declaration(&self, declared: &database::Group) {
+        let unchanged = same_runtime_settings(&self.declaration.load(), declared);
+        self.declaration.store(sync::Arc::new(declared.clone()));
         match self.runtime() {
-            Some(group) if unchanged => group.redeclare(declared.clone()),
+            Some(group) if unchanged => group.set_declaration(declared.clone()),
             Some(group) => {
                 group.revoke();
                 self.set_runtime(None);
@@ -75,17 +75,20 @@
     /// Position of `vm` in the serving set, from 0; `None` when it is not a member.
     #[must_use]
     pub fn rank(&self, vm: &id::Vm) -> Option<usize> {
-        self.serving.load().iter().position(|member| member == vm)
+        self.serving_set
+            .load()
+            .iter()
+            .position(|member| member == vm)
     }
 
     /// Number of seats that `vm` should hold. All `seats` are divided evenly among the serving
     /// set; a VM outside of it and a retired group get none.
     #[must_use]
-    pub fn wanted(&self, vm: &id::Vm, seats: usize) -> usize {
+    pub fn wanted_seats(&self, vm: &id::Vm, seats: usize) -> usize {
         if self.retired.load(sync::atomic::Ordering::Acquire) {
             return 0;
         }
-        let members = self.serving.load().len();
+        let members = self.serving_set.load().len();
         self.rank(vm)
             .map_or(0, |rank| even_share(seats, members, rank))
     }
@@ -141,7 +144,7 @@
 pub fn limit(connections: usize, slots: usize, seats: usize, held: &[usize]) -> pool::Limit {
     let parts = held
         .iter()
-        .map(|seat| seat::part(connections, slots, seats, *seat));
+        .map(|seat| seat::limits(connections, slots, seats, *seat));
     parts.fold(pool::Limit::default(), |sum, part| pool::Limit {
         connections: sum.connections + part.connections - part.control,
         slots: sum.slots + part.slots,
--- a/src/failover.rs
+++ b/src/failover.rs
@@ -27,7 +27,7 @@
 const RECHECK_TIMEOUT: time::Duration = time::Duration::from_millis(30);
 
 /// Lease duration for which the baseline policy `LeaseExpiry` waits before it replaces a primary.
-const BASELINE_LEASE: time::Duration = time::Duration::from_secs(10);
+const BASELINE_LEASE_DURATION: time::Duration = time::Duration::from_secs(10);
 
 /// Replaces the primary of one group when it fails.
 pub struct Failover {
@@ -44,7 +44,7 @@
     /// Monotonic clock.
     pub clock: sync::Arc<dyn clock::Clock>,
     /// Limits of the failure detector.
-    pub rule: detect::Rule,
+    pub detector: detect::Detector,
     /// Default policy, or a baseline to compare it with.
     pub policy: policy::Policy,
     /// Executor for the calls to the store and the instances.
@@ -71,7 +71,7 @@
             self.record_gap(meter.update(&board));
             machine.note_term(board.highest_fence());
             machine.set_rank(self.rank.load(sync::atomic::Ordering::Relaxed));
-            machine.avoid(board.leader().map(|leader| leader.index));
+            machine.set_replaced(board.leader().map(|leader| leader.index));
             for action in machine.step(self.clock.now(), event) {
                 self.perform(action, &sender);
             }
@@ -104,17 +104,17 @@
 
     fn verdict(&self, suspected: &mut Option<id::Time>, lag: &lag::Estimate) -> detect::Verdict {
         let now = self.clock.now();
-        let mut rule = self.rule;
-        rule.stall = lag.stall_limit(rule.stall);
+        let mut detector = self.detector;
+        detector.stall = lag.stall_limit(detector.stall);
         let board = self.watch.board();
-        let verdict = assess(rule, &self.declaration.load(), &board, now);
+        let verdict = assess(detector, &self.declaration.load(), &board, now);
         if !matches!(verdict, detect::Verdict::Suspect(_)) {
             *suspected = None;
             return verdict;
         }
         let since = *suspected.get_or_insert(now);
         let lease = self.policy == policy::Policy::LeaseExpiry;
-        if lease && now < since + BASELINE_LEASE {
+        if lease && now < since + BASELINE_LEASE_DURATION {
             return detect::Verdict::Healthy;
         }
         verdict
@@ -135,12 +135,12 @@
         let terms = self.terms.clone();
         let watch = self.watch.clone();
         let clock = self.clock.clone();
-        let rule = self.rule;
+        let detector = self.detector;
         let declaration = self.declaration.clone();
         let task = async move {
             let board = recheck(&watch, &*clock).await;
             let is_healthy = |board: &board::Board| {
-                let verdict = assess(rule, &declaration.load(), board, clock.now());
+                let verdict = assess(detector, &declaration.load(), board, clock.now());
                 verdict == detect::Verdict::Healthy
             };
             let event = if board.is_some_and(|board| is_healthy(&board)) {
@@ -186,7 +186,7 @@
             let event = match upstream.promote(term).await {
                 Ok(status) => {
                     let finished = clock.now();
-                    watch.answered(
+                    watch.record_answer(
                         index,
                         board::Observation {
                             started,
@@ -220,15 +220,15 @@
 
 /// Assesses the primary from the observations and the operators' declaration.
 fn assess(
-    rule: detect::Rule,
+    detector: detect::Detector,
     declaration: &database::Group,
     board: &board::Board,
     now: id::Time,
 ) -> detect::Verdict {
-    if is_leaving(declaration, board, now.saturating_sub(rule.silence)) {
+    if is_leaving(declaration, board, now.saturating_sub(detector.silence)) {
         return detect::Verdict::Suspect(detect::Cause::Leaving);
     }
-    rule.judge(board, now)
+    detector.assess(board, now)
 }
 
 /// Returns whether the operators are taking the primary out of service and the other instances
@@ -238,12 +238,12 @@
     let Some(leader) = board.leader() else {
         return false;
     };
-    let answers = |seen: &board::Seen| {
-        let last = seen.last.filter(|last| last.finished >= recent);
-        seen.failures == 0 && last.is_some_and(|last| last.status.voter)
+    let answers = |instance: &board::Instance| {
+        let last = instance.last.filter(|last| last.finished >= recent);
+        instance.failures == 0 && last.is_some_and(|last| last.status.voter)
     };
-    let others = board.seen().iter().enumerate();
-    let others = others.filter(|(index, seen)| *index != leader.index && answers(seen));
+    let others = board.instances().iter().enumerate();
+    let others = others.filter(|(index, instance)| *index != leader.index && answers(instance));
     declaration.instances[leader.index].leaving && others.count() >= board.majority()
 }
 
@@ -257,7 +257,7 @@
     clock: &dyn clock::Clock,
 ) -> Option<sync::Arc<board::Board>> {
     let since = clock.now();
-    let fresh = watch.until(since, since + RECHECK_TIMEOUT, false, |board| {
+    let fresh = watch.wait_until(since, since + RECHECK_TIMEOUT, false, |board| {
         board.floor(since).and_then(|_| board.leader())
     });
     fresh.await.map(|_| watch.board())
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -74,9 +74,9 @@
     }
 
     /// Applies a catalog.
-    pub async fn install(&self, catalog: catalog::Catalog) {
+    pub async fn set_catalog(&self, catalog: catalog::Catalog) {
         let mut applied = self.applied.lock().await;
-        self.lock().declared(&catalog);
+        self.lock().set_catalog(&catalog);
         applied.catalog = catalog;
         self.apply_changes(&mut applied, true);
     }
@@ -91,9 +91,9 @@
 
     /// Time until the next poll: doubled after each failed read, with jitter.
     #[must_use]
-    pub fn pause(&self) -> time::Duration {
+    pub fn poll_interval(&self) -> time::Duration {
         let failures = self.failures.load(atomic::Ordering::Relaxed);
-        let first = match self.lock().mark(id::Time::ZERO) {
+        let first = match self.lock().digest(id::Time::ZERO) {
             Some(_) => POLL_INTERVAL,
             None => INITIAL_POLL_INTERVAL,
         };
@@ -121,32 +121,32 @@
 
     /// Mark that identifies the roster held here, if any.
     #[must_use]
-    pub fn mark(&self) -> Option<roster::Mark> {
-        self.lock().mark(self.now())
+    pub fn digest(&self) -> Option<roster::Digest> {
+        self.lock().digest(self.now())
     }
 
     /// Update for a peer that holds the roster identified by `peer`, if it needs one.
     #[must_use]
-    pub fn answer(&self, peer: Option<roster::Mark>) -> Option<roster::Update> {
-        self.lock().answer(peer, self.now())
+    pub fn update_for(&self, peer: Option<roster::Digest>) -> Option<roster::Update> {
+        self.lock().update_for(peer, self.now())
     }
 
     /// Records a received heartbeat.
-    pub async fn heard(&self, sign: &evidence::Sign) {
-        self.lock().heard(sign, self.now());
-        if sign.draining {
+    pub async fn record_heartbeat(&self, heartbeat: &evidence::Heartbeat) {
+        self.lock().record_heartbeat(heartbeat, self.now());
+        if heartbeat.draining {
             self.refresh().await;
         }
     }
 
     /// Records that a proxy did not answer.
-    pub fn missed(&self, vm: &id::Vm) {
-        self.lock().missed(vm, self.now());
+    pub fn record_missed_heartbeat(&self, vm: &id::Vm) {
+        self.lock().record_missed_heartbeat(vm, self.now());
     }
 
     /// Applies a peer's answer to a request sent at `asked`; returns whether the roster is new.
-    pub async fn update(&self, update: roster::Update, asked: id::Time) -> bool {
-        let fresh = self.lock().update(update, asked);
+    pub async fn apply_update(&self, update: roster::Update, asked: id::Time) -> bool {
+        let fresh = self.lock().apply_update(update, asked);
         if fresh {
             self.refresh().await;
         }
@@ -154,8 +154,8 @@
     }
 
     /// Applies a roster that a peer pushed; returns whether it is new.
-    pub async fn pushed(&self, update: roster::Update) -> bool {
-        let fresh = self.lock().pushed(update, self.now());
+    pub async fn apply_push(&self, update: roster::Update) -> bool {
+        let fresh = self.lock().apply_push(update, self.now());
         if fresh {
             self.refresh().await;
         }
@@ -165,16 +165,16 @@
     fn start_read_if_due(&self) -> bool {
         let now = self.now();
         let mut tracker = self.lock();
-        let due = tracker.due(now);
+        let due = tracker.should_read(now);
         if due {
-            tracker.trying(now);
+            tracker.record_read_attempt(now);
         }
         due
     }
 
     async fn read_roster(&self) -> bool {
         let started = self.now();
-        let Ok(entries) = self.directory.shared().store.list(enrol::PREFIX).await else {
+        let Ok(entries) = self.directory.shared().store.list(enrol::KEY_PREFIX).await else {
             self.failures.fetch_add(1, atomic::Ordering::Relaxed);
             return false;
         };
@@ -183,10 +183,10 @@
         let mut tracker = self.lock();
         let listings = listings.unwrap_or_else(|_| tracker.newest().listings.clone());
         // There is no roster to distribute before the first proxy has registered.
-        if entries.is_empty() && tracker.mark(started).is_none() {
+        if entries.is_empty() && tracker.digest(started).is_none() {
             return false;
         }
-        tracker.take(roster::Roster::new(&entries, &listings), started)
+        tracker.apply_roster(roster::Roster::new(&entries, &listings), started)
     }
 
     /// Updates the entries if the roster or the candidates have changed.
@@ -214,8 +214,8 @@
     fn current_view(&self) -> (roster::Roster, Vec<placement::Candidate>) {
         let now = self.now();
         let mut tracker = self.lock();
-        if self.enrolment.sign().draining {
-            tracker.drain();
+        if self.enrolment.heartbeat().draining {
+            tracker.record_draining();
         }
         let roster = tracker.roster(now);
         (roster, tracker.candidates(now))
@@ -258,8 +258,8 @@
     ) -> sync::Arc<entry::Entry> {
         let current = old.get(&declared.database);
         if let Some(entry) = current.filter(|entry| same_seat_count(entry, declared)) {
-            if **entry.declared.load() != *declared {
-                entry.redeclare(declared);
+            if **entry.declaration.load() != *declared {
+                entry.set_declaration(declared);
             }
             return entry.clone();
         }
@@ -300,10 +300,10 @@
         candidates: &[placement::Candidate],
         roster: &roster::Roster,
     ) {
-        let declared = entry.declared.load();
-        let count = placement::count(declared.connections, declared.slots);
-        let serving = placement::serving(&declared.name, candidates, count);
-        if **entry.serving.load() == serving {
+        let declared = entry.declaration.load();
+        let count = placement::serving_count(declared.connections, declared.slots);
+        let serving = placement::serving_set(&declared.name, candidates, count);
+        if **entry.serving_set.load() == serving {
             return;
         }
         tracing::info!(target: "mangotray::placement", group = %declared.name,
@@ -314,7 +314,7 @@
             .filter(|vm| *vm != own)
             .filter_map(|vm| roster.member(vm))
             .collect();
-        entry.serving.store(sync::Arc::new(serving));
+        entry.serving_set.store(sync::Arc::new(serving));
         entry.members.store(sync::Arc::new(members));
     }
 }
@@ -322,7 +322,7 @@
 /// Whether the group keeps its name and its number of seats. If not, the old entry's seats are
 /// released before a new entry takes any.
 fn same_seat_count(entry: &entry::Entry, declared: &database::Group) -> bool {
-    let old = entry.declared.load();
-    let count = |group: &database::Group| placement::count(group.connections, group.slots);
+    let old = entry.declaration.load();
+    let count = |group: &database::Group| placement::serving_count(group.connections, group.slots);
     old.name == declared.name && count(&old) == count(declared)
 }
--- a/src/follow.rs
+++ b/src/follow.rs
@@ -36,14 +36,18 @@
         let mut failures = 0;
         loop {
             if !self.gossip.watches() {
-                async_io::Timer::after(spread::INTERVAL).await;
+                async_io::Timer::after(spread::EXCHANGE_INTERVAL).await;
                 continue;
             }
-            match self.store.watch(apply::KEY, seen, spread::WAIT).await {
+            match self
+                .store
+                .watch(apply::KEY, seen, spread::WATCH_TIMEOUT)
+                .await
+            {
                 Ok(found) => {
                     failures = 0;
                     seen = found.as_ref().map_or(0, |entry| entry.version);
-                    self.gossip.stored(found.as_ref()).await;
+                    self.gossip.handle_store_answer(found.as_ref()).await;
                 }
                 Err(failure) => {
                     tracing::warn!(
--- a/src/forward.rs
+++ b/src/forward.rs
@@ -16,7 +16,7 @@
 use crate::lane;
 use crate::outcome;
 use crate::peer;
-use crate::place;
+use crate::remote;
 use crate::resend;
 use crate::telemetry;
 use crate::transaction;
@@ -78,7 +78,7 @@
     pool: sync::Arc<Pool>,
     directory: sync::Arc<dyn Directory>,
     database: CompactString,
-    place: Option<place::Place>,
+    remote: Option<remote::Session>,
     state: State,
 }
 
@@ -87,18 +87,18 @@
 enum State {
     /// No transaction is open; the next batch may go to any member.
     Idle,
-    /// A transaction is open at the current place.
+    /// A transaction is open at the current remote.
     Pinned,
     /// A batch is in flight. At the start of a run it means that the previous run was dropped
     /// before it finished, so the state of the remote session is unknown.
     Busy { pinned: bool },
-    /// The transaction was lost together with its place. Statements are refused until the
+    /// The transaction was lost together with its remote. Statements are refused until the
     /// caller ends it; on another proxy each would run in a transaction of its own.
     Lost,
 }
 
 impl State {
-    /// The state after an answer, when the place still holds the session.
+    /// The state after an answer, when the remote still holds the session.
     fn after(pinned: bool, class: class::Class, answer: &peer::Answer) -> Self {
         match answer {
             Ok(reply) if reply.transaction == transaction::State::Idle => Self::Idle,
@@ -122,7 +122,7 @@
             pool,
             directory,
             database: database.into(),
-            place: None,
+            remote: None,
             state: State::Idle,
         }
     }
@@ -145,7 +145,7 @@
     /// Discards a remote session whose last run was dropped before it finished.
     fn discard_interrupted(&mut self) {
         if let State::Busy { pinned } = self.state {
-            self.place = None;
+            self.remote = None;
             self.state = if pinned { State::Lost } else { State::Idle };
         }
     }
@@ -158,22 +158,22 @@
         }
         match class {
             class::Class::Rollback => Ok(()),
-            _ => Err(resend::lost()),
+            _ => Err(resend::transaction_lost()),
         }
     }
 
-    /// Runs a batch of an open transaction at the place that holds the transaction.
+    /// Runs a batch of an open transaction at the remote that holds the transaction.
     async fn forward_pinned(&mut self, batch: &batch::Batch) -> peer::Answer {
         let attempt = self.attempt(batch).await;
-        let session_ended = resend::ended(&attempt);
+        let session_ended = resend::session_ended(&attempt);
         let answer = attempt.unwrap_or_else(|failure| {
             Err(match failure {
-                dial::Failure::Unsent => resend::lost(),
-                _ => resend::unknown(failure),
+                dial::Failure::Unsent => resend::transaction_lost(),
+                _ => resend::unknown_outcome(failure),
             })
         });
         if session_ended {
-            self.place = None;
+            self.remote = None;
         }
         self.state = match (session_ended, ends_transaction(batch.class)) {
             (true, true) => State::Idle,
@@ -191,12 +191,12 @@
             let members = self.directory.members(&self.database);
             match self.try_members(batch, &members, last).await {
                 resend::Verdict::Done(answer) => return answer,
-                resend::Verdict::Next(outcome) => last = outcome,
+                resend::Verdict::TryNext(outcome) => last = outcome,
             }
-            if self.remaining(batch) <= resend::PAUSE {
+            if self.remaining(batch) <= resend::ROUND_PAUSE {
                 return Err(last);
             }
-            let pause = resend::PAUSE.mul_f64(0.5 + fastrand::f64() / 2.0);
+            let pause = resend::ROUND_PAUSE.mul_f64(0.5 + fastrand::f64() / 2.0);
             async_io::Timer::after(pause).await;
         }
     }
@@ -215,11 +215,11 @@
             };
             tried[index] = true;
             match self.try_member(batch, &members[index]).await {
-                resend::Verdict::Next(outcome) => last = outcome,
+                resend::Verdict::TryNext(outcome) => last = outcome,
                 done @ resend::Verdict::Done(_) => return done,
             }
         }
-        resend::Verdict::Next(last)
+        resend::Verdict::TryNext(last)
     }
 
     fn choose(&self, members: &[Member], tried: &[bool]) -> Option<usize> {
@@ -250,30 +250,30 @@
         let verdict = resend::Verdict::new(batch.class, attempt);
         // Without an answer the remote session may still be running the batch; the next one
         // must not queue behind it.
-        if unanswered || matches!(verdict, resend::Verdict::Next(_)) {
-            self.place = None;
+        if unanswered || matches!(verdict, resend::Verdict::TryNext(_)) {
+            self.remote = None;
         }
         verdict
     }
 
     /// Connects the session to the member unless it already is; returns false on failure.
     async fn connect(&mut self, member: &Member) -> bool {
-        let place = self.place.as_ref();
-        if place.is_some_and(|place| place.is_at(member.address)) {
+        let remote = self.remote.as_ref();
+        if remote.is_some_and(|remote| remote.is_connected_to(member.address)) {
             return true;
         }
-        self.place = None;
+        self.remote = None;
         let connection = self.pool.endpoint(member.address).connection().await;
-        let new = |connection| place::Place::new(member.vm.clone(), member.address, connection);
-        self.place = connection.map(new);
-        self.place.is_some()
+        let new = |connection| remote::Session::new(member.vm.clone(), member.address, connection);
+        self.remote = connection.map(new);
+        self.remote.is_some()
     }
 
     async fn attempt(&mut self, batch: &batch::Batch) -> resend::Attempt {
         let now = self.pool.now();
-        let place = self.place.as_mut().ok_or(dial::Failure::Unsent)?;
-        let attempt = place.run(&self.database, batch, now).await;
-        record_attempt(batch, place.vm(), result_label(&attempt));
+        let remote = self.remote.as_mut().ok_or(dial::Failure::Unsent)?;
+        let attempt = remote.run(&self.database, batch, now).await;
+        record_attempt(batch, remote.vm(), result_label(&attempt));
         attempt
     }
 
--- a/src/forward/tests.rs
+++ b/src/forward/tests.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn an_unknown_commit_ends_the_transaction() {
-    let unknown = Err(resend::unknown(dial::Failure::Expired));
+    let unknown = Err(resend::unknown_outcome(dial::Failure::Expired));
     let after = |class| State::after(true, class, &unknown);
     assert_eq!(after(class::Class::Commit), State::Idle);
     assert_eq!(after(class::Class::Write), State::Pinned);
--- a/src/gap.rs
+++ b/src/gap.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Meter {
     term: id::Term,
-    healthy: Option<id::Time>,
+    last_followed_at: Option<id::Time>,
 }
 
 impl Meter {
@@ -26,29 +26,31 @@
     /// ```
     pub fn update(&mut self, board: &board::Board) -> Option<time::Duration> {
         let leader = board.leader()?;
-        let seen = board.seen()[leader.index].last?.finished;
-        let before = self.healthy.filter(|_| leader.term > self.term);
+        let answered_at = board.instances()[leader.index].last?.finished;
+        let before = self.last_followed_at.filter(|_| leader.term > self.term);
         if leader.term < self.term {
             return None;
         }
         self.term = leader.term;
-        self.healthy = self
-            .healthy
-            .max(Some(last_followed(board, leader.index, seen)));
-        before.map(|before| seen.saturating_sub(before))
+        self.last_followed_at =
+            self.last_followed_at
+                .max(Some(last_followed(board, leader.index, answered_at)));
+        before.map(|before| answered_at.saturating_sub(before))
     }
 }
 
-/// Returns the time until which a replica followed the primary, at most `seen`. A primary without
-/// following replicas still answers but confirms no writes, so its gap starts when the last replica
-/// stopped advancing, not when the primary was replaced.
-fn last_followed(board: &board::Board, leader: id::Index, seen: id::Time) -> id::Time {
-    let replicas = board.seen().iter().enumerate();
+/// Returns the time until which a replica followed the primary, at most `answered_at`. A primary
+/// without following replicas still answers but confirms no writes, so its gap starts when the last
+/// replica stopped advancing, not when the primary was replaced.
+fn last_followed(board: &board::Board, leader: id::Index, answered_at: id::Time) -> id::Time {
+    let replicas = board.instances().iter().enumerate();
     let replicas = replicas.filter(|(index, _)| *index != leader);
     let stopped = replicas
         .map(|(_, replica)| replica.behind)
         .reduce(|one, other| Some(one?.max(other?)));
-    stopped.flatten().map_or(seen, |stopped| stopped.min(seen))
+    stopped
+        .flatten()
+        .map_or(answered_at, |stopped| stopped.min(answered_at))
 }
 
 #[cfg(test)]
--- a/src/gap/tests.rs
+++ b/src/gap/tests.rs
@@ -22,7 +22,7 @@
     };
     let finished = time::Duration::from_millis(at);
     let started = finished;
-    board.answered(
+    board.record_answer(
         index,
         board::Observation {
             started,
@@ -46,11 +46,11 @@
     all(&mut board, 100, 1);
     assert_eq!(meter.update(&board), None);
     for index in [1, 2] {
-        board.failed(0);
+        board.record_failure(0);
         let mut fenced = board.status(index).unwrap();
         fenced.fence = 2;
         let at = time::Duration::from_millis(600);
-        board.answered(
+        board.record_answer(
             index,
             board::Observation {
                 started: at,
@@ -91,7 +91,7 @@
     assert_eq!(meter.update(&board), None);
     all(&mut board, 100, 1);
     assert_eq!(meter.update(&board), None);
-    board.failed(0);
+    board.record_failure(0);
     all(&mut board, 5_000, 1);
     assert_eq!(meter.update(&board), None);
 }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -65,7 +65,7 @@
     pub async fn run(self: sync::Arc<Self>) {
         loop {
             self.run_round();
-            async_io::Timer::after(enrol::jittered(spread::INTERVAL)).await;
+            async_io::Timer::after(enrol::jittered(spread::EXCHANGE_INTERVAL)).await;
         }
     }
 
@@ -75,7 +75,7 @@
             if self.fleet.poll().await {
                 self.push_roster();
             }
-            async_io::Timer::after(self.fleet.pause()).await;
+            async_io::Timer::after(self.fleet.poll_interval()).await;
         }
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Handles the store's answer to a watch or a read of the configuration.
-    pub async fn stored(self: &sync::Arc<Self>, entry: Option<&store::Entry>) {
+    pub async fn handle_store_answer(self: &sync::Arc<Self>, entry: Option<&store::Entry>) {
         let file = entry.and_then(|entry| match apply::File::decode(&entry.value) {
             Ok(file) => Some(revision::File {
                 revision: file.revision,
@@ -98,37 +98,39 @@
             }
         });
         let live = self.fleet.live();
-        let actions = self.lock().heard(file.as_ref(), self.now(), &live);
+        let actions = self
+            .lock()
+            .handle_store_answer(file.as_ref(), self.now(), &live);
         self.spawn_actions(actions);
         self.install().await;
     }
 
     /// Answers a peer's digest.
-    pub async fn asked(&self, digest: peer::Digest) -> peer::News {
-        self.fleet.heard(&digest.sign).await;
+    pub async fn answer_digest(&self, digest: peer::Digest) -> peer::News {
+        self.fleet.record_heartbeat(&digest.sign).await;
         let now = self.now();
         let Some(report) = digest.report else {
             let report = self.lock().report(now);
             return self.news(spread::Answer { report, file: None }, None);
         };
-        let answer = self.lock().asked(&report, now);
-        self.news(answer, self.fleet.answer(digest.roster))
+        let answer = self.lock().answer_report(&report, now);
+        self.news(answer, self.fleet.update_for(digest.roster))
     }
 
     /// Handles news pushed by a peer.
-    pub async fn announced(self: &sync::Arc<Self>, news: peer::News) {
-        self.fleet.heard(&news.sign).await;
+    pub async fn handle_news(self: &sync::Arc<Self>, news: peer::News) {
+        self.fleet.record_heartbeat(&news.sign).await;
         let live = self.fleet.live();
         let actions = {
             let mut node = self.lock();
-            let _ = node.asked(&news.answer.report, self.now());
+            let _ = node.answer_report(&news.answer.report, self.now());
             let file = news.answer.file.as_ref();
-            file.map_or_else(Vec::new, |file| node.learn(file, &live))
+            file.map_or_else(Vec::new, |file| node.handle_file(file, &live))
         };
         self.spawn_actions(actions);
         self.install().await;
         if let Some(update) = news.roster
-            && self.fleet.pushed(update).await
+            && self.fleet.apply_push(update).await
         {
             self.push_roster();
         }
@@ -174,7 +176,7 @@
             }
             spread::Action::Read => {
                 if let Ok(found) = self.directory.shared().store.get(apply::KEY).await {
-                    self.stored(found.as_ref()).await;
+                    self.handle_store_answer(found.as_ref()).await;
                 }
             }
         }
@@ -195,7 +197,7 @@
     /// for the configuration.
     fn push_roster(self: &sync::Arc<Self>) {
         let now = self.now();
-        let Some(update) = self.fleet.answer(None) else {
+        let Some(update) = self.fleet.update_for(None) else {
             return;
         };
         let live = self.fleet.live();
@@ -219,16 +221,16 @@
             None => false,
         };
         if !delivered {
-            self.fleet.missed(vm);
+            self.fleet.record_missed_heartbeat(vm);
         }
     }
 
     async fn exchange(self: &sync::Arc<Self>, address: net::SocketAddr, vm: Option<&id::Vm>) {
         let asked = self.now();
         let digest = peer::Digest {
-            sign: self.enrolment.sign(),
+            sign: self.enrolment.heartbeat(),
             report: Some(self.lock().report(asked)),
-            roster: self.fleet.mark(),
+            roster: self.fleet.digest(),
         };
         let endpoint = self.directory.shared().peers.endpoint(address);
         let news = match endpoint.connection().await {
@@ -237,23 +239,23 @@
         };
         match (news, vm) {
             (Some(news), _) => self.handle_answer(news, asked).await,
-            (None, Some(vm)) => self.fleet.missed(vm),
+            (None, Some(vm)) => self.fleet.record_missed_heartbeat(vm),
             (None, None) => tracing::warn!(%address, "seed did not answer"),
         }
     }
 
     async fn handle_answer(self: &sync::Arc<Self>, news: peer::News, asked: id::Time) {
-        self.fleet.heard(&news.sign).await;
+        self.fleet.record_heartbeat(&news.sign).await;
         // The roster goes first: the actions below look up member addresses in it.
         if let Some(update) = news.roster
-            && self.fleet.update(update, asked).await
+            && self.fleet.apply_update(update, asked).await
         {
             self.push_roster();
         }
         let live = self.fleet.live();
         let actions = self
             .lock()
-            .answered(&news.sign.vm, &news.answer, self.now(), &live);
+            .handle_answer(&news.sign.vm, &news.answer, self.now(), &live);
         self.spawn_actions(actions);
         self.install().await;
     }
@@ -267,8 +269,8 @@
         };
         match declaration::Declaration::parse(&file.text) {
             Ok(declared) => {
-                self.fleet.install(declared.catalog).await;
-                self.report.adopted(file.revision);
+                self.fleet.set_catalog(declared.catalog).await;
+                self.report.set_revision(file.revision);
                 tracing::info!(target: "mangotray::placement", revision = file.revision,
                     "configuration in force");
             }
@@ -278,7 +280,7 @@
 
     fn news(&self, answer: spread::Answer, roster: Option<roster::Update>) -> peer::News {
         peer::News {
-            sign: self.enrolment.sign(),
+            sign: self.enrolment.heartbeat(),
             answer,
             roster,
             primaries: Vec::new(),
--- a/src/grant.rs
+++ b/src/grant.rs
@@ -48,10 +48,10 @@
     /// ```
     /// use std::time::Duration;
     /// let limits = mangotray::grant::Limits::default();
-    /// assert_eq!(limits.end(Duration::ZERO), Duration::from_millis(9_300));
+    /// assert_eq!(limits.lease_end(Duration::ZERO), Duration::from_millis(9_300));
     /// ```
     #[must_use]
-    pub fn end(&self, sent: id::Time) -> id::Time {
+    pub fn lease_end(&self, sent: id::Time) -> id::Time {
         (sent + self.shorten(self.ttl)).saturating_sub(self.margin)
     }
 
@@ -65,7 +65,7 @@
     /// Time without contact that indicates an outage of the store; a VM renews its lease three
     /// times in a `ttl`.
     #[must_use]
-    pub fn outage(&self) -> time::Duration {
+    pub fn outage_threshold(&self) -> time::Duration {
         self.ttl / 2
     }
 
@@ -89,7 +89,7 @@
     limits: Limits,
     end: id::Time,
     /// For each witness, the time until which it certainly had no contact after `end`.
-    silent: collections::HashMap<id::Vm, id::Time>,
+    silent_until: collections::HashMap<id::Vm, id::Time>,
 }
 
 impl Grant {
@@ -100,18 +100,18 @@
     /// use mangotray::grant;
     /// let limits = grant::Limits::default();
     /// let mut grant = grant::Grant::new("l1".into(), Duration::ZERO, limits);
-    /// assert_eq!(grant.until(&[]), Duration::from_millis(9_300));
-    /// grant.renewed(Duration::from_secs(3));
-    /// assert_eq!(grant.until(&[]), Duration::from_millis(12_300));
+    /// assert_eq!(grant.usable_until(&[]), Duration::from_millis(9_300));
+    /// grant.record_renewal(Duration::from_secs(3));
+    /// assert_eq!(grant.usable_until(&[]), Duration::from_millis(12_300));
     /// ```
     #[must_use]
     pub fn new(lease: store::Lease, sent: id::Time, limits: Limits) -> Self {
-        let end = limits.end(sent);
+        let end = limits.lease_end(sent);
         Self {
             lease,
             limits,
             end,
-            silent: collections::HashMap::new(),
+            silent_until: collections::HashMap::new(),
         }
     }
 
@@ -124,11 +124,11 @@
     /// Records a renewal that the store answered, with the time at which its call was *sent*. The
     /// answer may have been delayed at the store or while this process was paused, so the lease may
     /// already have ended when the answer is read.
-    pub fn renewed(&mut self, sent: id::Time) {
-        let end = self.limits.end(sent);
+    pub fn record_renewal(&mut self, sent: id::Time) {
+        let end = self.limits.lease_end(sent);
         if end > self.end {
             self.end = end;
-            self.silent.clear();
+            self.silent_until.clear();
         }
     }
 
@@ -137,20 +137,20 @@
     /// The report counts if its time without contact reaches back to the end of the lease, or to an
     /// earlier report that does: in a long outage the allowance for clock drift would invalidate a
     /// single report.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         vm: &id::Vm,
         asked: id::Time,
         answered: id::Time,
         report: witness::Report,
     ) {
-        if report.silent < self.limits.outage() {
+        if report.silent < self.limits.outage_threshold() {
             return;
         }
         let from = answered.saturating_sub(self.limits.shorten(report.silent));
-        let known = self.silent.get(vm).copied().unwrap_or_default();
+        let known = self.silent_until.get(vm).copied().unwrap_or_default();
         if from <= known.max(self.end) {
-            self.silent.insert(vm.clone(), asked.max(known));
+            self.silent_until.insert(vm.clone(), asked.max(known));
         }
     }
 
@@ -160,10 +160,10 @@
     /// majority of *all* witnesses, not only of the reachable ones, report no contact: witnesses
     /// beyond a partition may still reach the store.
     #[must_use]
-    pub fn until(&self, witnesses: &[id::Vm]) -> id::Time {
+    pub fn usable_until(&self, witnesses: &[id::Vm]) -> id::Time {
         let mut silent: Vec<id::Time> = witnesses
             .iter()
-            .filter_map(|vm| self.silent.get(vm).copied())
+            .filter_map(|vm| self.silent_until.get(vm).copied())
             .collect();
         silent.sort_unstable();
         silent
--- a/src/grant/tests.rs
+++ b/src/grant/tests.rs
@@ -36,9 +36,12 @@
 fn an_isolated_vm_stops_at_the_end_of_its_lease() {
     let mut grant = grant();
     for vm in names() {
-        grant.report(&vm, at(8), at(8), silent(2));
+        grant.record_report(&vm, at(8), at(8), silent(2));
     }
-    assert_eq!(grant.until(&names()), grant::Limits::default().end(at(0)));
+    assert_eq!(
+        grant.usable_until(&names()),
+        grant::Limits::default().lease_end(at(0))
+    );
 }
 
 /// Guards against all VMs stopping a few minutes into an outage. The reported time without contact
@@ -49,14 +52,14 @@
     let mut grant = grant();
     for now in 5..4_000 {
         for vm in &names()[..2] {
-            grant.report(vm, at(now), at(now), silent(now));
+            grant.record_report(vm, at(now), at(now), silent(now));
         }
     }
-    assert!(grant.until(&names()) > at(4_000));
+    assert!(grant.usable_until(&names()) > at(4_000));
     let mut late = self::grant();
-    late.report(&names()[0], at(3_999), at(3_999), silent(3_999));
-    late.report(&names()[1], at(3_999), at(3_999), silent(3_999));
-    assert!(late.until(&names()) < at(4_000));
+    late.record_report(&names()[0], at(3_999), at(3_999), silent(3_999));
+    late.record_report(&names()[1], at(3_999), at(3_999), silent(3_999));
+    assert!(late.usable_until(&names()) < at(4_000));
 }
 
 /// Guards against two users of one seat. A witness had contact during the outage and restarted, so
@@ -66,9 +69,9 @@
     let mut grant = grant();
     let mut restarted = witness::Witness::new(at(30));
     for vm in &names()[..2] {
-        grant.report(vm, at(40), at(40), restarted.report(at(40)));
+        grant.record_report(vm, at(40), at(40), restarted.report(at(40)));
     }
-    assert!(grant.until(&names()) < at(40));
-    restarted.contact(at(41));
+    assert!(grant.usable_until(&names()) < at(40));
+    restarted.record_contact(at(41));
     assert!(restarted.report(at(41)).contacted);
 }
--- a/src/group.rs
+++ b/src/group.rs
@@ -120,7 +120,7 @@
     }
 
     /// Replaces the declaration by another one with the same instances.
-    pub fn redeclare(&self, declaration: database::Group) {
+    pub fn set_declaration(&self, declaration: database::Group) {
         self.declaration.store(sync::Arc::new(declaration));
     }
 
@@ -137,7 +137,7 @@
 
     /// Time until which the instances may be used; extended by each renewal.
     #[must_use]
-    pub fn until(&self) -> id::Time {
+    pub fn usable_until(&self) -> id::Time {
         id::Time::from_nanos(self.until.load(atomic::Ordering::Acquire))
     }
 
@@ -145,7 +145,7 @@
     #[must_use]
     pub fn usable(&self) -> bool {
         let has_share = self.lock_limit().connections > 0;
-        has_share && self.clock.now() < self.until()
+        has_share && self.clock.now() < self.usable_until()
     }
 
     /// Sets the share and the time until which it may be used.
@@ -171,8 +171,8 @@
 
     /// Whether the connections in use are within the share.
     #[must_use]
-    pub fn settled(&self) -> bool {
-        self.pools.iter().all(pool::Pool::settle)
+    pub fn trim_to_share(&self) -> bool {
+        self.pools.iter().all(pool::Pool::trim_to_share)
     }
 
     /// Whether a majority of the instances has answered this proxy recently.
@@ -185,7 +185,7 @@
     /// The failure detector's verdict on the primary.
     #[must_use]
     pub fn verdict(&self) -> detect::Verdict {
-        detect::Rule::default().judge(&self.watch.board(), self.clock.now())
+        detect::Detector::default().assess(&self.watch.board(), self.clock.now())
     }
 
     /// Maximum age of a batch's data; `None` unless all its tables have a declared limit.
@@ -199,12 +199,12 @@
     }
 
     /// Retry budget shared by all requests of the group.
-    pub fn retries(&self) -> sync::MutexGuard<'_, retry::Budget> {
+    pub fn retry_budget(&self) -> sync::MutexGuard<'_, retry::Budget> {
         lock(&self.retries)
     }
 
     /// Estimate of the time that confirmations take.
-    pub fn confirmations(&self) -> sync::MutexGuard<'_, confirmation::Estimate> {
+    pub fn confirmation_estimate(&self) -> sync::MutexGuard<'_, confirmation::Estimate> {
         lock(&self.confirmations)
     }
 
@@ -263,8 +263,8 @@
         index: id::Index,
         leader_status: Option<status::Status>,
     ) -> admin::Instance {
-        let seen = &board.seen()[index];
-        let status = seen.last.map(|last| last.status);
+        let instance = &board.instances()[index];
+        let status = instance.last.map(|last| last.status);
         let lag = status
             .zip(leader_status)
             .filter(|(status, leader)| status.stamp.term == leader.stamp.term);
@@ -276,8 +276,8 @@
             lag_records: lag.map(|(status, leader)| {
                 leader.stamp.position.saturating_sub(status.stamp.position)
             }),
-            reachable: status.is_some() && seen.failures == 0,
-            connections: self.pools[index].open(),
+            reachable: status.is_some() && instance.failures == 0,
+            connections: self.pools[index].open_connections(),
             busy: self.pools[index].load(),
         }
     }
@@ -285,11 +285,11 @@
     fn candidate(&self, board: &board::Board, index: id::Index) -> route::Candidate {
         let declaration = self.declaration();
         let declared = &declaration.instances[index];
-        let seen = &board.seen()[index];
+        let instance = &board.instances()[index];
         route::Candidate {
             index,
-            stamp: seen.last.map(|last| last.status.stamp),
-            usable: seen.failures == 0 && seen.last.is_some() && self.pools[index].passes(),
+            stamp: instance.last.map(|last| last.status.stamp),
+            usable: instance.failures == 0 && instance.last.is_some() && self.pools[index].admits(),
             leaving: declared.leaving,
             near: declared.domain == self.domain,
             load: self.pools[index].load(),
@@ -326,7 +326,7 @@
         watch: watch.clone(),
         terms: parts.terms.clone(),
         clock: parts.clock.clone(),
-        rule: detect::Rule::default(),
+        detector: detect::Detector::default(),
         policy: parts.policy,
         executor: parts.executor.clone(),
         rank: rank.clone(),
@@ -339,7 +339,7 @@
 async fn keep_term_reserved(terms: sync::Arc<term::Registry>, watch: sync::Arc<probe::Watch>) {
     loop {
         let known = watch.board().highest_fence();
-        if terms.held().is_none_or(|held| held <= known)
+        if terms.reserved_term().is_none_or(|held| held <= known)
             && let Err(failure) = terms.reserve(known).await
         {
             tracing::info!(?failure, "no term could be reserved in advance");
--- a/src/handler.rs
+++ b/src/handler.rs
@@ -20,16 +20,16 @@
 }
 
 impl peer::Handler for Handler {
-    fn switch(&self) -> sync::Arc<dyn lane::Switch> {
-        sync::Arc::new(directory::Here(self.directory.clone()))
+    fn lanes(&self) -> sync::Arc<dyn lane::Factory> {
+        sync::Arc::new(directory::PeerLanes(self.directory.clone()))
     }
 
     fn exchange(&self, digest: peer::Digest) -> future::BoxFuture<'_, peer::News> {
-        self.gossip.asked(digest).boxed()
+        self.gossip.answer_digest(digest).boxed()
     }
 
     fn announce(&self, news: peer::News) -> future::BoxFuture<'_, ()> {
-        self.gossip.announced(news).boxed()
+        self.gossip.handle_news(news).boxed()
     }
 
     fn suspects(&self, suspect: &peer::Suspect) -> bool {
--- a/src/hello.rs
+++ b/src/hello.rs
@@ -68,7 +68,10 @@
     ///
     /// # Errors
     /// When the stream fails, the handshake times out, or the other side is not a peer.
-    pub async fn ask<In, Out>(&self, stream: Box<dyn wire::Duplex>) -> io::Result<Framed<In, Out>> {
+    pub async fn connect<In, Out>(
+        &self,
+        stream: Box<dyn wire::Duplex>,
+    ) -> io::Result<Framed<In, Out>> {
         let exchange = async {
             let mut framed = frame_hellos(stream);
             framed.send(self.clone()).await?;
@@ -82,7 +85,7 @@
     ///
     /// # Errors
     /// When the stream fails, the handshake times out, or the other side is not a peer.
-    pub async fn answer<In, Out>(
+    pub async fn accept<In, Out>(
         &self,
         stream: Box<dyn wire::Duplex>,
     ) -> io::Result<Framed<In, Out>> {
--- a/src/keeper.rs
+++ b/src/keeper.rs
@@ -42,7 +42,7 @@
     enrolment: sync::Arc<enrol::Enrolment>,
     store: sync::Arc<dyn store::Store>,
     clock: sync::Arc<dyn clock::Clock>,
-    book: share::Book,
+    view: share::View,
     seats: usize,
     next_read: id::Time,
     next_witness_query: id::Time,
@@ -59,11 +59,11 @@
         enrolment: sync::Arc<enrol::Enrolment>,
     ) -> Self {
         let shared = directory.shared();
-        let declared = entry.declared.load();
-        let seats = placement::count(declared.connections, declared.slots);
+        let declared = entry.declaration.load();
+        let seats = placement::serving_count(declared.connections, declared.slots);
         let limits = enrolment.limits().clone();
         Self {
-            book: share::Book::new(shared.vm.clone(), shared.incarnation, seats, limits),
+            view: share::View::new(shared.vm.clone(), shared.incarnation, seats, limits),
             store: shared.store.clone(),
             clock: shared.clock.clone(),
             seats,
@@ -95,12 +95,14 @@
     }
 
     fn finished(&self) -> bool {
-        self.entry.retired() && self.book.is_empty()
+        self.entry.retired() && self.view.is_empty()
     }
 
     async fn run_once(&mut self) {
-        let wanted = self.entry.wanted(&self.directory.shared().vm, self.seats);
-        let idle = wanted == 0 && self.book.is_empty();
+        let wanted = self
+            .entry
+            .wanted_seats(&self.directory.shared().vm, self.seats);
+        let idle = wanted == 0 && self.view.is_empty();
         if idle {
             self.entry.set_runtime(None);
             return;
@@ -122,7 +124,7 @@
         if now < self.next_read {
             return;
         }
-        let settled = self.book.held().count() == wanted && self.draining.is_none();
+        let settled = self.view.held_seats().count() == wanted && self.draining.is_none();
         let pause = if settled {
             SETTLED_READ_INTERVAL
         } else {
@@ -136,7 +138,7 @@
         let version = found.as_ref().map_or(0, |entry| entry.version);
         let record = found.map_or(Ok(Vec::new()), |entry| seat::decode(&entry.value));
         match record {
-            Ok(record) => self.book.read(version, record, self.clock.now()),
+            Ok(record) => self.view.apply_record(version, record, self.clock.now()),
             Err(error) => tracing::error!(%error, key = %key, "cannot decode the seat record"),
         }
     }
@@ -152,12 +154,12 @@
         }
         let witnesses = self.directory.witnesses(&self.entry.name);
         match self
-            .book
-            .decide(self.clock.now(), wanted, &witnesses, &lease)
+            .view
+            .next_step(self.clock.now(), wanted, &witnesses, &lease)
         {
             share::Step::Idle => {}
             share::Step::Propose { expect, seats } => return self.propose(expect, &seats).await,
-            share::Step::Check { owner } => self.check(&owner).await,
+            share::Step::Check { owner } => self.check_owner(&owner).await,
             share::Step::Drain { seat } => self.start_drain(seat),
         }
         false
@@ -185,7 +187,7 @@
         self.next_step = self.clock.now() + enrol::jittered(UNSETTLED_READ_INTERVAL);
     }
 
-    async fn check(&mut self, owner: &seat::Seat) {
+    async fn check_owner(&mut self, owner: &seat::Seat) {
         self.delay_next_step();
         let Ok(found) = self.store.get(&enrol::key(&owner.vm)).await else {
             return;
@@ -200,7 +202,7 @@
         if lease.as_ref() != Some(&owner.lease) {
             tracing::warn!(target: "mangotray::placement", vm = %owner.vm, seat = owner.seat,
                 group = %self.entry.name, "lease of a seat's owner has ended");
-            self.book.gone(&owner.lease, self.clock.now());
+            self.view.record_lease_end(&owner.lease, self.clock.now());
             self.next_witness_query = id::Time::ZERO;
         }
     }
@@ -215,10 +217,13 @@
         let Some(seat) = self.draining else {
             return;
         };
-        let closed = self.entry.runtime().is_none_or(|group| group.settled());
+        let closed = self
+            .entry
+            .runtime()
+            .is_none_or(|group| group.trim_to_share());
         if closed {
             self.draining = None;
-            self.book.drained(seat);
+            self.view.record_drained(seat);
             self.next_read = id::Time::ZERO;
         }
     }
@@ -231,7 +236,7 @@
             return;
         }
         self.next_witness_query = now + WITNESS_QUERY_INTERVAL;
-        for vm in self.book.witnesses() {
+        for vm in self.view.witnesses() {
             self.query_witness(&vm).await;
         }
     }
@@ -241,7 +246,7 @@
         let report = if *vm == self.directory.shared().vm {
             Some(self.enrolment.report())
         } else {
-            self.directory.ask(vm).await
+            self.directory.query_witness(vm).await
         };
         if let Some(report) = report {
             self.record_report(vm, asked, report);
@@ -251,21 +256,23 @@
     fn record_report(&mut self, vm: &id::Vm, asked: id::Time, report: witness::Report) {
         let answered = self.clock.now();
         self.enrolment.record_report(vm, asked, answered, report);
-        self.book.report(vm, asked, report);
+        self.view.record_report(vm, asked, report);
     }
 
     fn needs_witnesses(&self, now: id::Time) -> bool {
         let grants = self.enrolment.grants();
         let ends_soon = |seat| {
-            let until = self.book.until(seat, now, &grants);
+            let until = self.view.usable_until(seat, now, &grants);
             until.is_none_or(|until| until < now + WITNESS_QUERY_THRESHOLD)
         };
-        self.book.held().any(ends_soon) || !self.holds_wanted_seats()
+        self.view.held_seats().any(ends_soon) || !self.holds_wanted_seats()
     }
 
     fn holds_wanted_seats(&self) -> bool {
-        let wanted = self.entry.wanted(&self.directory.shared().vm, self.seats);
-        self.book.held().count() >= wanted
+        let wanted = self
+            .entry
+            .wanted_seats(&self.directory.shared().vm, self.seats);
+        self.view.held_seats().count() >= wanted
     }
 
     /// Seats among `seats` that may be used now, with the time at which each expires.
@@ -273,18 +280,18 @@
         let now = self.clock.now();
         let grants = self.enrolment.grants();
         seats
-            .filter_map(|seat| Some((seat, self.book.until(seat, now, &grants)?)))
+            .filter_map(|seat| Some((seat, self.view.usable_until(seat, now, &grants)?)))
             .collect()
     }
 
     /// Sets the group's limit from the seats. A seat that is being released takes no new work,
     /// but work that already runs on it may finish.
     fn use_seats(&self) {
-        let held = self.usable(self.book.held());
+        let held = self.usable(self.view.held_seats());
         let ending = self.usable(self.draining.into_iter());
         let until = held.iter().chain(&ending).map(|(_, until)| *until).min();
         let seats: Vec<_> = held.iter().map(|(seat, _)| *seat).collect();
-        let declared = self.entry.declared.load();
+        let declared = self.entry.declaration.load();
         let mut limit = entry::limit(declared.connections, declared.slots, self.seats, &seats);
         // Open transactions need the slots of a draining seat until they have ended.
         let ending: Vec<_> = ending.iter().map(|(seat, _)| *seat).collect();
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -58,9 +58,10 @@
 /// Returns the time since which all answering replicas have been behind without advancing.
 fn stalled_since(board: &board::Board) -> Option<id::Time> {
     let leader = board.leader()?.index;
-    let seen = board.seen().iter().enumerate();
-    let followers = seen.filter(|(index, seen)| *index != leader && seen.failures == 0);
-    let since: Option<Vec<_>> = followers.map(|(_, seen)| seen.behind).collect();
+    let instances = board.instances().iter().enumerate();
+    let followers =
+        instances.filter(|(index, instance)| *index != leader && instance.failures == 0);
+    let since: Option<Vec<_>> = followers.map(|(_, instance)| instance.behind).collect();
     since?.into_iter().max()
 }
 
--- a/src/lag/tests.rs
+++ b/src/lag/tests.rs
@@ -28,7 +28,7 @@
         finished: time,
         status,
     };
-    board.answered(index, observation);
+    board.record_answer(index, observation);
 }
 
 #[test]
--- a/src/lane.rs
+++ b/src/lane.rs
@@ -18,7 +18,7 @@
 }
 
 /// Opens lanes for databases by name.
-pub trait Switch: Send + Sync {
+pub trait Factory: Send + Sync {
     /// A lane for the named database, or `None` when no group serves it.
     fn lane(&self, database: &str) -> Option<Box<dyn Lane>>;
 
--- a/src/loss.rs
+++ b/src/loss.rs
@@ -43,10 +43,14 @@
     /// ```
     /// use mangotray::{class, classify, loss, transaction};
     /// let read = classify::Verdict::plain(class::Class::Read);
-    /// assert_eq!(loss::Loss::Canceled.kind(&read, transaction::State::Idle), "not-run");
+    /// assert_eq!(loss::Loss::Canceled.outcome_label(&read, transaction::State::Idle), "not-run");
     /// ```
     #[must_use]
-    pub fn kind(&self, verdict: &classify::Verdict, state: transaction::State) -> &'static str {
+    pub fn outcome_label(
+        &self,
+        verdict: &classify::Verdict,
+        state: transaction::State,
+    ) -> &'static str {
         match self {
             Self::Outcome(outcome::Outcome::Unknown { .. }) => "unknown",
             Self::Canceled if may_have_changed_data(verdict, state) => "unknown",
--- a/src/member.rs
+++ b/src/member.rs
@@ -98,8 +98,8 @@
 ///     domain: "kirtipur-hall".into(),
 ///     leaving: true,
 /// };
-/// view.listed(&[listing], Duration::ZERO);
-/// view.listed(&[], Duration::from_secs(60));
+/// view.record_list(&[listing], Duration::ZERO);
+/// view.record_list(&[], Duration::from_secs(60));
 /// let members = view.members(Duration::from_secs(60));
 /// assert_eq!(members[0].state, member::State::Live);
 /// assert_eq!(members[1].state, member::State::Leaving);
@@ -108,7 +108,7 @@
 pub struct View {
     vm: id::Vm,
     records: collections::BTreeMap<id::Vm, evidence::Evidence>,
-    declared: Vec<id::Vm>,
+    declared_vms: Vec<id::Vm>,
 }
 
 impl View {
@@ -125,25 +125,25 @@
         Self {
             records: [(vm.clone(), own)].into(),
             vm,
-            declared: Vec::new(),
+            declared_vms: Vec::new(),
         }
     }
 
     /// Records the platform's list as read at `now`. An empty list is ignored.
-    pub fn listed(&mut self, list: &[store::Listing], now: id::Time) {
+    pub fn record_list(&mut self, list: &[store::Listing], now: id::Time) {
         if list.is_empty() {
             return;
         }
-        let names: collections::HashSet<&id::Vm> = list.iter().map(|line| &line.vm).collect();
+        let names: collections::HashSet<&id::Vm> = list.iter().map(|listing| &listing.vm).collect();
         let absent = self
             .records
             .iter_mut()
             .filter(|(vm, _)| !names.contains(vm));
         for (_, record) in absent {
-            record.unlist(now);
+            record.record_absence(now);
         }
-        for line in list {
-            self.record(&line.vm).list(line, now);
+        for listing in list {
+            self.record(&listing.vm).record_listing(listing, now);
         }
         let own = self.vm.clone();
         self.records.retain(|vm, record| {
@@ -152,36 +152,36 @@
     }
 
     /// Records the VMs that the operators' configuration file names.
-    pub fn declared(&mut self, catalog: &catalog::Catalog) {
-        self.declared.clone_from(&catalog.vms);
+    pub fn set_catalog(&mut self, catalog: &catalog::Catalog) {
+        self.declared_vms.clone_from(&catalog.vms);
     }
 
     /// Records all live lease entries as read at `now`. The leases of all other VMs have ended.
-    pub fn leases(&mut self, signs: &[evidence::Sign], now: id::Time) {
+    pub fn record_leases(&mut self, heartbeats: &[evidence::Heartbeat], now: id::Time) {
         for record in self.records.values_mut() {
-            record.lease_ended(now);
+            record.record_lease_end(now);
         }
-        for sign in signs {
-            self.record(&sign.vm).lease_seen(sign, now);
+        for heartbeat in heartbeats {
+            self.record(&heartbeat.vm).record_lease(heartbeat, now);
         }
     }
 
     /// Records a received heartbeat.
-    pub fn heard(&mut self, sign: &evidence::Sign, now: id::Time) {
-        self.record(&sign.vm).hear(sign, now);
+    pub fn record_heartbeat(&mut self, heartbeat: &evidence::Heartbeat, now: id::Time) {
+        self.record(&heartbeat.vm).record_heartbeat(heartbeat, now);
     }
 
     /// Records that an expected heartbeat of `vm` was not received.
-    pub fn missed(&mut self, vm: &id::Vm, now: id::Time) {
+    pub fn record_missed_heartbeat(&mut self, vm: &id::Vm, now: id::Time) {
         if let Some(record) = self.records.get_mut(vm) {
-            record.miss(now);
+            record.record_missed_heartbeat(now);
         }
     }
 
     /// Records that the local VM is shutting down.
-    pub fn drain(&mut self) {
+    pub fn record_draining(&mut self) {
         let vm = self.vm.clone();
-        self.record(&vm).drain();
+        self.record(&vm).record_draining();
     }
 
     /// All VMs with their states at `now`, sorted by name.
@@ -206,7 +206,7 @@
     /// VMs known only from the platform's list are excluded because some may be upstreams.
     #[must_use]
     pub fn candidates(&self, now: id::Time) -> Vec<placement::Candidate> {
-        let proxy = |vm: &id::Vm| *vm == self.vm || self.records[vm].signed();
+        let proxy = |vm: &id::Vm| *vm == self.vm || self.records[vm].runs_proxy();
         self.members(now)
             .into_iter()
             .filter(|member| member.state != State::Dead && proxy(&member.vm))
@@ -218,7 +218,7 @@
             .collect()
     }
 
-    /// VMs that the platform has destroyed, as input for `share::Book::destroyed`.
+    /// VMs that the platform has destroyed, as input for `share::View::record_destroyed`.
     #[must_use]
     pub fn destroyed(&self, now: id::Time) -> Vec<id::Vm> {
         self.records
@@ -233,7 +233,7 @@
     #[must_use]
     pub fn withdrawn(&self, instance: &database::Instance) -> bool {
         let record = self.records.get(&instance.name);
-        instance.leaving || record.is_some_and(evidence::Evidence::announced)
+        instance.leaving || record.is_some_and(evidence::Evidence::removal_announced)
     }
 
     fn record(&mut self, vm: &id::Vm) -> &mut evidence::Evidence {
@@ -252,10 +252,10 @@
     }
 
     fn leaving(&self, vm: &id::Vm, record: &evidence::Evidence) -> Option<(State, Cause)> {
-        let withdrawn = !self.declared.is_empty() && !self.declared.contains(vm);
+        let withdrawn = !self.declared_vms.is_empty() && !self.declared_vms.contains(vm);
         let causes = [
             (record.draining(), Cause::Draining),
-            (record.announced(), Cause::Announced),
+            (record.removal_announced(), Cause::Announced),
             (withdrawn, Cause::Withdrawn),
         ];
         let cause = causes.into_iter().find(|(holds, _)| *holds);
@@ -266,10 +266,10 @@
         if record.destroyed(now) {
             return Some((State::Dead, Cause::Delisted));
         }
-        if !record.silent(now, evidence::DEAD_AFTER) || record.leased(now) {
+        if !record.silent(now, evidence::DEAD_AFTER) || record.has_lease(now) {
             return None;
         }
-        if record.lease_gone(now) {
+        if record.lacks_lease(now) {
             return Some((State::Dead, Cause::SilentAndGone));
         }
         (!self.isolated(now)).then_some((State::Dead, Cause::Silence))
@@ -277,12 +277,12 @@
 
     fn suspect(&self, record: &evidence::Evidence, now: id::Time) -> Option<(State, Cause)> {
         let cause = if record.silent(now, SUSPECT_AFTER) {
-            match (record.leased(now), self.isolated(now)) {
+            match (record.has_lease(now), self.isolated(now)) {
                 (true, _) => Cause::Unreachable,
                 (false, true) => Cause::Isolated,
                 (false, false) => Cause::Silence,
             }
-        } else if !record.heard() && record.lease_gone(now) {
+        } else if !record.has_heartbeat() && record.lacks_lease(now) {
             Cause::LeaseGone
         } else {
             return None;
@@ -292,7 +292,7 @@
 
     /// Whether at least half of the VMs that exchange heartbeats with the local VM are silent.
     fn isolated(&self, now: id::Time) -> bool {
-        let probed = |record: &&evidence::Evidence| record.probed() && !record.destroyed(now);
+        let probed = |record: &&evidence::Evidence| record.is_probed() && !record.destroyed(now);
         let probed: Vec<&evidence::Evidence> = self.records.values().filter(probed).collect();
         let silent = |record: &&&evidence::Evidence| record.silent(now, SUSPECT_AFTER);
         let silent = probed.iter().filter(silent).count();
@@ -301,9 +301,9 @@
 }
 
 fn live_cause(record: &evidence::Evidence, now: id::Time) -> Cause {
-    if record.heard() {
+    if record.has_heartbeat() {
         Cause::Heartbeat
-    } else if record.leased(now) {
+    } else if record.has_lease(now) {
         Cause::Lease
     } else {
         Cause::Listed
--- a/src/packet/tests.rs
+++ b/src/packet/tests.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn leaves_nothing_of_an_abandoned_message_behind() {
-    let mut codec = Codec::<(), (String, peer::Mark)>::new(64);
+    let mut codec = Codec::<(), (String, peer::Transmission)>::new(64);
     let mut buffer = bytes::BytesMut::new();
-    let mark = peer::Mark::default();
+    let mark = peer::Transmission::default();
     assert!(mark.abandon());
     assert_matches!(codec.encode(("text".to_owned(), mark), &mut buffer), Err(_));
     assert!(buffer.is_empty());
--- a/src/path.rs
+++ b/src/path.rs
@@ -33,7 +33,7 @@
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
 /// Result of sending a batch to one instance.
-pub enum Sent {
+pub enum Delivery {
     /// The complete answer, with the connection that it arrived on.
     Answered(reply::Reply, pool::Guard),
     /// Nothing of the batch ran: it was not sent, or the instance did not run it. Holds the
@@ -55,14 +55,14 @@
 /// The incarnation is part of the choice: an instance that has been restarted since then may
 /// have lost the records for which it was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Place {
+pub struct Target {
     /// Index of the instance.
     pub index: id::Index,
     /// Incarnation of its process, from the same state of the board as the choice.
     pub incarnation: id::Incarnation,
 }
 
-impl Place {
+impl Target {
     fn from_board(board: &board::Board, index: id::Index) -> Option<Self> {
         let incarnation = board.status(index)?.incarnation;
         Some(Self { index, incarnation })
@@ -92,7 +92,7 @@
     /// # Errors
     /// When no usable primary with an answering replica is found before the deadline, or when
     /// the replicas are too slow to confirm a write in the time left.
-    pub async fn primary(&self, batch: &batch::Batch) -> Result<Place, outcome::Outcome> {
+    pub async fn primary(&self, batch: &batch::Batch) -> Result<Target, outcome::Outcome> {
         let since = match batch.class {
             class::Class::Begin => batch.arrived,
             _ => id::Time::ZERO,
@@ -100,17 +100,17 @@
         let found = self
             .group
             .watch
-            .until(since, batch.deadline, true, |board| {
+            .wait_until(since, batch.deadline, true, |board| {
                 let leader = board.leader()?;
                 let floor = board.floor(since)?;
                 let stamp = board.status(leader.index)?.stamp;
-                let usable = board.seen()[leader.index].failures == 0;
-                let place = Place::from_board(board, leader.index)?;
-                (stamp >= floor && usable && has_answering_replica(board, leader)).then_some(place)
+                let usable = board.instances()[leader.index].failures == 0;
+                let target = Target::from_board(board, leader.index)?;
+                (stamp >= floor && usable && has_answering_replica(board, leader)).then_some(target)
             });
-        let place = found.await.ok_or_else(|| self.primary_refusal())?;
+        let target = found.await.ok_or_else(|| self.primary_refusal())?;
         self.can_confirm_in_time(batch)
-            .then_some(place)
+            .then_some(target)
             .ok_or_else(slow_replicas)
     }
 
@@ -118,9 +118,9 @@
     fn primary_refusal(&self) -> outcome::Outcome {
         let board = self.group.watch.board();
         let answering = board
-            .seen()
+            .instances()
             .iter()
-            .filter(|seen| is_answering(seen))
+            .filter(|instance| is_answering(instance))
             .count();
         if answering >= board.majority() {
             return no_primary();
@@ -138,7 +138,9 @@
         let now = self.group.clock.now();
         let stalled = replica_stall(&self.group.watch.board(), now);
         let left = batch.deadline.saturating_sub(now);
-        self.group.confirmations().allows(left, stalled, now)
+        self.group
+            .confirmation_estimate()
+            .allows(left, stalled, now)
     }
 
     /// Waits for an instance that can serve a read. Returns the instance, the reason for the
@@ -147,27 +149,31 @@
     ///
     /// # Errors
     /// When no instance is fresh enough before the deadline.
-    pub async fn source(
+    pub async fn read_target(
         &self,
         batch: &batch::Batch,
         failed: &[id::Index],
-    ) -> Result<(Place, route::Why, stamp::Stamp), outcome::Outcome> {
+    ) -> Result<(Target, route::Reason, stamp::Stamp), outcome::Outcome> {
         if self.primary_only(batch) {
-            let place = self.primary(batch).await?;
-            return Ok((place, route::Why::Policy, stamp::Stamp::default()));
+            let target = self.primary(batch).await?;
+            return Ok((target, route::Reason::Policy, stamp::Stamp::default()));
         }
-        let (since, why) = self.sample_requirement(batch);
+        let (since, reason) = self.sample_requirement(batch);
         let token = batch.token;
         let own = batch.own.unwrap_or_default();
         let found = self
             .group
             .watch
-            .until(since, batch.deadline, true, |board| {
+            .wait_until(since, batch.deadline, true, |board| {
                 let floor = token.or_else(|| board.floor(since))?.max(own);
                 let index = self.group.choose(board, floor, failed)?;
                 let fallback = board.leader().is_some_and(|leader| leader.index == index);
-                let why = if fallback { route::Why::Fallback } else { why };
-                Some((Place::from_board(board, index)?, why, floor))
+                let reason = if fallback {
+                    route::Reason::Fallback
+                } else {
+                    reason
+                };
+                Some((Target::from_board(board, index)?, reason, floor))
             });
         found.await.ok_or_else(|| {
             let detail = "no instance is fresh enough within the deadline".into();
@@ -176,13 +182,13 @@
     }
 
     /// Earliest start of a sample that is recent enough for the read, and the reason to log.
-    fn sample_requirement(&self, batch: &batch::Batch) -> (id::Time, route::Why) {
+    fn sample_requirement(&self, batch: &batch::Batch) -> (id::Time, route::Reason) {
         if batch.token.is_some() {
-            return (id::Time::ZERO, route::Why::Token);
+            return (id::Time::ZERO, route::Reason::Token);
         }
         match self.group.age_limit(batch) {
-            Some(limit) => (batch.arrived.saturating_sub(limit), route::Why::Aged),
-            None => (batch.arrived, route::Why::Sampled),
+            Some(limit) => (batch.arrived.saturating_sub(limit), route::Reason::Aged),
+            None => (batch.arrived, route::Reason::Sampled),
         }
     }
 
@@ -221,18 +227,18 @@
             return Ok(reply);
         };
         let since = self.group.clock.now();
-        let seen = self
+        let confirmed = self
             .group
             .watch
-            .until(since, batch.deadline, true, |board| {
+            .wait_until(since, batch.deadline, true, |board| {
                 board.confirmed(stamp, index, since).then_some(())
             });
-        let seen = seen.await;
+        let confirmed = confirmed.await;
         let elapsed = self.group.clock.now().saturating_sub(since);
         if writes {
-            self.group.confirmations().learn(elapsed);
+            self.group.confirmation_estimate().add_sample(elapsed);
         }
-        if seen.is_some() {
+        if confirmed.is_some() {
             return Ok(reply);
         }
         let detail = format!("record {stamp} was not seen on a second instance in time");
@@ -248,32 +254,32 @@
     /// result is recorded in it.
     pub async fn send(
         &self,
-        place: Place,
+        target: Target,
         held: Option<pool::Guard>,
         batch: &batch::Batch,
-    ) -> Sent {
-        let index = place.index;
+    ) -> Delivery {
+        let index = target.index;
         let pool = self.group.pool(index);
-        let _waiting = pool.enter();
+        let _waiting = pool.count_request();
         let ticket = self.ticket(batch, held.is_some());
         let has_slot = held.as_ref().is_some_and(|guard| guard.slot.is_some());
         let slot = self.slot(index, has_slot, ticket);
         let slot = match self.run_until(batch.deadline, slot).await {
             Some(Ok(slot)) => slot,
-            Some(Err(refusal)) => return Sent::Refused(refusal),
-            None => return Sent::Late,
+            Some(Err(refusal)) => return Delivery::Refused(refusal),
+            None => return Delivery::Late,
         };
         // Taken after the wait for a slot, so that a trial request tests the instance's current
         // state.
         let permit = pool.permit();
         if permit.is_none() && ticket.priority != admission::Priority::Write {
-            return Sent::Unsent("the instance has failed too often of late".into());
+            return Delivery::Unsent("the instance has failed too often of late".into());
         }
-        let sent = self.attempt(place, held, slot, batch).await;
-        if let Some((permit, success)) = permit.zip(self.success(&sent, batch)) {
-            pool.record(permit, success);
+        let delivery = self.attempt(target, held, slot, batch).await;
+        if let Some((permit, success)) = permit.zip(self.success(&delivery, batch)) {
+            pool.record_result(permit, success);
         }
-        sent
+        delivery
     }
 
     fn ticket(&self, batch: &batch::Batch, pinned: bool) -> admission::Ticket {
@@ -284,13 +290,15 @@
     /// Result of an attempt for the circuit breaker; `None` when it says nothing about the
     /// instance. A write that is still running at the deadline may have waited for another
     /// caller's locks, so it doesn't count as a failure.
-    fn success(&self, sent: &Sent, batch: &batch::Batch) -> Option<bool> {
+    fn success(&self, delivery: &Delivery, batch: &batch::Batch) -> Option<bool> {
         let reads = matches!(batch.class, class::Class::Read | class::Class::BeginRead);
-        match sent {
-            Sent::Answered(..) => Some(true),
-            Sent::Unsent(_) | Sent::Lost(_) => Some(false),
-            Sent::Late | Sent::Refused(_) => None,
-            Sent::Expired => (reads && batch.deadline <= self.group.clock.now()).then_some(false),
+        match delivery {
+            Delivery::Answered(..) => Some(true),
+            Delivery::Unsent(_) | Delivery::Lost(_) => Some(false),
+            Delivery::Late | Delivery::Refused(_) => None,
+            Delivery::Expired => {
+                (reads && batch.deadline <= self.group.clock.now()).then_some(false)
+            }
         }
     }
 
@@ -304,21 +312,21 @@
         if has_slot {
             return Ok(None);
         }
-        self.group.pool(index).slot(ticket).await.map(Some)
+        self.group.pool(index).acquire_slot(ticket).await.map(Some)
     }
 
     async fn attempt(
         &self,
-        place: Place,
+        target: Target,
         held: Option<pool::Guard>,
         slot: Option<slots::Slot>,
         batch: &batch::Batch,
-    ) -> Sent {
-        let connecting = self.connect(place, held, slot);
+    ) -> Delivery {
+        let connecting = self.connect(target, held, slot);
         match self.run_until(batch.deadline, connecting).await {
             Some(Ok(guard)) => self.exchange(guard, &batch.frames, batch.deadline).await,
-            Some(Err(failure)) => Sent::Unsent(failure_detail(failure)),
-            None => Sent::Late,
+            Some(Err(failure)) => Delivery::Unsent(failure_detail(failure)),
+            None => Delivery::Late,
         }
     }
 
@@ -326,15 +334,15 @@
     /// released with the connection.
     async fn connect(
         &self,
-        place: Place,
+        target: Target,
         held: Option<pool::Guard>,
         slot: Option<slots::Slot>,
     ) -> Result<pool::Guard, upstream::Failure> {
         let mut guard = if let Some(guard) = held {
             guard
         } else {
-            let pool = self.group.pool(place.index);
-            pool.checkout(Some(place.incarnation)).await?
+            let pool = self.group.pool(target.index);
+            pool.checkout(Some(target.incarnation)).await?
         };
         guard.slot = guard.slot.or(slot);
         Ok(guard)
@@ -345,18 +353,18 @@
         mut guard: pool::Guard,
         frames: &[frame::Frame],
         deadline: id::Time,
-    ) -> Sent {
+    ) -> Delivery {
         // Checked right before sending: a process that was paused must not send the batch after
         // its share of the instance has been given to another proxy.
-        if self.group.clock.now() >= deadline.min(self.group.until()) {
-            return Sent::Late;
+        if self.group.clock.now() >= deadline.min(self.group.usable_until()) {
+            return Delivery::Late;
         }
         let run = guard.connection.run(frames);
         match self.run_until(deadline, run).await {
-            Some(Ok(reply)) => Sent::Answered(reply, guard),
-            Some(Err(upstream::Failure::NotRun(detail))) => Sent::Unsent(detail),
-            Some(Err(upstream::Failure::Unknown(detail))) => Sent::Lost(detail),
-            None => Sent::Expired,
+            Some(Ok(reply)) => Delivery::Answered(reply, guard),
+            Some(Err(upstream::Failure::NotRun(detail))) => Delivery::Unsent(detail),
+            Some(Err(upstream::Failure::Unknown(detail))) => Delivery::Lost(detail),
+            None => Delivery::Expired,
         }
     }
 
@@ -367,7 +375,7 @@
         let changed = self
             .group
             .watch
-            .until(since, batch.deadline, true, |board| {
+            .wait_until(since, batch.deadline, true, |board| {
                 let leader = board.leader()?;
                 let fresh = board.floor(since).is_some();
                 (leader.index != index || fresh).then_some(())
@@ -381,7 +389,7 @@
     async fn run_until<T>(&self, deadline: id::Time, task: impl Future<Output = T>) -> Option<T> {
         let timer = async {
             loop {
-                let end = deadline.min(self.group.until());
+                let end = deadline.min(self.group.usable_until());
                 let now = self.group.clock.now();
                 if now >= end {
                     return None;
@@ -397,7 +405,7 @@
         &self,
         batch: &batch::Batch,
         index: id::Index,
-        why: route::Why,
+        reason: route::Reason,
         floor: Option<stamp::Stamp>,
     ) {
         let board = self.group.watch.board();
@@ -405,7 +413,7 @@
         let status = board.status(index);
         let leads = board.leader().is_some_and(|leader| leader.index == index);
         let source = if leads { "primary" } else { "replica" };
-        if batch.class == class::Class::Read && why != route::Why::Pinned {
+        if batch.class == class::Class::Read && reason != route::Reason::Pinned {
             metrics::counter!("mangotray_reads_total", "source" => source).increment(1);
         }
         tracing::info!(
@@ -415,7 +423,7 @@
             class = ?batch.class,
             instance = %declaration.instances[index].name,
             source,
-            why = why.name(),
+            why = reason.name(),
             term = status.map(|status| status.fence),
             stamp = status.map(|status| tracing::field::display(status.stamp)),
             floor = floor.map(tracing::field::display),
@@ -427,22 +435,24 @@
 /// Whether any replica answers. Without one no write can be confirmed and its outcome would be
 /// unknown, so it is refused before it runs.
 fn has_answering_replica(board: &board::Board, leader: board::Leader) -> bool {
-    let mut seen = board.seen().iter().enumerate();
-    seen.any(|(index, seen)| index != leader.index && is_answering(seen))
+    let mut instances = board.instances().iter().enumerate();
+    instances.any(|(index, instance)| index != leader.index && is_answering(instance))
 }
 
-fn is_answering(seen: &board::Seen) -> bool {
-    seen.failures == 0 && seen.last.is_some()
+fn is_answering(instance: &board::Instance) -> bool {
+    instance.failures == 0 && instance.last.is_some()
 }
 
 /// How long the answering replicas have been behind the primary without progress: the shortest
 /// such time among them.
 fn replica_stall(board: &board::Board, now: id::Time) -> time::Duration {
     let leader = board.leader().map(|leader| leader.index);
-    let replicas = board.seen().iter().enumerate();
-    let replicas = replicas.filter(|(index, seen)| Some(*index) != leader && is_answering(seen));
-    let stalls = replicas.map(|(_, seen)| {
-        seen.behind
+    let replicas = board.instances().iter().enumerate();
+    let replicas =
+        replicas.filter(|(index, instance)| Some(*index) != leader && is_answering(instance));
+    let stalls = replicas.map(|(_, instance)| {
+        instance
+            .behind
             .map_or(id::Time::ZERO, |since| now.saturating_sub(since))
     });
     stalls.min().unwrap_or_default()
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -59,7 +59,7 @@
 /// Operations that the server side of a peer connection needs from the proxy.
 pub trait Handler: Send + Sync {
     /// Lanes into the groups that this proxy serves itself.
-    fn switch(&self) -> sync::Arc<dyn lane::Switch>;
+    fn lanes(&self) -> sync::Arc<dyn lane::Factory>;
 
     /// Answers a peer's exchange; omits the configuration text if the peer already has it.
     fn exchange(&self, digest: Digest) -> future::BoxFuture<'_, News>;
@@ -102,7 +102,7 @@
     /// Stamp of the session's own last write.
     pub own: Option<stamp::Stamp>,
     /// Records at the sender whether the message was encoded for sending; encoded as a unit.
-    pub mark: Mark,
+    pub mark: Transmission,
 }
 
 impl Run {
@@ -138,7 +138,7 @@
             tables: batch.tables.clone(),
             token: batch.token,
             own: batch.own,
-            mark: Mark::default(),
+            mark: Transmission::default(),
         }
     }
 
@@ -172,17 +172,17 @@
 /// the state to "written"; encoding an abandoned message fails. Only the first of the two
 /// transitions succeeds.
 #[derive(Clone, Debug, Default)]
-pub struct Mark(sync::Arc<atomic::AtomicU8>);
+pub struct Transmission(sync::Arc<atomic::AtomicU8>);
 
-impl Mark {
+impl Transmission {
     /// Abandons the message; returns whether no part of it was or ever will be sent.
     ///
     /// ```
-    /// let mark = mangotray::peer::Mark::default();
+    /// let mark = mangotray::peer::Transmission::default();
     /// assert!(mark.abandon());
     /// assert!(postcard::to_stdvec(&mark).is_err());
     ///
-    /// let mark = mangotray::peer::Mark::default();
+    /// let mark = mangotray::peer::Transmission::default();
     /// assert!(postcard::to_stdvec(&mark).is_ok());
     /// assert!(!mark.abandon());
     /// ```
@@ -200,7 +200,7 @@
     }
 }
 
-impl serde::Serialize for Mark {
+impl serde::Serialize for Transmission {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if !self.transition(WRITTEN) {
             return Err(serde::ser::Error::custom("the sender has given up"));
@@ -209,7 +209,7 @@
     }
 }
 
-impl<'de> serde::Deserialize<'de> for Mark {
+impl<'de> serde::Deserialize<'de> for Transmission {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         <() as serde::Deserialize>::deserialize(deserializer)?;
         Ok(Self::default())
@@ -220,18 +220,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Digest {
     /// Requesting process; the request counts as its heartbeat.
-    pub sign: evidence::Sign,
+    pub sign: evidence::Heartbeat,
     /// Report on the asking proxy's configuration; `None` if only the witness report is requested.
     pub report: Option<spread::Report>,
-    /// Mark of the roster that the asking proxy holds, if any.
-    pub roster: Option<roster::Mark>,
+    /// Digest of the roster that the asking proxy holds, if any.
+    pub roster: Option<roster::Digest>,
 }
 
 /// A proxy's current state, sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct News {
     /// Sending process; the message counts as its heartbeat.
-    pub sign: evidence::Sign,
+    pub sign: evidence::Heartbeat,
     /// Configuration that the sender holds, with the text if the receiver lacks it.
     pub answer: spread::Answer,
     /// Roster that the sender holds, if it is newer than the receiver's.
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -14,7 +14,7 @@
 /// Maximum number of VMs that serve one group. With three, the group is still served after the
 /// loss of one VM or failure domain and during the loss of a second; with more, each VM's share
 /// of 20 connections would be too small to be useful.
-pub const SERVING: usize = 3;
+pub const MAX_SERVING_VMS: usize = 3;
 
 /// Connections that a serving VM needs to each instance: one for control, one for statements.
 pub const MIN_CONNECTIONS: usize = 2;
@@ -43,13 +43,15 @@
 ///
 /// ```
 /// use mangotray::placement;
-/// assert_eq!(placement::count(20, 3), 3);
-/// assert_eq!(placement::count(20, 2), 2);
-/// assert_eq!(placement::count(3, 8), 1);
+/// assert_eq!(placement::serving_count(20, 3), 3);
+/// assert_eq!(placement::serving_count(20, 2), 2);
+/// assert_eq!(placement::serving_count(3, 8), 1);
 /// ```
 #[must_use]
-pub fn count(connections: usize, slots: usize) -> usize {
-    (connections / MIN_CONNECTIONS).min(slots).clamp(1, SERVING)
+pub fn serving_count(connections: usize, slots: usize) -> usize {
+    (connections / MIN_CONNECTIONS)
+        .min(slots)
+        .clamp(1, MAX_SERVING_VMS)
 }
 
 /// Selects the VMs that serve `group`, in order of preference; fewer than `count` when not
@@ -65,12 +67,12 @@
 ///     leaving: false,
 /// };
 /// let vms = [candidate("v1", "a"), candidate("v2", "a"), candidate("v3", "b")];
-/// let serving = placement::serving("dome-sched-1", &vms, 2);
+/// let serving = placement::serving_set("dome-sched-1", &vms, 2);
 /// assert_eq!(serving.len(), 2);
 /// assert!(serving.contains(&"v3".into()));
 /// ```
 #[must_use]
-pub fn serving(group: &str, vms: &[Candidate], count: usize) -> Vec<id::Vm> {
+pub fn serving_set(group: &str, vms: &[Candidate], count: usize) -> Vec<id::Vm> {
     let mut ranked = rank_by_score(group, vms);
     ranked.dedup_by(|a, b| a.1.vm == b.1.vm);
     let mut per_domain: collections::HashMap<&str, usize> = collections::HashMap::new();
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -17,7 +17,9 @@
 
 fn serving_sets(groups: usize, vms: &[placement::Candidate]) -> Vec<Vec<id::Vm>> {
     (0..groups)
-        .map(|number| placement::serving(&format!("group-{number}"), vms, placement::SERVING))
+        .map(|number| {
+            placement::serving_set(&format!("group-{number}"), vms, placement::MAX_SERVING_VMS)
+        })
         .collect()
 }
 
@@ -56,9 +58,9 @@
         .into_iter()
         .filter(|vm| vm.domain == "domain-0")
         .collect();
-    assert_eq!(placement::serving("group", &vms, 3).len(), 3);
-    assert_eq!(placement::serving("group", &vms, 9).len(), vms.len());
-    assert!(placement::serving("group", &[], 3).is_empty());
+    assert_eq!(placement::serving_set("group", &vms, 3).len(), 3);
+    assert_eq!(placement::serving_set("group", &vms, 9).len(), vms.len());
+    assert!(placement::serving_set("group", &[], 3).is_empty());
 }
 
 #[test]
@@ -94,7 +96,7 @@
 }
 
 #[test]
-fn a_joining_vm_takes_only_what_it_wins() {
+fn a_joining_vm_changes_only_the_serving_sets_that_it_joins() {
     let before = serving_sets(1_400, &candidates(30));
     let after = serving_sets(1_400, &candidates(31));
     let won = after
@@ -102,7 +104,7 @@
         .filter(|set| set.contains(&"entry-30".into()))
         .count();
     assert_eq!(added_members(&before, &after), won);
-    let mean = 1_400 * placement::SERVING / 31;
+    let mean = 1_400 * placement::MAX_SERVING_VMS / 31;
     assert!(
         won < 2 * mean,
         "the new VM serves {won} groups, the mean is {mean}"
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -87,9 +87,9 @@
 }
 
 /// Counts one request as load of the instance until dropped.
-pub struct Waiting<'a>(&'a atomic::AtomicUsize);
+pub struct LoadGuard<'a>(&'a atomic::AtomicUsize);
 
-impl Drop for Waiting<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, atomic::Ordering::Relaxed);
     }
@@ -128,32 +128,35 @@
 
     /// Number of open working connections.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.lock_idle().len() + self.checked_out.load(atomic::Ordering::Relaxed)
     }
 
     /// Counts a request as load until the returned guard is dropped.
     #[must_use]
-    pub fn enter(&self) -> Waiting<'_> {
+    pub fn count_request(&self) -> LoadGuard<'_> {
         self.load.fetch_add(1, atomic::Ordering::Relaxed);
-        Waiting(&self.load)
+        LoadGuard(&self.load)
     }
 
     /// Waits for a slot in the order of the admission queue.
     ///
     /// # Errors
     /// Fails if the queue refuses the ticket; the request has then not run.
-    pub async fn slot(&self, ticket: admission::Ticket) -> Result<slots::Slot, outcome::Outcome> {
+    pub async fn acquire_slot(
+        &self,
+        ticket: admission::Ticket,
+    ) -> Result<slots::Slot, outcome::Outcome> {
         self.slots.acquire(ticket).await
     }
 
     /// Whether the circuit breaker admits a request now.
     #[must_use]
-    pub fn passes(&self) -> bool {
-        lock(&self.breaker).passes(self.clock.now())
+    pub fn admits(&self) -> bool {
+        lock(&self.breaker).admits(self.clock.now())
     }
 
-    /// Permit of the circuit breaker for one request, whose result must be passed to `record`;
+    /// Permit of the circuit breaker for one request, whose result must be passed to `record_result`;
     /// `None` if the breaker does not admit it.
     #[must_use]
     pub fn permit(&self) -> Option<breaker::Permit> {
@@ -161,13 +164,13 @@
     }
 
     /// Records the result of a request in the circuit breaker.
-    pub fn record(&self, permit: breaker::Permit, success: bool) {
+    pub fn record_result(&self, permit: breaker::Permit, success: bool) {
         let now = self.clock.now();
         let mut breaker = lock(&self.breaker);
         if success {
-            breaker.success(permit, now);
+            breaker.record_success(permit, now);
         } else {
-            breaker.failure(permit, now, &mut fastrand::Rng::new());
+            breaker.record_failure(permit, now, &mut fastrand::Rng::new());
         }
     }
 
@@ -235,7 +238,7 @@
     }
 
     /// Changes the share. An increase takes effect at once, a decrease as requests end, see
-    /// `settle`.
+    /// `trim_to_share`.
     pub fn resize(&self, limit: Limit) {
         let mut share = lock(&self.share);
         let connections = resize_permits(
@@ -247,12 +250,12 @@
         drop(share);
         self.connections.add_permits(connections);
         self.slots.resize(limit.slots);
-        self.settle();
+        self.trim_to_share();
     }
 
     /// Removes free permits and idle connections that exceed a reduced share. Returns true if no
     /// more connections and slots are in use than the share allows.
-    pub fn settle(&self) -> bool {
+    pub fn trim_to_share(&self) -> bool {
         let mut share = lock(&self.share);
         share.excess_connections -= remove_permits(&self.connections, share.excess_connections);
         let mut idle = self.lock_idle();
--- a/src/pool/tests.rs
+++ b/src/pool/tests.rs
@@ -162,7 +162,7 @@
     ticket: admission::Ticket,
 ) -> Completion {
     simulation.sleep(ticket.arrived).await;
-    let slot = pool.slot(ticket).await;
+    let slot = pool.acquire_slot(ticket).await;
     let answered = slot.is_ok();
     match slot {
         Ok(slot) => {
@@ -236,7 +236,7 @@
 /// than the slots can serve, for longer than a deadline, each waits past its deadline and the
 /// slots are spent on late answers.
 #[test]
-fn overload_keeps_the_goodput_and_nobody_is_answered_late() {
+fn overload_keeps_the_goodput_without_late_answers() {
     for seed in 1..=3 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut load = |factor| run(arrivals(|number| number, CAPACITY * factor, &mut random));
--- a/src/probe.rs
+++ b/src/probe.rs
@@ -63,13 +63,13 @@
     }
 
     /// Records a request, which shortens the heartbeat interval.
-    pub fn touch(&self) {
+    pub fn record_request(&self) {
         let now = nanos(self.clock.now());
         self.last_request.fetch_max(now, atomic::Ordering::Relaxed);
     }
 
     /// Requests a probe of every instance that starts at or after `since`.
-    pub fn want(&self, since: id::Time) {
+    pub fn request_probes(&self, since: id::Time) {
         let since = nanos(since);
         if self.wanted_since.fetch_max(since, atomic::Ordering::AcqRel) < since {
             self.demand.notify(usize::MAX);
@@ -79,14 +79,14 @@
     /// Waits until `check` returns a value for the board. With `renew`, new probes are requested
     /// until it does; otherwise only one round that starts at or after `since` is requested.
     /// Returns `None` when the deadline passes first.
-    pub async fn until<T>(
+    pub async fn wait_until<T>(
         &self,
         since: id::Time,
         deadline: id::Time,
         renew: bool,
         check: impl Fn(&board::Board) -> Option<T>,
     ) -> Option<T> {
-        self.want(since);
+        self.request_probes(since);
         loop {
             let listener = self.changed.listen();
             if let Some(found) = check(&self.board.load()) {
@@ -97,25 +97,25 @@
                 return None;
             }
             if renew {
-                self.want(now);
+                self.request_probes(now);
             }
             wait(listener, deadline.saturating_sub(now)).await;
         }
     }
 
     /// Waits for the next change of the observations, at most `timeout`.
-    pub async fn news(&self, timeout: time::Duration) {
+    pub async fn wait_for_change(&self, timeout: time::Duration) {
         wait(self.changed.listen(), timeout).await;
     }
 
     /// Records an answered probe.
-    pub fn answered(&self, index: id::Index, observation: board::Observation) {
-        self.update(|board| board.answered(index, observation));
+    pub fn record_answer(&self, index: id::Index, observation: board::Observation) {
+        self.update(|board| board.record_answer(index, observation));
     }
 
     /// Records a failed probe.
-    pub fn failed(&self, index: id::Index) {
-        self.update(|board| board.failed(index));
+    pub fn record_failure(&self, index: id::Index) {
+        self.update(|board| board.record_failure(index));
     }
 
     /// Probes one instance in an endless loop; run one such task per instance.
@@ -132,9 +132,9 @@
                         finished,
                         status,
                     };
-                    self.answered(index, observation);
+                    self.record_answer(index, observation);
                 }
-                Err(_) => self.failed(index),
+                Err(_) => self.record_failure(index),
             }
             let min_interval = if failed {
                 MIN_FAILED_PROBE_INTERVAL
@@ -167,9 +167,9 @@
         let failing = self
             .board
             .load()
-            .seen()
+            .instances()
             .iter()
-            .any(|seen| seen.failures > 0);
+            .any(|instance| instance.failures > 0);
         if active || failing {
             ACTIVE_HEARTBEAT_INTERVAL
         } else {
--- a/src/promote.rs
+++ b/src/promote.rs
@@ -183,7 +183,7 @@
     ///
     /// Has no effect once a promotion has begun: after the fencing no instance is primary, and the
     /// instance to be replaced must not be forgotten then.
-    pub fn avoid(&mut self, index: Option<id::Index>) {
+    pub fn set_replaced(&mut self, index: Option<id::Index>) {
         let open = matches!(self.phase, Phase::Idle | Phase::Waiting { .. });
         if open && index.is_some() {
             self.avoid = index;
--- a/src/promote/tests.rs
+++ b/src/promote/tests.rs
@@ -123,7 +123,7 @@
     // replicas still answers the proxy and has the longest log of all fenced instances, so it is
     // promoted again unless it is excluded from the choice.
     let mut machine = Machine::new(3, 0);
-    machine.avoid(Some(0));
+    machine.set_replaced(Some(0));
     machine.step(at(0), SUSPECT);
     machine.step(at(1_000), SUSPECT);
     machine.step(at(1_001), Event::Claimed(2));
@@ -136,7 +136,7 @@
 #[test]
 fn the_instance_to_be_replaced_still_completes_a_majority() {
     let mut machine = Machine::new(3, 0);
-    machine.avoid(Some(0));
+    machine.set_replaced(Some(0));
     machine.step(at(0), SUSPECT);
     machine.step(at(1_000), SUSPECT);
     machine.step(at(1_001), Event::Claimed(2));
@@ -153,14 +153,14 @@
     // replica, so the next status shows no leader; the instance to be replaced must not be
     // determined again at that point.
     let mut machine = Machine::new(3, 0);
-    machine.avoid(Some(0));
+    machine.set_replaced(Some(0));
     machine.step(at(0), SUSPECT);
     machine.step(at(1_000), SUSPECT);
     machine.step(at(1_001), Event::Claimed(2));
     machine.step(at(1_002), Event::Fenced(0, status(2, 1, 99, Role::Replica)));
-    machine.avoid(None);
+    machine.set_replaced(None);
     machine.step(at(1_002), Event::Fenced(1, status(2, 1, 7, Role::Replica)));
-    machine.avoid(None);
+    machine.set_replaced(None);
     let actions = machine.step(at(1_003), Event::Fenced(2, status(2, 1, 5, Role::Replica)));
     assert_eq!(actions, vec![Action::Promote { index: 1, term: 2 }]);
 }
@@ -189,7 +189,7 @@
     // and one replica are fenced at once, the other replica after 100 ms. The answer of the primary
     // must not complete the majority that starts the short `FENCE_GRACE` wait.
     let mut machine = Machine::new(3, 0);
-    machine.avoid(Some(0));
+    machine.set_replaced(Some(0));
     machine.step(at(0), SUSPECT);
     machine.step(at(1_000), SUSPECT);
     machine.step(at(1_001), Event::Claimed(2));
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -24,11 +24,11 @@
 
 /// Which proxies a lane may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Scope {
     /// This proxy's own connections to the instances, or any peer.
-    Everywhere,
+    Fleet,
     /// This proxy's own connections to the instances only.
-    Here,
+    Local,
 }
 
 /// Where the session's batches are currently sent.
@@ -41,7 +41,7 @@
 pub struct Lane {
     directory: sync::Arc<directory::Directory>,
     database: CompactString,
-    reach: Reach,
+    scope: Scope,
     target: Option<Target>,
     in_transaction: bool,
     /// Counts a peer's batch or open transaction as work in progress on this proxy.
@@ -53,11 +53,11 @@
 impl Lane {
     /// Creates a lane without an open transaction.
     #[must_use]
-    pub fn new(directory: sync::Arc<directory::Directory>, database: &str, reach: Reach) -> Self {
+    pub fn new(directory: sync::Arc<directory::Directory>, database: &str, scope: Scope) -> Self {
         Self {
             directory,
             database: database.into(),
-            reach,
+            scope,
             target: None,
             in_transaction: false,
             forwarded_guard: None,
@@ -65,12 +65,12 @@
     }
 
     async fn relay(&mut self, batch: batch::Batch) -> Answer {
-        if self.reach == Reach::Here {
+        if self.scope == Scope::Local {
             if !self.in_transaction && self.directory.draining() {
                 return Err(draining());
             }
             self.forwarded_guard
-                .get_or_insert_with(|| self.directory.enter());
+                .get_or_insert_with(|| self.directory.count_forwarded_work());
         }
         if !self.in_transaction {
             self.choose_target();
@@ -109,7 +109,7 @@
         let members = |entry: sync::Arc<entry::Entry>| entry.members.load().len();
         let no_members = self.directory.entry(&self.database).map_or(0, members) == 0;
         let direct = matches!(self.target, Some(Target::Direct(..)));
-        self.reach == Reach::Everywhere && no_members && !direct
+        self.scope == Scope::Fleet && no_members && !direct
     }
 
     fn choose_target(&mut self) {
@@ -117,9 +117,9 @@
             self.target = None;
             return;
         };
-        let local_only = self.reach == Reach::Here || entry.members.load().is_empty();
+        let local_only = self.scope == Scope::Local || entry.members.load().is_empty();
         let local = entry
-            .local()
+            .usable_runtime()
             .filter(|group| local_only || group.reachable());
         match (local, &self.target) {
             (Some(group), Some(Target::Direct(known, _))) if sync::Arc::ptr_eq(&group, known) => {}
@@ -128,7 +128,7 @@
                 self.target = Some(Target::Direct(group, lane));
             }
             (None, Some(Target::Forward(_))) => {}
-            (None, _) if self.reach == Reach::Here => self.target = None,
+            (None, _) if self.scope == Scope::Local => self.target = None,
             (None, _) => self.target = Some(Target::Forward(self.forward_lane())),
         }
     }
--- a/src/place.rs
+++ b/src/remote.rs
@@ -10,16 +10,16 @@
 use crate::resend;
 
 /// A session at a peer; dropping it closes the session at the peer.
-pub struct Place {
+pub struct Session {
     vm: id::Vm,
     address: net::SocketAddr,
     connection: sync::Arc<dial::Connection>,
-    session: peer::Session,
+    id: peer::Session,
     sequence: peer::Sequence,
     opened: bool,
 }
 
-impl Place {
+impl Session {
     /// Creates a session; the peer opens it with the first batch.
     #[must_use]
     pub fn new(
@@ -30,7 +30,7 @@
         Self {
             vm,
             address,
-            session: connection.session(),
+            id: connection.session(),
             connection,
             sequence: 0,
             opened: false,
@@ -45,7 +45,7 @@
 
     /// Whether the peer has this address and the connection to it is still alive.
     #[must_use]
-    pub fn is_at(&self, address: net::SocketAddr) -> bool {
+    pub fn is_connected_to(&self, address: net::SocketAddr) -> bool {
         self.address == address && self.connection.alive()
     }
 
@@ -60,7 +60,7 @@
         now: id::Time,
     ) -> resend::Attempt {
         let mut run = peer::Run::new(batch, now);
-        run.session = self.session;
+        run.session = self.id;
         run.open = (!self.opened).then(|| database.into());
         run.sequence = self.sequence;
         let first_run = !self.opened;
@@ -76,10 +76,10 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Session {
     fn drop(&mut self) {
         if self.opened {
-            self.connection.close(self.session);
+            self.connection.close(self.id);
         }
     }
 }
--- a/src/report.rs
+++ b/src/report.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records the revision in force. An earlier revision does not lower [`Self::revision`].
-    pub fn adopted(&self, revision: id::Revision) {
+    pub fn set_revision(&self, revision: id::Revision) {
         self.revision.fetch_max(revision, atomic::Ordering::AcqRel);
         metrics::gauge!(telemetry::CONFIG_REVISION).set(gauge_value(revision));
     }
--- a/src/resend.rs
+++ b/src/resend.rs
@@ -10,7 +10,7 @@
 use crate::reason;
 
 /// Delay before all members of a serving set are tried again.
-pub const PAUSE: time::Duration = time::Duration::from_millis(50);
+pub const ROUND_PAUSE: time::Duration = time::Duration::from_millis(50);
 
 /// Result of an attempt at one peer.
 pub type Attempt = Result<peer::Answer, dial::Failure>;
@@ -21,7 +21,7 @@
     /// The answer is final.
     Done(peer::Answer),
     /// Another member may be tried; if there is none, this outcome is final.
-    Next(outcome::Outcome),
+    TryNext(outcome::Outcome),
 }
 
 impl Verdict {
@@ -35,17 +35,19 @@
     /// let write = resend::Verdict::new(class::Class::Write, lost());
     /// assert!(matches!(write, resend::Verdict::Done(Err(_))));
     /// let read = resend::Verdict::new(class::Class::Read, lost());
-    /// assert!(matches!(read, resend::Verdict::Next(_)));
+    /// assert!(matches!(read, resend::Verdict::TryNext(_)));
     /// ```
     #[must_use]
     pub fn new(class: class::Class, attempt: Attempt) -> Self {
         let reads = matches!(class, class::Class::Read | class::Class::BeginRead);
         match attempt {
-            Ok(Err(outcome)) if allows_next_member(&outcome) => Self::Next(outcome),
+            Ok(Err(outcome)) if allows_next_member(&outcome) => Self::TryNext(outcome),
             Ok(answer) => Self::Done(answer),
-            Err(dial::Failure::Unsent) => Self::Next(no_server()),
-            Err(dial::Failure::Lost) if reads => Self::Next(unknown(dial::Failure::Lost)),
-            Err(failure) => Self::Done(Err(unknown(failure))),
+            Err(dial::Failure::Unsent) => Self::TryNext(no_server()),
+            Err(dial::Failure::Lost) if reads => {
+                Self::TryNext(unknown_outcome(dial::Failure::Lost))
+            }
+            Err(failure) => Self::Done(Err(unknown_outcome(failure))),
         }
     }
 }
@@ -55,11 +57,11 @@
 ///
 /// ```
 /// use mangotray::{dial, resend};
-/// assert!(resend::ended(&Err(dial::Failure::Lost)));
-/// assert!(resend::ended(&Ok(Err(resend::no_server()))));
+/// assert!(resend::session_ended(&Err(dial::Failure::Lost)));
+/// assert!(resend::session_ended(&Ok(Err(resend::no_server()))));
 /// ```
 #[must_use]
-pub fn ended(attempt: &Attempt) -> bool {
+pub fn session_ended(attempt: &Attempt) -> bool {
     match attempt {
         Ok(Err(outcome)) => is_refused_for(outcome, reason::Reason::NoServer),
         Ok(Ok(_)) => false,
@@ -84,13 +86,13 @@
     outcome::Outcome::NotRun {
         reason: reason::Reason::NoServer,
         detail: "no proxy that serves the group could be reached".into(),
-        retry: Some(PAUSE),
+        retry: Some(ROUND_PAUSE),
     }
 }
 
 /// Refusal of a batch whose transaction was lost with its connection.
 #[must_use]
-pub fn lost() -> outcome::Outcome {
+pub fn transaction_lost() -> outcome::Outcome {
     outcome::Outcome::NotRun {
         reason: reason::Reason::ConnectionLost,
         detail: "the transaction was lost with its connection and rolled back".into(),
@@ -100,7 +102,7 @@
 
 /// Outcome of a batch that was sent but not answered; it may have run.
 #[must_use]
-pub fn unknown(failure: dial::Failure) -> outcome::Outcome {
+pub fn unknown_outcome(failure: dial::Failure) -> outcome::Outcome {
     let (reason, detail) = match failure {
         dial::Failure::Expired => (reason::Reason::Deadline, "the peer did not answer in time"),
         dial::Failure::Lost | dial::Failure::Unsent => (
--- a/src/resend/tests.rs
+++ b/src/resend/tests.rs
@@ -1,6 +1,6 @@
 use assert_matches::assert_matches;
 
-use super::{Verdict, ended, unknown};
+use super::{Verdict, session_ended, unknown_outcome};
 use crate::class;
 use crate::dial;
 use crate::outcome;
@@ -24,21 +24,24 @@
 }
 
 #[test]
-fn what_was_never_sent_goes_to_the_next_member_as_not_run() {
+fn an_unsent_batch_goes_to_the_next_member_as_not_run() {
     for class in CLASSES {
         let verdict = Verdict::new(class, Err(dial::Failure::Unsent));
-        assert_matches!(verdict, Verdict::Next(outcome::Outcome::NotRun { .. }));
+        assert_matches!(verdict, Verdict::TryNext(outcome::Outcome::NotRun { .. }));
     }
 }
 
 #[test]
-fn what_was_sent_is_repeated_only_when_it_reads() {
+fn a_sent_batch_is_repeated_only_if_it_reads() {
     for class in CLASSES {
         let reads = matches!(class, class::Class::Read | class::Class::BeginRead);
         let verdict = Verdict::new(class, Err(dial::Failure::Lost));
-        assert_eq!(matches!(verdict, Verdict::Next(_)), reads, "{class:?}");
+        assert_eq!(matches!(verdict, Verdict::TryNext(_)), reads, "{class:?}");
         let verdict = Verdict::new(class, Err(dial::Failure::Expired));
-        assert_eq!(verdict, Verdict::Done(Err(unknown(dial::Failure::Expired))));
+        assert_eq!(
+            verdict,
+            Verdict::Done(Err(unknown_outcome(dial::Failure::Expired)))
+        );
     }
 }
 
@@ -46,7 +49,7 @@
 fn only_refusals_by_the_proxy_itself_go_to_the_next_member() {
     for reason in [reason::Reason::NoServer, reason::Reason::Draining] {
         let verdict = Verdict::new(class::Class::Write, Ok(Err(refusal(reason))));
-        assert_eq!(verdict, Verdict::Next(refusal(reason)));
+        assert_eq!(verdict, Verdict::TryNext(refusal(reason)));
     }
     for reason in [reason::Reason::NoPrimary, reason::Reason::Overload] {
         let verdict = Verdict::new(class::Class::Write, Ok(Err(refusal(reason))));
@@ -56,5 +59,5 @@
 
 #[test]
 fn a_draining_proxy_keeps_its_open_transactions() {
-    assert!(!ended(&Ok(Err(refusal(reason::Reason::Draining)))));
+    assert!(!session_ended(&Ok(Err(refusal(reason::Reason::Draining)))));
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -12,13 +12,13 @@
 use crate::reason;
 
 /// Number of first attempts that add one retry to the budget.
-pub const FIRSTS_PER_RETRY: u32 = 10;
+pub const FIRST_ATTEMPTS_PER_RETRY: u32 = 10;
 
 /// Maximum number of attempts for a request, including the first, whatever the budget allows.
 pub const MAX_ATTEMPTS: u32 = 4;
 
 /// Maximum number of retries that the budget holds.
-const BURST: u32 = 10;
+const MAX_HELD_RETRIES: u32 = 10;
 /// Retries per second that the budget gains regardless of the load; a nearly idle proxy could
 /// not retry otherwise.
 const MIN_RETRIES_PER_SECOND: u32 = 1;
@@ -32,10 +32,10 @@
 /// use std::time::Duration;
 /// use mangotray::retry;
 /// let mut budget = retry::Budget::new(Duration::ZERO);
-/// let allowed = (0..100).filter(|_| budget.spend(Duration::ZERO)).count();
+/// let allowed = (0..100).filter(|_| budget.take_retry(Duration::ZERO)).count();
 /// assert_eq!(allowed, 10);
-/// (0..20).for_each(|_| budget.first());
-/// assert!(budget.spend(Duration::ZERO));
+/// (0..20).for_each(|_| budget.record_first_attempt());
+/// assert!(budget.take_retry(Duration::ZERO));
 /// ```
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Budget {
@@ -50,27 +50,27 @@
     /// ```
     /// use std::time::Duration;
     /// let mut budget = mangotray::retry::Budget::new(Duration::ZERO);
-    /// assert!(budget.spend(Duration::ZERO));
+    /// assert!(budget.take_retry(Duration::ZERO));
     /// ```
     #[must_use]
     pub fn new(now: id::Time) -> Self {
         Self {
-            balance: BURST * FIRSTS_PER_RETRY,
+            balance: MAX_HELD_RETRIES * FIRST_ATTEMPTS_PER_RETRY,
             refilled: now,
         }
     }
 
     /// Adds the credit for a first attempt: a tenth of a retry.
-    pub fn first(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.deposit(1);
     }
 
     /// Takes one retry from the budget; `false` if none is left.
-    pub fn spend(&mut self, now: id::Time) -> bool {
+    pub fn take_retry(&mut self, now: id::Time) -> bool {
         self.refill(now);
-        let allowed = self.balance >= FIRSTS_PER_RETRY;
+        let allowed = self.balance >= FIRST_ATTEMPTS_PER_RETRY;
         if allowed {
-            self.balance -= FIRSTS_PER_RETRY;
+            self.balance -= FIRST_ATTEMPTS_PER_RETRY;
         }
         allowed
     }
@@ -80,24 +80,26 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// assert_eq!(mangotray::retry::Budget::bound(100, Duration::from_secs(5)), 25);
+    /// assert_eq!(mangotray::retry::Budget::max_retries(100, Duration::from_secs(5)), 25);
     /// ```
     #[must_use]
-    pub fn bound(firsts: u64, elapsed: time::Duration) -> u64 {
-        firsts / u64::from(FIRSTS_PER_RETRY)
-            + u64::from(BURST)
+    pub fn max_retries(firsts: u64, elapsed: time::Duration) -> u64 {
+        firsts / u64::from(FIRST_ATTEMPTS_PER_RETRY)
+            + u64::from(MAX_HELD_RETRIES)
             + u64::from(MIN_RETRIES_PER_SECOND) * elapsed.as_secs()
     }
 
     fn refill(&mut self, now: id::Time) {
         let seconds = now.saturating_sub(self.refilled).as_secs();
         self.refilled += time::Duration::from_secs(seconds);
-        let seconds = u32::try_from(seconds).unwrap_or(u32::MAX).min(BURST);
-        self.deposit(seconds * MIN_RETRIES_PER_SECOND * FIRSTS_PER_RETRY);
+        let seconds = u32::try_from(seconds)
+            .unwrap_or(u32::MAX)
+            .min(MAX_HELD_RETRIES);
+        self.deposit(seconds * MIN_RETRIES_PER_SECOND * FIRST_ATTEMPTS_PER_RETRY);
     }
 
     fn deposit(&mut self, tenths: u32) {
-        self.balance = (self.balance + tenths).min(BURST * FIRSTS_PER_RETRY);
+        self.balance = (self.balance + tenths).min(MAX_HELD_RETRIES * FIRST_ATTEMPTS_PER_RETRY);
     }
 }
 
@@ -107,7 +109,7 @@
 /// use mangotray::retry;
 /// let mut random = fastrand::Rng::with_seed(3);
 /// let mut backoff = retry::Backoff::default();
-/// assert!((0..50).all(|_| backoff.next(&mut random) <= retry::Backoff::CEILING));
+/// assert!((0..50).all(|_| backoff.next_delay(&mut random) <= retry::Backoff::MAX_DELAY));
 /// ```
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct Backoff {
@@ -117,23 +119,23 @@
 impl Default for Backoff {
     fn default() -> Self {
         Self {
-            previous: Self::BASE,
+            previous: Self::MIN_DELAY,
         }
     }
 }
 
 impl Backoff {
     /// Minimum delay.
-    pub const BASE: time::Duration = time::Duration::from_millis(5);
+    pub const MIN_DELAY: time::Duration = time::Duration::from_millis(5);
     /// Maximum delay.
-    pub const CEILING: time::Duration = time::Duration::from_millis(500);
-
-    /// Returns the next delay: random between `BASE` and three times the previous delay, and at
-    /// most `CEILING`.
-    pub fn next(&mut self, random: &mut fastrand::Rng) -> time::Duration {
-        let span = (self.previous * 3).saturating_sub(Self::BASE);
-        let pause = Self::BASE + span.mul_f64(random.f64());
-        self.previous = pause.min(Self::CEILING);
+    pub const MAX_DELAY: time::Duration = time::Duration::from_millis(500);
+
+    /// Returns the next delay: random between `MIN_DELAY` and three times the previous delay, and at
+    /// most `MAX_DELAY`.
+    pub fn next_delay(&mut self, random: &mut fastrand::Rng) -> time::Duration {
+        let span = (self.previous * 3).saturating_sub(Self::MIN_DELAY);
+        let pause = Self::MIN_DELAY + span.mul_f64(random.f64());
+        self.previous = pause.min(Self::MAX_DELAY);
         self.previous
     }
 }
@@ -209,8 +211,8 @@
         outcome::Outcome::NotRun { retry, .. } => retry.unwrap_or_default(),
         outcome::Outcome::Unknown { .. } => time::Duration::ZERO,
     };
-    let after = backoff.next(random).max(hint);
-    if now + after >= attempt.deadline || !budget.spend(now) {
+    let after = backoff.next_delay(random).max(hint);
+    if now + after >= attempt.deadline || !budget.take_retry(now) {
         return Decision::GiveUp;
     }
     Decision::Again { after }
--- a/src/retry/tests.rs
+++ b/src/retry/tests.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_overloaded_queue_is_not_asked_again() {
+fn an_overload_refusal_is_not_retried() {
     let outcome = not_run(reason::Reason::Overload);
     assert_eq!(
         decide(&attempt(class::Class::Read), &outcome),
@@ -143,7 +143,7 @@
         counts.sent += 1;
         if number == 1 {
             counts.firsts += 1;
-            budget.first();
+            budget.record_first_attempt();
         }
         if outage.contains(&now) {
             let attempt = retry::Attempt {
@@ -166,7 +166,7 @@
         } else {
             counts.served += 1;
         }
-        let bound = retry::Budget::bound(counts.firsts, now);
+        let bound = retry::Budget::max_retries(counts.firsts, now);
         assert!(counts.sent - counts.firsts <= bound, "at {now:?}");
     }
     println!(
--- a/src/revision.rs
+++ b/src/revision.rs
@@ -101,11 +101,11 @@
     /// let mut newer = revision::State::default();
     /// newer.offer(1, "a");
     /// let older = revision::State::default();
-    /// assert!(older.wants(&newer.digest()));
-    /// assert!(!newer.wants(&older.digest()));
+    /// assert!(older.is_older_than(&newer.digest()));
+    /// assert!(!newer.is_older_than(&older.digest()));
     /// ```
     #[must_use]
-    pub const fn wants(&self, digest: &Digest) -> bool {
+    pub const fn is_older_than(&self, digest: &Digest) -> bool {
         digest.revision > self.digest.revision
     }
 
@@ -115,11 +115,11 @@
     /// use mangotray::revision;
     /// let mut state = revision::State::default();
     /// state.offer(1, "a");
-    /// assert!(state.newer(&revision::Digest::default()).is_some());
-    /// assert!(state.newer(&state.digest()).is_none());
+    /// assert!(state.file_newer_than(&revision::Digest::default()).is_some());
+    /// assert!(state.file_newer_than(&state.digest()).is_none());
     /// ```
     #[must_use]
-    pub fn newer(&self, peer: &Digest) -> Option<&File> {
+    pub fn file_newer_than(&self, peer: &Digest) -> Option<&File> {
         self.file().filter(|file| file.revision > peer.revision)
     }
 }
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -23,7 +23,7 @@
 
 /// Age and checksum of a roster, which proxies exchange to compare their rosters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Mark {
+pub struct Digest {
     /// Time since the start of the store read that returned this roster.
     pub age: time::Duration,
     /// Checksum of the roster's content.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Update {
     /// Age and checksum of the roster.
-    pub mark: Mark,
+    pub mark: Digest,
     /// Content of the roster; `None` when the receiver already has it.
     pub content: Option<Roster>,
 }
@@ -93,7 +93,7 @@
     /// The `count` proxies with the highest scores for `key`, in descending order; the same on
     /// every proxy with the same roster.
     #[must_use]
-    pub fn first(&self, key: &str, count: usize) -> Vec<id::Vm> {
+    pub fn highest_ranked(&self, key: &str, count: usize) -> Vec<id::Vm> {
         let mut names: Vec<_> = self.records.keys().cloned().collect();
         names.sort_by_key(|vm| std::cmp::Reverse(placement::score(key, vm)));
         names.truncate(count);
--- a/src/route.rs
+++ b/src/route.rs
@@ -27,7 +27,7 @@
 /// Why an instance was chosen. The names appear in logs and are stable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum Reason {
     /// The request belongs to a transaction that is open on this instance.
     Pinned,
     /// The request may write, and writes go to the primary.
@@ -44,11 +44,11 @@
     Policy,
 }
 
-impl Why {
+impl Reason {
     /// Name used in logs.
     ///
     /// ```
-    /// assert_eq!(mangotray::route::Why::Sampled.name(), "sampled");
+    /// assert_eq!(mangotray::route::Reason::Sampled.name(), "sampled");
     /// ```
     #[must_use]
     pub fn name(self) -> &'static str {
--- a/src/runner.rs
+++ b/src/runner.rs
@@ -95,7 +95,7 @@
         let result = self.attempt(batch).await;
         let outcome = match &result {
             Ok(_) => "done",
-            Err(loss) => loss.kind(verdict, self.state),
+            Err(loss) => loss.outcome_label(verdict, self.state),
         };
         count(verdict.class, outcome);
         match result {
@@ -131,9 +131,9 @@
         let Some(lane) = &mut self.lane else {
             return Err(loss::Loss::NoDatabase(unknown_database(&self.database)));
         };
-        let _ = self.handle.clear();
+        let _ = self.handle.discard_pending();
         let canceled = async {
-            self.handle.canceled().await;
+            self.handle.wait().await;
             Err(loss::Loss::Canceled)
         };
         let run = async { lane.run(batch).await.map_err(loss::Loss::Outcome) };
--- a/src/seat.rs
+++ b/src/seat.rs
@@ -1,6 +1,6 @@
 //! Seats of a group: fixed shares of an instance's connection and statement limits.
 //!
-//! The number of seats is given by `placement::count` and does not depend on which VMs are
+//! The number of seats is given by `placement::serving_count` and does not depend on which VMs are
 //! live, and a seat has at most one user. The total use by all VMs therefore never exceeds an
 //! instance's limits, even when the VMs disagree on the membership.
 
@@ -29,7 +29,7 @@
 
 /// Limits that a seat grants its user at each instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Part {
+pub struct Limits {
     /// Maximum number of connections, including those for control calls.
     pub connections: usize,
     /// Number of these connections that are reserved for control calls.
@@ -81,15 +81,15 @@
 ///
 /// ```
 /// use mangotray::seat;
-/// let part = seat::part(20, 3, 3, 0);
+/// let part = seat::limits(20, 3, 3, 0);
 /// assert_eq!((part.connections, part.control, part.slots), (7, 1, 1));
-/// assert_eq!(seat::part(20, 3, 3, 2).connections, 6);
+/// assert_eq!(seat::limits(20, 3, 3, 2).connections, 6);
 /// ```
 #[must_use]
-pub fn part(connections: usize, slots: usize, seats: usize, seat: Index) -> Part {
+pub fn limits(connections: usize, slots: usize, seats: usize, seat: Index) -> Limits {
     let share = |limit: usize| limit / seats + usize::from(seat < limit % seats);
     let connections = share(connections);
-    Part {
+    Limits {
         connections,
         control: connections.saturating_sub(1).min(1),
         slots: share(slots),
--- a/src/seat/tests.rs
+++ b/src/seat/tests.rs
@@ -16,11 +16,11 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn parts_add_up_and_each_can_work(connections in 2..200_usize, slots in 1..20_usize) {
-        let seats = placement::count(connections, slots);
-        let parts: Vec<_> = (0..seats).map(|seat| seat::part(connections, slots, seats, seat)).collect();
-        prop_assert_eq!(parts.iter().map(|part| part.connections).sum::<usize>(), connections);
-        prop_assert_eq!(parts.iter().map(|part| part.slots).sum::<usize>(), slots);
-        prop_assert!(parts.iter().all(|part| part.slots > 0 && part.connections > part.control));
+    fn limits_of_seats_add_up_and_each_seat_is_usable(connections in 2..200_usize, slots in 1..20_usize) {
+        let seats = placement::serving_count(connections, slots);
+        let limits: Vec<_> = (0..seats).map(|seat| seat::limits(connections, slots, seats, seat)).collect();
+        prop_assert_eq!(limits.iter().map(|limit| limit.connections).sum::<usize>(), connections);
+        prop_assert_eq!(limits.iter().map(|limit| limit.slots).sum::<usize>(), slots);
+        prop_assert!(limits.iter().all(|limit| limit.slots > 0 && limit.connections > limit.control));
     }
 }
--- a/src/session.rs
+++ b/src/session.rs
@@ -48,7 +48,7 @@
 /// What all sessions of a process share.
 pub struct Context {
     /// Opens lanes to the database groups.
-    pub switch: sync::Arc<dyn lane::Switch>,
+    pub switch: sync::Arc<dyn lane::Factory>,
     /// Source of time.
     pub clock: sync::Arc<dyn clock::Clock>,
     /// Sessions that can be canceled.
@@ -66,7 +66,7 @@
     /// A context with nothing registered yet.
     #[must_use]
     pub fn new(
-        switch: sync::Arc<dyn lane::Switch>,
+        switch: sync::Arc<dyn lane::Factory>,
         clock: sync::Arc<dyn clock::Clock>,
         limits: Limits,
         drain: drain::Signal,
--- a/src/share.rs
+++ b/src/share.rs
@@ -37,12 +37,12 @@
         /// The complete new record.
         seats: Vec<seat::Seat>,
     },
-    /// Check at the store whether this owner's lease is gone; if so, call [`Book::gone`].
+    /// Check at the store whether this owner's lease is gone; if so, call [`View::record_lease_end`].
     Check {
         /// Entry of the owner to check.
         owner: seat::Seat,
     },
-    /// Start no new work on the seat; call [`Book::drained`] when its connections are closed.
+    /// Start no new work on the seat; call [`View::record_drained`] when its connections are closed.
     Drain {
         /// The seat to return.
         seat: seat::Index,
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum Phase {
     Held,
     Draining,
     /// No longer used by this VM; the record still names it as the owner.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 struct OwnSeat {
     usable_from: id::Time,
-    stage: Stage,
+    phase: Phase,
 }
 
 /// A proposal that may take effect at the store, including one whose call got no answer.
@@ -77,16 +77,16 @@
 /// use mangotray::{grant, share};
 /// let limits = grant::Limits::default();
 /// let grants = [grant::Grant::new("l1".into(), Duration::ZERO, limits.clone())];
-/// let mut book = share::Book::new("entry-1".into(), 7, 3, limits);
-/// book.read(0, Vec::new(), Duration::ZERO);
-/// let step = book.decide(Duration::ZERO, 1, &[], &"l1".into());
+/// let mut view = share::View::new("entry-1".into(), 7, 3, limits);
+/// view.apply_record(0, Vec::new(), Duration::ZERO);
+/// let step = view.next_step(Duration::ZERO, 1, &[], &"l1".into());
 /// let share::Step::Propose { seats, .. } = step else { panic!("no proposal") };
-/// book.read(1, seats, Duration::ZERO);
-/// let until = book.until(0, Duration::ZERO, &grants);
+/// view.apply_record(1, seats, Duration::ZERO);
+/// let until = view.usable_until(0, Duration::ZERO, &grants);
 /// assert_eq!(until, Some(Duration::from_millis(9_300)));
 /// ```
 #[derive(Debug)]
-pub struct Book {
+pub struct View {
     vm: id::Vm,
     incarnation: id::Incarnation,
     seat_count: usize,
@@ -98,13 +98,13 @@
     suspects: collections::HashMap<store::Lease, suspect::Suspect>,
 }
 
-impl Book {
-    /// Creates the book of a group with `seat_count` seats, before the first read of the record.
+impl View {
+    /// Creates the view of a group with `seat_count` seats, before the first read of the record.
     ///
     /// ```
     /// let limits = mangotray::grant::Limits::default();
-    /// let book = mangotray::share::Book::new("entry-1".into(), 7, 3, limits);
-    /// assert_eq!(book.held().count(), 0);
+    /// let view = mangotray::share::View::new("entry-1".into(), 7, 3, limits);
+    /// assert_eq!(view.held_seats().count(), 0);
     /// ```
     #[must_use]
     pub fn new(
@@ -127,7 +127,12 @@
     }
 
     /// Applies a record read from the store; a version older than the known one is ignored.
-    pub fn read(&mut self, version: store::Version, record: Vec<seat::Seat>, now: id::Time) {
+    pub fn apply_record(
+        &mut self,
+        version: store::Version,
+        record: Vec<seat::Seat>,
+        now: id::Time,
+    ) {
         if Some(version) < self.version {
             return;
         }
@@ -141,7 +146,7 @@
             let usable_from = self.usable_from(seat, now);
             self.own_seats.entry(seat).or_insert(OwnSeat {
                 usable_from,
-                stage: Stage::Held,
+                phase: Phase::Held,
             });
         }
         self.suspects
@@ -154,46 +159,46 @@
     }
 
     /// Records that another owner's lease was found gone, by an answer received at `answered`.
-    pub fn gone(&mut self, lease: &store::Lease, answered: id::Time) {
+    pub fn record_lease_end(&mut self, lease: &store::Lease, answered: id::Time) {
         self.suspects
             .entry(lease.clone())
             .or_insert_with(|| suspect::Suspect::new(answered));
     }
 
     /// Records the report of a witness that was requested at `asked`.
-    pub fn report(&mut self, vm: &id::Vm, asked: id::Time, report: witness::Report) {
+    pub fn record_report(&mut self, vm: &id::Vm, asked: id::Time, report: witness::Report) {
         let Some(contact) = asked.checked_sub(self.limits.stretch(report.silent)) else {
             return;
         };
         if report.contacted {
             for suspect in self.suspects.values_mut() {
-                suspect.contact(vm, contact);
+                suspect.record_contact(vm, contact);
             }
         }
     }
 
     /// Records that the platform has destroyed a VM, which will send no further reports. Call it
-    /// before each `decide`: it applies only to the leases that were found gone so far.
-    pub fn destroyed(&mut self, vm: &id::Vm) {
+    /// before each `next_step`: it applies only to the leases that were found gone so far.
+    pub fn record_destroyed(&mut self, vm: &id::Vm) {
         for suspect in self.suspects.values_mut() {
-            suspect.destroyed(vm);
+            suspect.record_destroyed(vm);
         }
     }
 
     /// Records that this VM no longer uses a seat that it was told to drain.
-    pub fn drained(&mut self, seat: seat::Index) {
+    pub fn record_drained(&mut self, seat: seat::Index) {
         if let Some(own_seat) = self.own_seats.get_mut(&seat)
-            && own_seat.stage == Stage::Draining
+            && own_seat.phase == Phase::Draining
         {
-            own_seat.stage = Stage::Drained;
+            own_seat.phase = Phase::Drained;
         }
     }
 
     /// Seats that this VM owns according to the record and is not about to return.
-    pub fn held(&self) -> impl Iterator<Item = seat::Index> + '_ {
+    pub fn held_seats(&self) -> impl Iterator<Item = seat::Index> + '_ {
         self.own_seats
             .iter()
-            .filter(|(_, own_seat)| own_seat.stage == Stage::Held)
+            .filter(|(_, own_seat)| own_seat.phase == Phase::Held)
             .map(|(seat, _)| *seat)
     }
 
@@ -201,14 +206,14 @@
     ///
     /// ```
     /// let limits = mangotray::grant::Limits::default();
-    /// assert!(mangotray::share::Book::new("entry-1".into(), 7, 3, limits).is_empty());
+    /// assert!(mangotray::share::View::new("entry-1".into(), 7, 3, limits).is_empty());
     /// ```
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.own_seats.is_empty()
     }
 
-    /// VMs whose reports this book needs; to be polled during an outage of the store and while
+    /// VMs whose reports this view needs; to be polled during an outage of the store and while
     /// another owner's lease is gone.
     #[must_use]
     pub fn witnesses(&self) -> collections::BTreeSet<id::Vm> {
@@ -224,14 +229,14 @@
     /// Time until which a seat may be used, or `None` if it may not be used at `now`. Its
     /// connections must be closed by then. Call it again after each renewal, report and read.
     #[must_use]
-    pub fn until(
+    pub fn usable_until(
         &self,
         seat: seat::Index,
         now: id::Time,
         grants: &[grant::Grant],
     ) -> Option<id::Time> {
         let own_seat = self.own_seats.get(&seat)?;
-        if own_seat.stage == Stage::Drained || now < own_seat.usable_from {
+        if own_seat.phase == Phase::Drained || now < own_seat.usable_from {
             return None;
         }
         // A claimant may have read the known entry or one of the proposed ones, so the seat is
@@ -242,7 +247,7 @@
             .iter()
             .chain(proposed)
             .filter(|entry| entry.seat == seat && self.owns(entry))
-            .map(|entry| usable_until(entry, grants))
+            .map(|entry| entry_usable_until(entry, grants))
             .min()
             .flatten()?;
         (now < until).then_some(until)
@@ -250,7 +255,7 @@
 
     /// Returns the next step of a VM that should hold `wanted` seats. Its entries are kept up
     /// to date with its newest `lease` and with `witnesses`.
-    pub fn decide(
+    pub fn next_step(
         &mut self,
         now: id::Time,
         wanted: usize,
@@ -269,7 +274,7 @@
         if let Some(seat) = stale.map(|entry| entry.seat) {
             return self.propose(seat, now, witnesses, lease);
         }
-        let held = self.held().count();
+        let held = self.held_seats().count();
         if held > wanted {
             return self.drain();
         }
@@ -299,7 +304,7 @@
     fn returnable_seat(&self, now: id::Time) -> Option<seat::Index> {
         self.own_seats
             .iter()
-            .find(|(_, own_seat)| own_seat.stage == Stage::Drained && own_seat.usable_from <= now)
+            .find(|(_, own_seat)| own_seat.phase == Phase::Drained && own_seat.usable_from <= now)
             .map(|(seat, _)| *seat)
     }
 
@@ -312,11 +317,11 @@
     }
 
     fn drain(&mut self) -> Step {
-        let Some(seat) = self.held().max() else {
+        let Some(seat) = self.held_seats().max() else {
             return Step::Idle;
         };
         if let Some(own_seat) = self.own_seats.get_mut(&seat) {
-            own_seat.stage = Stage::Draining;
+            own_seat.phase = Phase::Draining;
         }
         Step::Drain { seat }
     }
@@ -329,7 +334,7 @@
         let foreign = |entry: &&seat::Seat| !self.owns(entry);
         let lapsed = |entry: &&seat::Seat| {
             let suspect = self.suspects.get(&entry.lease);
-            suspect.is_some_and(|suspect| suspect.stops(&entry.witnesses))
+            suspect.is_some_and(|suspect| suspect.owner_stops(&entry.witnesses))
         };
         let lapsed = self.record.iter().filter(foreign).find(lapsed);
         if let Some(seat) = lapsed.map(|entry| entry.seat) {
@@ -385,11 +390,11 @@
     }
 }
 
-fn usable_until(entry: &seat::Seat, grants: &[grant::Grant]) -> Option<id::Time> {
+fn entry_usable_until(entry: &seat::Seat, grants: &[grant::Grant]) -> Option<id::Time> {
     grants
         .iter()
         .find(|grant| *grant.lease() == entry.lease)
-        .map(|grant| grant.until(&entry.witnesses))
+        .map(|grant| grant.usable_until(&entry.witnesses))
 }
 
 #[cfg(test)]
