--- a/src/share/tests/world.rs
+++ b/src/share/tests/simulation.rs
@@ -92,7 +92,7 @@
     on_store_side: bool,
     paused_until: u64,
     witness: witness::Witness,
-    book: share::Book,
+    view: share::View,
     grants: Vec<grant::Grant>,
     lease: Option<store::Lease>,
     wanted: usize,
@@ -112,7 +112,7 @@
     pub conflicts: u64,
 }
 
-pub struct World {
+pub struct Simulation {
     random: fastrand::Rng,
     mutation: Mutation,
     now: u64,
@@ -128,7 +128,7 @@
     grant::Limits::default()
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, mutation: Mutation) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let store = Store {
@@ -146,7 +146,7 @@
                 on_store_side: true,
                 paused_until: 0,
                 witness: witness::Witness::new(time::Duration::ZERO),
-                book: book(number, 1, mutation),
+                view: view(number, 1, mutation),
                 grants: Vec::new(),
                 lease: None,
                 wanted: usize::from(number < CLAIMANTS),
@@ -215,7 +215,7 @@
         let vm = &mut self.vms[number];
         vm.incarnation += 1;
         vm.witness = witness::Witness::new(now);
-        vm.book = book(number, vm.incarnation, mutation);
+        vm.view = view(number, vm.incarnation, mutation);
         vm.grants.clear();
         vm.lease = None;
         vm.using.clear();
@@ -250,7 +250,7 @@
         self.count();
     }
 
-    fn ask(&mut self, number: usize, body: Request) {
+    fn send_request(&mut self, number: usize, body: Request) {
         let due = self.now + self.delay();
         let incarnation = self.vms[number].incarnation;
         self.requests.push(Message {
@@ -261,7 +261,7 @@
         });
     }
 
-    fn answer(&mut self, vm: usize, incarnation: u64, body: Answer) {
+    fn send_answer(&mut self, vm: usize, incarnation: u64, body: Answer) {
         if self.random.u64(0..10) == 0 {
             return;
         }
@@ -284,7 +284,7 @@
             if self.store.up && self.vms[message.vm].on_store_side {
                 let answer = self.store.serve(message.vm, now, message.body);
                 if let Some(answer) = answer {
-                    self.answer(message.vm, message.incarnation, answer);
+                    self.send_answer(message.vm, message.incarnation, answer);
                 }
             }
         }
@@ -307,7 +307,7 @@
         let now = self.local(number);
         if self.now / STEP_MS % 15 < 5 {
             let lease = self.vms[number].lease.clone();
-            self.ask(
+            self.send_request(
                 number,
                 match lease {
                     Some(lease) => Request::Renew { lease, sent: now },
@@ -317,7 +317,7 @@
         }
         self.poll_peers(number, now);
         if number < CLAIMANTS {
-            self.ask(number, Request::Read);
+            self.send_request(number, Request::Read);
             self.decide(number, now);
         }
     }
@@ -334,7 +334,7 @@
             let late = time::Duration::from_millis(self.random.u64(0..500));
             let asked = now.saturating_sub(late);
             let incarnation = self.vms[number].incarnation;
-            self.answer(number, incarnation, Answer::Report { vm, asked, report });
+            self.send_answer(number, incarnation, Answer::Report { vm, asked, report });
         }
     }
 
@@ -349,18 +349,20 @@
         let vm = &mut self.vms[number];
         if self.mutation == Mutation::NoWitness {
             for name in &names {
-                vm.book.destroyed(name);
+                vm.view.record_destroyed(name);
             }
         }
         let Some(lease) = vm.lease.clone() else {
             return;
         };
-        match vm.book.decide(now, vm.wanted, &witnesses, &lease) {
+        match vm.view.next_step(now, vm.wanted, &witnesses, &lease) {
             share::Step::Idle => {}
             share::Step::Drain { seat } => vm.draining.push(seat),
-            share::Step::Check { owner } => self.ask(number, Request::Check { lease: owner.lease }),
+            share::Step::Check { owner } => {
+                self.send_request(number, Request::Check { lease: owner.lease });
+            }
             share::Step::Propose { expect, seats } => {
-                self.ask(number, Request::Swap { expect, seats });
+                self.send_request(number, Request::Swap { expect, seats });
             }
         }
     }
@@ -380,12 +382,12 @@
         let vm = &mut self.vms[number];
         let drained: Vec<seat::Index> = vm.draining.drain(..).collect();
         for seat in &drained {
-            vm.book.drained(*seat);
+            vm.view.record_drained(*seat);
         }
         self.tally.returns += drained.len() as u64;
         vm.using = (0..SEATS)
             .filter(|seat| {
-                let allowed = vm.book.until(*seat, now, &vm.grants).is_some();
+                let allowed = vm.view.usable_until(*seat, now, &vm.grants).is_some();
                 let kept = mutation == Mutation::ReachableMajority
                     && vm.keeps_with_reachable(*seat, now, &reachable);
                 allowed || kept
@@ -413,13 +415,13 @@
     fn handle(&mut self, answer: Answer, now: id::Time, mutation: Mutation, tally: &mut Tally) {
         match answer {
             Answer::Granted { lease, sent } => {
-                self.witness.contact(now);
+                self.witness.record_contact(now);
                 self.grants
                     .push(grant::Grant::new(lease.clone(), sent, limits()));
                 self.lease = Some(lease);
             }
             Answer::Renewed { lease, sent } => {
-                self.witness.contact(now);
+                self.witness.record_contact(now);
                 let counted = if mutation == Mutation::RenewalFromAnswer {
                     now
                 } else {
@@ -428,24 +430,24 @@
                 let renewed = |grant: &&mut grant::Grant| *grant.lease() == lease;
                 let known = self.grants.iter_mut().find(renewed);
                 if let Some(grant) = known {
-                    grant.renewed(counted);
+                    grant.record_renewal(counted);
                 }
             }
             Answer::Lost { lease } => {
-                self.witness.contact(now);
+                self.witness.record_contact(now);
                 self.lease = self.lease.take().filter(|current| *current != lease);
             }
             Answer::Record { version, seats } => {
-                let before = self.book.held().count();
-                self.book.read(version, seats, now);
-                tally.takeovers += u64::from(self.book.held().count() > before);
+                let before = self.view.held_seats().count();
+                self.view.apply_record(version, seats, now);
+                tally.takeovers += u64::from(self.view.held_seats().count() > before);
             }
-            Answer::Gone { lease } => self.book.gone(&lease, now),
+            Answer::Gone { lease } => self.view.record_lease_end(&lease, now),
             Answer::Report { vm, asked, report } => {
-                self.book.report(&vm, asked, report);
+                self.view.record_report(&vm, asked, report);
                 self.grants
                     .iter_mut()
-                    .for_each(|grant| grant.report(&vm, asked, now, report));
+                    .for_each(|grant| grant.record_report(&vm, asked, now, report));
             }
         }
     }
@@ -453,8 +455,8 @@
     /// Rule of `ReachableMajority`: a seat stays in use while a majority of the reachable VMs
     /// reports no contact with the store.
     fn keeps_with_reachable(&self, seat: seat::Index, now: id::Time, reachable: &[id::Vm]) -> bool {
-        let used = self.using.contains(&seat) && self.book.held().any(|held| held == seat);
-        let until = |grant: &grant::Grant| grant.until(reachable);
+        let used = self.using.contains(&seat) && self.view.held_seats().any(|held| held == seat);
+        let until = |grant: &grant::Grant| grant.usable_until(reachable);
         used && self.grants.iter().map(until).max() > Some(now)
     }
 }
@@ -497,12 +499,12 @@
     }
 }
 
-fn book(number: usize, incarnation: u64, mutation: Mutation) -> share::Book {
+fn view(number: usize, incarnation: u64, mutation: Mutation) -> share::View {
     let mut limits = limits();
     if mutation == Mutation::NoGuard {
         limits.guard = time::Duration::ZERO;
     }
-    share::Book::new(format!("vm-{number}").into(), incarnation, SEATS, limits)
+    share::View::new(format!("vm-{number}").into(), incarnation, SEATS, limits)
 }
 
 fn rate(random: &mut fastrand::Rng) -> u32 {
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -217,7 +217,7 @@
     /// Expected service time; `None` if the ticket no longer waits.
     fn service_if_waiting(&self, number: id::Request) -> Option<time::Duration> {
         let state = self.lock();
-        let service = state.queue.service().unwrap_or_default();
+        let service = state.queue.average_service_time().unwrap_or_default();
         state.waiters.contains_key(&number).then_some(service)
     }
 
--- a/src/slots/tests.rs
+++ b/src/slots/tests.rs
@@ -90,7 +90,7 @@
 /// waits, or after its slot was granted and before its task is polled, and the slot is never
 /// released.
 #[test]
-fn a_caller_that_goes_away_leaves_no_slot_behind() {
+fn a_caller_that_disconnects_leaks_no_slot() {
     let (slots, _) = setup(1);
     async_io::block_on(async {
         let held = slots.acquire(write()).await.unwrap();
--- a/src/spread.rs
+++ b/src/spread.rs
@@ -21,34 +21,34 @@
 use crate::revision;
 
 /// Number of nodes that watch the store; two of them may be dead or cut off.
-pub const WATCHERS: usize = 3;
+pub const WATCHER_COUNT: usize = 3;
 
 /// Number of children in the push tree that a node sends a new revision to.
 pub const FANOUT: usize = 8;
 
 /// Time after which a watch at the store returns without a change.
-pub const WAIT: time::Duration = time::Duration::from_secs(5);
+pub const WATCH_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// Time between two exchanges that a node starts.
-pub const INTERVAL: time::Duration = time::Duration::from_secs(1);
+pub const EXCHANGE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Time without contact with the store, direct or through peers, after which a node reads the
 /// store itself; jitter extends it to at most twice this time. It exceeds the duration of a watch
 /// plus the exchange rounds that carry its result through a large fleet.
-pub const SILENCE: time::Duration = time::Duration::from_secs(20);
+pub const MAX_STORE_SILENCE: time::Duration = time::Duration::from_secs(20);
 
-/// Number of steps of the jitter that is added to `SILENCE`.
+/// Number of steps of the jitter that is added to `MAX_STORE_SILENCE`.
 const JITTER_STEPS: u32 = 1_000;
 
 /// Duration of one jitter step.
-const JITTER_STEP: time::Duration = SILENCE.checked_div(JITTER_STEPS).unwrap();
+const JITTER_STEP: time::Duration = MAX_STORE_SILENCE.checked_div(JITTER_STEPS).unwrap();
 
 /// An action that the caller carries out for a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the newest file to this VM.
     Push(id::Vm),
-    /// Send the node's report to this VM and pass the answer to [`Node::answered`].
+    /// Send the node's report to this VM and pass the answer to [`Node::handle_answer`].
     Exchange(id::Vm),
     /// Read the file from the store.
     Read,
@@ -79,7 +79,7 @@
     vm: id::Vm,
     state: revision::State,
     /// Time of the last known answer of the store, to this node or to another one.
-    store_heard_at: id::Time,
+    store_contact_at: id::Time,
     /// Time of this node's last attempt to read the store.
     read_attempted_at: id::Time,
     round: u64,
@@ -92,7 +92,7 @@
         Self {
             vm,
             state: revision::State::default(),
-            store_heard_at: now,
+            store_contact_at: now,
             read_attempted_at: now,
             round: 0,
         }
@@ -109,19 +109,19 @@
     pub fn report(&self, now: id::Time) -> Report {
         Report {
             digest: self.state.digest(),
-            age: now.saturating_sub(self.store_heard_at),
+            age: now.saturating_sub(self.store_contact_at),
         }
     }
 
     /// Handles the store's answer to a watch or a read.
-    pub fn heard(
+    pub fn handle_store_answer(
         &mut self,
         file: Option<&revision::File>,
         now: id::Time,
         live: &[id::Vm],
     ) -> Vec<Action> {
-        self.store_heard_at = now;
-        file.map_or_else(Vec::new, |file| self.learn(file, live))
+        self.store_contact_at = now;
+        file.map_or_else(Vec::new, |file| self.handle_file(file, live))
     }
 
     /// Handles a file from the store or a peer; a newer file is adopted and pushed to the node's
@@ -133,10 +133,10 @@
     /// let live = ["a".into(), "b".into()];
     /// let mut node = spread::Node::new("a".into(), time::Duration::ZERO);
     /// let file = revision::File { revision: 1, text: "x".into() };
-    /// assert_eq!(node.learn(&file, &live), [spread::Action::Push("b".into())]);
-    /// assert!(node.learn(&file, &live).is_empty());
+    /// assert_eq!(node.handle_file(&file, &live), [spread::Action::Push("b".into())]);
+    /// assert!(node.handle_file(&file, &live).is_empty());
     /// ```
-    pub fn learn(&mut self, file: &revision::File, live: &[id::Vm]) -> Vec<Action> {
+    pub fn handle_file(&mut self, file: &revision::File, live: &[id::Vm]) -> Vec<Action> {
         match self.state.offer(file.revision, &file.text) {
             revision::Offer::Adopted => {}
             revision::Offer::Conflict => {
@@ -157,16 +157,16 @@
     }
 
     /// Answers a peer's report.
-    pub fn asked(&mut self, report: &Report, now: id::Time) -> Answer {
+    pub fn answer_report(&mut self, report: &Report, now: id::Time) -> Answer {
         self.record_contact(report, now);
         Answer {
             report: self.report(now),
-            file: self.state.newer(&report.digest).cloned(),
+            file: self.state.file_newer_than(&report.digest).cloned(),
         }
     }
 
     /// Handles the answer of `peer` to an exchange. A peer with an older file is sent this node's.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         peer: &id::Vm,
         answer: &Answer,
@@ -174,16 +174,16 @@
         live: &[id::Vm],
     ) -> Vec<Action> {
         self.record_contact(&answer.report, now);
-        if self.state.newer(&answer.report.digest).is_some() {
+        if self.state.file_newer_than(&answer.report.digest).is_some() {
             return vec![Action::Push(peer.clone())];
         }
         answer
             .file
             .as_ref()
-            .map_or_else(Vec::new, |file| self.learn(file, live))
+            .map_or_else(Vec::new, |file| self.handle_file(file, live))
     }
 
-    /// Returns the actions that are due at `now`; to be called once per [`INTERVAL`].
+    /// Returns the actions that are due at `now`; to be called once per [`EXCHANGE_INTERVAL`].
     ///
     /// ```
     /// use std::time;
@@ -192,15 +192,15 @@
     /// let mut node = spread::Node::new("a".into(), time::Duration::ZERO);
     /// let actions = node.tick(time::Duration::ZERO, &live);
     /// assert_eq!(actions, [spread::Action::Exchange("b".into())]);
-    /// let late = spread::SILENCE * 2;
+    /// let late = spread::MAX_STORE_SILENCE * 2;
     /// assert!(node.tick(late, &live).contains(&spread::Action::Read));
     /// ```
     pub fn tick(&mut self, now: id::Time, live: &[id::Vm]) -> Vec<Action> {
         self.round += 1;
         let exchange = partner(&self.vm, live, self.round).map(Action::Exchange);
-        let read = silent(
+        let read = should_read(
             &self.vm,
-            self.store_heard_at.max(self.read_attempted_at),
+            self.store_contact_at.max(self.read_attempted_at),
             now,
         )
         .then_some(Action::Read);
@@ -212,7 +212,7 @@
     }
 
     fn record_contact(&mut self, report: &Report, now: id::Time) {
-        self.store_heard_at = self.store_heard_at.max(now.saturating_sub(report.age));
+        self.store_contact_at = self.store_contact_at.max(now.saturating_sub(report.age));
     }
 }
 
@@ -226,7 +226,7 @@
 pub fn watchers(live: &[id::Vm]) -> Vec<id::Vm> {
     ranked("config/watch", live)
         .into_iter()
-        .take(WATCHERS)
+        .take(WATCHER_COUNT)
         .cloned()
         .collect()
 }
@@ -287,14 +287,14 @@
 /// use std::time;
 /// use mangotray::spread;
 /// let vm = "a".into();
-/// assert!(!spread::silent(&vm, time::Duration::ZERO, spread::SILENCE / 2));
-/// assert!(spread::silent(&vm, time::Duration::ZERO, spread::SILENCE * 2));
+/// assert!(!spread::should_read(&vm, time::Duration::ZERO, spread::MAX_STORE_SILENCE / 2));
+/// assert!(spread::should_read(&vm, time::Duration::ZERO, spread::MAX_STORE_SILENCE * 2));
 /// ```
 #[must_use]
-pub fn silent(vm: &id::Vm, since: id::Time, now: id::Time) -> bool {
+pub fn should_read(vm: &id::Vm, since: id::Time, now: id::Time) -> bool {
     let key = format_compact!("config/silence/{}", since.as_millis());
     let step = remainder(placement::score(&key, vm), JITTER_STEPS).unwrap_or_default();
-    now >= since + SILENCE + JITTER_STEP * step
+    now >= since + MAX_STORE_SILENCE + JITTER_STEP * step
 }
 
 /// Remainder of `score` divided by `count`; `None` if `count` is zero.
--- a/src/spread/tests.rs
+++ b/src/spread/tests.rs
@@ -77,7 +77,7 @@
         }
         for vm in spread::watchers(&network.live) {
             let node = network.index_of(&vm);
-            network.schedule(spread::WAIT, node, Message::Watch);
+            network.schedule(spread::WATCH_TIMEOUT, node, Message::Watch);
         }
         network
     }
@@ -135,29 +135,29 @@
         let before = self.nodes[node].state().digest().revision;
         let actions = match message {
             Message::Tick => {
-                self.schedule(now + spread::INTERVAL, node, Message::Tick);
+                self.schedule(now + spread::EXCHANGE_INTERVAL, node, Message::Tick);
                 self.nodes[node].tick(now, &live)
             }
             Message::Watch => {
-                self.schedule(now + spread::WAIT, node, Message::Watch);
+                self.schedule(now + spread::WATCH_TIMEOUT, node, Message::Watch);
                 if self.watching {
                     self.send(now, node, Message::Store);
                 }
                 Vec::new()
             }
-            Message::Push(file) => self.nodes[node].learn(&file, &live),
+            Message::Push(file) => self.nodes[node].handle_file(&file, &live),
             Message::Store => match self.store.clone() {
-                Some(file) => self.nodes[node].heard(Some(&file), now, &live),
+                Some(file) => self.nodes[node].handle_store_answer(Some(&file), now, &live),
                 None => Vec::new(),
             },
             Message::Report(from, report) => {
-                let answer = self.nodes[node].asked(&report, now);
+                let answer = self.nodes[node].answer_report(&report, now);
                 self.send(now, from, Message::Answer(node, answer));
                 Vec::new()
             }
             Message::Answer(from, answer) => {
                 let peer = live[from].clone();
-                self.nodes[node].answered(&peer, &answer, now, &live)
+                self.nodes[node].handle_answer(&peer, &answer, now, &live)
             }
         };
         assert!(self.nodes[node].state().digest().revision >= before);
@@ -212,7 +212,7 @@
     network.run(ms(10_000));
     network.watching = false;
     network.apply(2, ms(10_000));
-    network.run(ms(10_000) + spread::SILENCE * 2);
+    network.run(ms(10_000) + spread::MAX_STORE_SILENCE * 2);
     assert_eq!(network.count_behind(2), 0);
     // The first reads make those of most other nodes unnecessary.
     let reads = usize::try_from(network.reads).unwrap();
@@ -222,13 +222,13 @@
 // Guards against a VM that starts during an outage of the platform and never serves. The store
 // does not answer, but the node's peers hold the file and have to supply it.
 #[test]
-fn a_node_that_starts_in_an_outage_learns_from_a_peer() {
+fn a_node_that_starts_in_an_outage_gets_the_file_from_a_peer() {
     let mut network = Network::new(8, 0.0, 1);
     network.apply(3, ms(0));
     network.run(ms(2_000));
     network.store = None;
     network.nodes[5] = spread::Node::new(network.live[5].clone(), ms(2_000));
-    network.run(ms(2_000) + spread::INTERVAL * 2);
+    network.run(ms(2_000) + spread::EXCHANGE_INTERVAL * 2);
     assert_eq!(network.count_behind(3), 0);
 }
 
@@ -250,14 +250,14 @@
         .iter()
         .map(|vm| spread::targets(vm, &live, 7).len())
         .max();
-    assert!(most <= Some(spread::FANOUT + spread::WATCHERS - 1));
+    assert!(most <= Some(spread::FANOUT + spread::WATCHER_COUNT - 1));
 }
 
 #[test]
-fn few_watch_and_most_keep_watching_when_vms_come_and_go() {
+fn watchers_are_few_and_mostly_stay_when_vms_come_and_go() {
     let live = fleet(NODES);
     let watchers = spread::watchers(&live);
-    assert_eq!(watchers.len(), spread::WATCHERS);
+    assert_eq!(watchers.len(), spread::WATCHER_COUNT);
     let rest: Vec<id::Vm> = live.into_iter().filter(|vm| *vm != watchers[0]).collect();
     assert_eq!(spread::watchers(&rest)[..2], watchers[1..]);
 }
@@ -265,9 +265,9 @@
 // Guards against overload of the store: the call rate is derived from the nodes' decisions, both
 // in normal operation and with all nodes cut off from each other.
 #[test]
-fn the_store_is_spared() {
+fn the_store_is_not_overloaded() {
     let live = fleet(NODES);
-    let per_watch = 1.0 / spread::WAIT.as_secs_f64();
+    let per_watch = 1.0 / spread::WATCH_TIMEOUT.as_secs_f64();
     let healthy = f64::from(u32::try_from(spread::watchers(&live).len()).unwrap()) * per_watch;
     assert!(healthy < 1.0);
 
--- a/src/suspect.rs
+++ b/src/suspect.rs
@@ -14,44 +14,44 @@
 /// use mangotray::suspect;
 /// let witnesses = ["w".into(), "x".into(), "y".into()];
 /// let mut suspect = suspect::Suspect::new(Duration::from_secs(9));
-/// suspect.contact(&witnesses[0], Duration::from_secs(8));
-/// suspect.contact(&witnesses[1], Duration::from_secs(10));
-/// assert!(!suspect.stops(&witnesses));
-/// suspect.destroyed(&witnesses[2]);
-/// assert!(suspect.stops(&witnesses));
+/// suspect.record_contact(&witnesses[0], Duration::from_secs(8));
+/// suspect.record_contact(&witnesses[1], Duration::from_secs(10));
+/// assert!(!suspect.owner_stops(&witnesses));
+/// suspect.record_destroyed(&witnesses[2]);
+/// assert!(suspect.owner_stops(&witnesses));
 /// ```
 #[derive(Clone, Debug)]
 pub struct Suspect {
-    gone: id::Time,
+    missing_at: id::Time,
     contacts: collections::HashSet<id::Vm>,
 }
 
 impl Suspect {
-    /// Creates the evidence for a lease that was missing from an answer received at `gone`.
+    /// Creates the evidence for a lease that was missing from an answer received at `missing_at`.
     #[must_use]
-    pub fn new(gone: id::Time) -> Self {
+    pub fn new(missing_at: id::Time) -> Self {
         Self {
-            gone,
+            missing_at,
             contacts: collections::HashSet::new(),
         }
     }
 
     /// Records that a witness certainly had contact with the store at `at` or later.
-    pub fn contact(&mut self, vm: &id::Vm, at: id::Time) {
-        if at >= self.gone {
+    pub fn record_contact(&mut self, vm: &id::Vm, at: id::Time) {
+        if at >= self.missing_at {
             self.contacts.insert(vm.clone());
         }
     }
 
     /// Records that a VM has been destroyed and will send no more reports.
-    pub fn destroyed(&mut self, vm: &id::Vm) {
+    pub fn record_destroyed(&mut self, vm: &id::Vm) {
         self.contacts.insert(vm.clone());
     }
 
     /// Returns whether an owner with these witnesses is certain to stop within one guard interval
     /// from now, because too few witnesses can still report no contact.
     #[must_use]
-    pub fn stops(&self, witnesses: &[id::Vm]) -> bool {
+    pub fn owner_stops(&self, witnesses: &[id::Vm]) -> bool {
         let contacts = witnesses.iter().filter(|vm| self.contacts.contains(*vm));
         contacts.count() >= witnesses.len().div_ceil(2)
     }
--- a/src/term.rs
+++ b/src/term.rs
@@ -35,7 +35,7 @@
 
 /// A recorded promotion.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Reign {
+pub struct Promotion {
     /// The term and the process that promoted the instance.
     #[serde(flatten)]
     pub holder: Holder,
@@ -49,7 +49,7 @@
     /// Lowest term that has not been handed out.
     pub next: id::Term,
     /// Last recorded promotion.
-    pub current: Option<Reign>,
+    pub current: Option<Promotion>,
     /// Terms claimed in advance, the latest at the end.
     pub reserved: Vec<Holder>,
     /// Term and attempt of the last claim.
@@ -102,13 +102,13 @@
     /// ```
     /// use mangotray::term;
     /// let holder = term::Holder { term: 4, vm: "vm-1".into(), incarnation: 1 };
-    /// let promotion = term::Reign { holder, instance: 2 };
-    /// let record = term::Record::default().promoted(promotion.clone()).unwrap();
+    /// let promotion = term::Promotion { holder, instance: 2 };
+    /// let record = term::Record::default().record_promotion(promotion.clone()).unwrap();
     /// assert!(record.next > 4);
-    /// assert!(record.promoted(promotion).is_none());
+    /// assert!(record.record_promotion(promotion).is_none());
     /// ```
     #[must_use]
-    pub fn promoted(&self, promotion: Reign) -> Option<Self> {
+    pub fn record_promotion(&self, promotion: Promotion) -> Option<Self> {
         let term = promotion.holder.term;
         let known = self.current.as_ref().map(|promotion| promotion.holder.term);
         (known < Some(term)).then(|| Self {
@@ -146,7 +146,7 @@
     key: CompactString,
     vm: id::Vm,
     incarnation: id::Incarnation,
-    held: sync::Mutex<Option<id::Term>>,
+    reserved: sync::Mutex<Option<id::Term>>,
 }
 
 impl Registry {
@@ -163,7 +163,7 @@
             key: key(group),
             vm,
             incarnation,
-            held: sync::Mutex::new(None),
+            reserved: sync::Mutex::new(None),
         }
     }
 
@@ -183,27 +183,27 @@
     ///
     /// Same as for [`Self::claim`].
     pub async fn reserve(&self, above: id::Term) -> Result<id::Term, store::Failure> {
-        if let Some(term) = self.held().filter(|term| *term > above) {
+        if let Some(term) = self.reserved_term().filter(|term| *term > above) {
             return Ok(term);
         }
         let term = self
             .claim_with(above, |record, term| record.reserve(self.holder(term)))
             .await?;
-        *self.lock_held() = Some(term);
+        *self.lock_reserved() = Some(term);
         Ok(term)
     }
 
     /// Returns the term claimed in advance, if any, and keeps it held.
     #[must_use]
-    pub fn held(&self) -> Option<id::Term> {
-        *self.lock_held()
+    pub fn reserved_term(&self) -> Option<id::Term> {
+        *self.lock_reserved()
     }
 
     /// Takes the term claimed in advance, without access to the store.
     ///
     /// A term that is not above `above` is outdated and dropped.
     pub fn take_reserved(&self, above: id::Term) -> Option<id::Term> {
-        let held = self.lock_held().take();
+        let held = self.lock_reserved().take();
         held.filter(|term| *term > above)
     }
 
@@ -213,13 +213,13 @@
     ///
     /// `NotRun` or `Unknown`; the call can be repeated safely.
     pub async fn publish(&self, term: id::Term, instance: id::Index) -> Result<(), store::Failure> {
-        let promotion = Reign {
+        let promotion = Promotion {
             holder: self.holder(term),
             instance,
         };
         for _ in 0..MAX_SWAP_ATTEMPTS {
             let (record, version) = self.load().await?;
-            let Some(record) = record.promoted(promotion.clone()) else {
+            let Some(record) = record.record_promotion(promotion.clone()) else {
                 return Ok(());
             };
             if self.save(&record, version).await? == store::Swap::Stored {
@@ -235,7 +235,7 @@
     /// # Errors
     ///
     /// `NotRun` if the store cannot be read.
-    pub async fn current(&self) -> Result<Option<Reign>, store::Failure> {
+    pub async fn current(&self) -> Result<Option<Promotion>, store::Failure> {
         Ok(self.load().await?.0.current)
     }
 
@@ -267,8 +267,8 @@
         Err(unknown.unwrap_or_else(contention))
     }
 
-    fn lock_held(&self) -> sync::MutexGuard<'_, Option<id::Term>> {
-        self.held
+    fn lock_reserved(&self) -> sync::MutexGuard<'_, Option<id::Term>> {
+        self.reserved
             .lock()
             .expect("no thread panics while holding the lock")
     }
--- a/src/tracker.rs
+++ b/src/tracker.rs
@@ -37,7 +37,7 @@
     checksum: roster::Checksum,
     newest: roster::Roster,
     /// Newest registration of each proxy that is not considered dead.
-    known: collections::BTreeMap<id::Vm, enrol::Record>,
+    registrations: collections::BTreeMap<id::Vm, enrol::Record>,
 }
 
 impl Tracker {
@@ -57,18 +57,18 @@
             attempted_at: now,
             checksum: 0,
             newest: roster::Roster::default(),
-            known: collections::BTreeMap::new(),
+            registrations: collections::BTreeMap::new(),
         }
     }
 
     /// Whether this proxy should read the store now.
     #[must_use]
-    pub fn due(&self, now: id::Time) -> bool {
+    pub fn should_read(&self, now: id::Time) -> bool {
         let live = self.live(now);
         let waited = now.saturating_sub(self.attempted_at);
         let fallback_interval =
             FALLBACK_INTERVAL_PER_PROXY * u32::try_from(live.len()).unwrap_or(u32::MAX);
-        due(&self.vm, &live, self.read_at, self.attempted_at, now)
+        should_read(&self.vm, &live, self.read_at, self.attempted_at, now)
             || (waited >= fallback_interval && self.watches(now))
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Records that this proxy starts to read the store.
-    pub fn trying(&mut self, now: id::Time) {
+    pub fn record_read_attempt(&mut self, now: id::Time) {
         self.attempted_at = now;
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Applies a roster whose read started at `read`; returns true if its content is new.
-    pub fn take(&mut self, roster: roster::Roster, read: id::Time) -> bool {
+    pub fn apply_roster(&mut self, roster: roster::Roster, read: id::Time) -> bool {
         if self.read_at.is_some_and(|known| read <= known) {
             return false;
         }
@@ -102,13 +102,13 @@
         self.read_at = Some(read);
         self.checksum = checksum;
         self.newest = roster;
-        self.confirm(read);
+        self.apply_newest(read);
         fresh
     }
 
     /// Applies a peer's answer to a request sent at `asked`; returns true if it contained a
     /// roster with new content.
-    pub fn update(&mut self, update: roster::Update, asked: id::Time) -> bool {
+    pub fn apply_update(&mut self, update: roster::Update, asked: id::Time) -> bool {
         let Some(read) = asked.checked_sub(update.mark.age) else {
             // The read predates this process, so it gets the earliest time possible.
             return self.read_at.is_none() && self.apply(update, id::Time::ZERO);
@@ -117,39 +117,39 @@
     }
 
     /// Applies a roster pushed by a peer; returns true if its content is new.
-    pub fn pushed(&mut self, update: roster::Update, now: id::Time) -> bool {
-        self.update(update, now.saturating_sub(TRANSIT_ALLOWANCE))
+    pub fn apply_push(&mut self, update: roster::Update, now: id::Time) -> bool {
+        self.apply_update(update, now.saturating_sub(TRANSIT_ALLOWANCE))
     }
 
     fn apply(&mut self, update: roster::Update, read: id::Time) -> bool {
         if let Some(content) = update.content {
-            return self.take(content, read);
+            return self.apply_roster(content, read);
         }
         let same = self.read_at.is_some() && update.mark.checksum == self.checksum;
         if same && self.read_at < Some(read) {
             self.read_at = Some(read);
-            self.confirm(read);
+            self.apply_newest(read);
         }
         false
     }
 
     /// Updates the view and the registrations from the newest roster, read at `read`.
-    fn confirm(&mut self, read: id::Time) {
+    fn apply_newest(&mut self, read: id::Time) {
         let others = self.newest.records.values();
         // This VM's own record may belong to an earlier process.
         let others = others.filter(|record| record.vm != self.vm);
-        let signs: Vec<evidence::Sign> = others.map(enrol::Record::sign).collect();
-        self.view.leases(&signs, read);
-        self.view.listed(&self.newest.listings, read);
+        let heartbeats: Vec<evidence::Heartbeat> = others.map(enrol::Record::heartbeat).collect();
+        self.view.record_leases(&heartbeats, read);
+        self.view.record_list(&self.newest.listings, read);
         let records = self.newest.records.iter();
-        self.known
+        self.registrations
             .extend(records.map(|(vm, record)| (vm.clone(), record.clone())));
     }
 
     /// Age and checksum of the current roster; `None` before the first one.
     #[must_use]
-    pub fn mark(&self, now: id::Time) -> Option<roster::Mark> {
-        self.read_at.map(|read| roster::Mark {
+    pub fn digest(&self, now: id::Time) -> Option<roster::Digest> {
+        self.read_at.map(|read| roster::Digest {
             age: now.saturating_sub(read),
             checksum: self.checksum,
         })
@@ -158,8 +158,12 @@
     /// The update for a peer with the roster `peer`; `None` if it is at least as fresh. Omits
     /// the content when the checksums match.
     #[must_use]
-    pub fn answer(&self, peer: Option<roster::Mark>, now: id::Time) -> Option<roster::Update> {
-        let mark = self.mark(now)?;
+    pub fn update_for(
+        &self,
+        peer: Option<roster::Digest>,
+        now: id::Time,
+    ) -> Option<roster::Update> {
+        let mark = self.digest(now)?;
         if peer.is_some_and(|peer| peer.age <= mark.age) {
             return None;
         }
@@ -169,32 +173,32 @@
     }
 
     /// Applies a heartbeat of another proxy.
-    pub fn heard(&mut self, sign: &evidence::Sign, now: id::Time) {
-        if sign.vm != self.vm {
-            self.view.heard(sign, now);
+    pub fn record_heartbeat(&mut self, heartbeat: &evidence::Heartbeat, now: id::Time) {
+        if heartbeat.vm != self.vm {
+            self.view.record_heartbeat(heartbeat, now);
         }
     }
 
     /// Records that a proxy did not answer.
-    pub fn missed(&mut self, vm: &id::Vm, now: id::Time) {
-        self.view.missed(vm, now);
+    pub fn record_missed_heartbeat(&mut self, vm: &id::Vm, now: id::Time) {
+        self.view.record_missed_heartbeat(vm, now);
     }
 
     /// Applies the operators' configuration.
-    pub fn declared(&mut self, catalog: &catalog::Catalog) {
-        self.view.declared(catalog);
+    pub fn set_catalog(&mut self, catalog: &catalog::Catalog) {
+        self.view.set_catalog(catalog);
     }
 
     /// Records that this VM is shutting down.
-    pub fn drain(&mut self) {
-        self.view.drain();
+    pub fn record_draining(&mut self) {
+        self.view.record_draining();
     }
 
     /// Proxies that may be alive, including this one, sorted by name.
     #[must_use]
     pub fn live(&self, now: id::Time) -> Vec<id::Vm> {
         let dead = self.in_state(now, member::State::Dead);
-        let mut live: Vec<id::Vm> = self.known.keys().cloned().collect();
+        let mut live: Vec<id::Vm> = self.registrations.keys().cloned().collect();
         live.retain(|vm| !dead.contains(vm) && *vm != self.vm);
         live.push(self.vm.clone());
         live.sort_unstable();
@@ -205,7 +209,9 @@
     #[must_use]
     pub fn suspects(&self, now: id::Time) -> Vec<id::Vm> {
         let suspects = self.in_state(now, member::State::Suspect).into_iter();
-        suspects.filter(|vm| self.known.contains_key(vm)).collect()
+        suspects
+            .filter(|vm| self.registrations.contains_key(vm))
+            .collect()
     }
 
     /// The proxies that may be alive, with their registrations. Drops dead proxies that are no
@@ -213,9 +219,9 @@
     pub fn roster(&mut self, now: id::Time) -> roster::Roster {
         let dead = self.in_state(now, member::State::Dead);
         let registered = &self.newest.records;
-        self.known
+        self.registrations
             .retain(|vm, _| !dead.contains(vm) || registered.contains_key(vm));
-        let mut records = self.known.clone();
+        let mut records = self.registrations.clone();
         records.retain(|vm, _| !dead.contains(vm));
         roster::Roster {
             records,
@@ -231,7 +237,7 @@
     #[must_use]
     pub fn candidates(&self, now: id::Time) -> Vec<placement::Candidate> {
         let mut candidates = self.view.candidates(now);
-        candidates.retain(|candidate| self.known.contains_key(&candidate.vm));
+        candidates.retain(|candidate| self.registrations.contains_key(&candidate.vm));
         if candidates.iter().all(|candidate| candidate.leaving) {
             let announced = self.announced_leaving(now);
             for candidate in &mut candidates {
@@ -268,14 +274,14 @@
 /// let live: Vec<_> = ["a", "b", "c", "d"].map(Into::into).into();
 /// let read = Some(Duration::ZERO);
 /// let reads = |now| {
-///     let due = |vm: &&_| tracker::due(vm, &live, read, Duration::ZERO, now);
+///     let due = |vm: &&_| tracker::should_read(vm, &live, read, Duration::ZERO, now);
 ///     live.iter().filter(due).count()
 /// };
-/// assert_eq!(reads(spread::SILENCE / 2), 3);
-/// assert_eq!(reads(spread::SILENCE * 2), 4);
+/// assert_eq!(reads(spread::MAX_STORE_SILENCE / 2), 3);
+/// assert_eq!(reads(spread::MAX_STORE_SILENCE * 2), 4);
 /// ```
 #[must_use]
-pub fn due(
+pub fn should_read(
     vm: &id::Vm,
     live: &[id::Vm],
     read_at: Option<id::Time>,
@@ -285,7 +291,7 @@
     let Some(read_at) = read_at else {
         return true;
     };
-    spread::watchers(live).contains(vm) || spread::silent(vm, read_at.max(attempted_at), now)
+    spread::watchers(live).contains(vm) || spread::should_read(vm, read_at.max(attempted_at), now)
 }
 
 #[cfg(test)]
--- a/src/tracker/tests.rs
+++ b/src/tracker/tests.rs
@@ -59,14 +59,14 @@
 #[test]
 fn an_empty_store_or_list_removes_no_proxy() {
     let mut tracker = tracker("a");
-    assert!(tracker.take(roster(&["a", "b", "c"], &[]), at(1)));
-    tracker.heard(&record("b").sign(), at(59));
-    assert!(tracker.take(roster(&[], &[]), at(60)));
+    assert!(tracker.apply_roster(roster(&["a", "b", "c"], &[]), at(1)));
+    tracker.record_heartbeat(&record("b").heartbeat(), at(59));
+    assert!(tracker.apply_roster(roster(&[], &[]), at(60)));
     assert_eq!(staying(&tracker, 60), ["a", "b", "c"]);
     assert_eq!(tracker.roster(at(60)).records.len(), 3);
     // A proxy that is also silent is removed.
     assert_eq!(tracker.suspects(at(60)), ["c"]);
-    tracker.missed(&"c".into(), at(61));
+    tracker.record_missed_heartbeat(&"c".into(), at(61));
     assert_eq!(staying(&tracker, 66), ["a", "b"]);
     assert_eq!(tracker.roster(at(66)).records.len(), 2);
 }
@@ -74,14 +74,14 @@
 #[test]
 fn a_leaving_vm_gets_no_new_work_at_once() {
     let mut tracker = tracker("a");
-    tracker.take(roster(&["a", "b", "c"], &[]), at(1));
-    assert!(tracker.take(roster(&["a", "b", "c"], &["b"]), at(2)));
+    tracker.apply_roster(roster(&["a", "b", "c"], &[]), at(1));
+    assert!(tracker.apply_roster(roster(&["a", "b", "c"], &["b"]), at(2)));
     assert_eq!(staying(&tracker, 2), ["a", "c"]);
-    let draining = evidence::Sign {
+    let draining = evidence::Heartbeat {
         draining: true,
-        ..record("c").sign()
+        ..record("c").heartbeat()
     };
-    tracker.heard(&draining, at(2));
+    tracker.record_heartbeat(&draining, at(2));
     assert_eq!(staying(&tracker, 2), ["a"]);
 }
 
@@ -90,17 +90,17 @@
 #[test]
 fn a_fleet_that_leaves_together_serves_until_replaced() {
     let mut tracker = tracker("a");
-    tracker.take(roster(&["a", "b"], &["a", "b"]), at(1));
+    tracker.apply_roster(roster(&["a", "b"], &["a", "b"]), at(1));
     assert_eq!(staying(&tracker, 1), ["a", "b"]);
-    tracker.take(roster(&["a", "b", "c"], &["a", "b"]), at(2));
+    tracker.apply_roster(roster(&["a", "b", "c"], &["a", "b"]), at(2));
     assert_eq!(staying(&tracker, 2), ["c"]);
 }
 
 #[test]
 fn only_declared_vms_serve() {
     let mut tracker = tracker("a");
-    tracker.take(roster(&["a", "b"], &[]), at(1));
-    tracker.declared(&catalog::Catalog {
+    tracker.apply_roster(roster(&["a", "b"], &[]), at(1));
+    tracker.set_catalog(&catalog::Catalog {
         vms: vec!["b".into()],
         ..catalog::Catalog::default()
     });
@@ -112,31 +112,34 @@
 #[test]
 fn unregistered_proxies_serve_nothing() {
     let mut tracker = tracker("a");
-    tracker.take(roster(&["a"], &[]), at(1));
-    tracker.heard(&record("late").sign(), at(2));
+    tracker.apply_roster(roster(&["a"], &[]), at(1));
+    tracker.record_heartbeat(&record("late").heartbeat(), at(2));
     assert_eq!(staying(&tracker, 2), ["a"]);
     let mut late = self::tracker("late");
-    let update = tracker.answer(None, at(2)).unwrap();
-    assert!(late.update(update, at(2)));
+    let update = tracker.update_for(None, at(2)).unwrap();
+    assert!(late.apply_update(update, at(2)));
     assert_eq!(staying(&late, 2), ["a"]);
 }
 
 #[test]
 fn roster_content_is_sent_once_and_older_rosters_are_ignored() {
     let (mut a, mut b) = (tracker("a"), tracker("b"));
-    assert!(a.take(roster(&["a", "b"], &[]), at(1)));
-    let old = a.answer(None, at(2)).unwrap();
-    assert!(b.update(old.clone(), at(2)));
-    assert!(!b.update(old.clone(), at(2)), "known already");
-    assert!(a.answer(b.mark(at(3)), at(3)).is_none(), "as fresh");
-    assert!(!a.take(roster(&["a", "b"], &[]), at(5)), "same content");
-    let fresher = a.answer(b.mark(at(6)), at(6)).unwrap();
+    assert!(a.apply_roster(roster(&["a", "b"], &[]), at(1)));
+    let old = a.update_for(None, at(2)).unwrap();
+    assert!(b.apply_update(old.clone(), at(2)));
+    assert!(!b.apply_update(old.clone(), at(2)), "known already");
+    assert!(a.update_for(b.digest(at(3)), at(3)).is_none(), "as fresh");
+    assert!(
+        !a.apply_roster(roster(&["a", "b"], &[]), at(5)),
+        "same content"
+    );
+    let fresher = a.update_for(b.digest(at(6)), at(6)).unwrap();
     assert_eq!(fresher.content, None);
-    assert!(!b.update(fresher, at(6)));
-    assert_eq!(b.mark(at(6)).unwrap().age, at(1));
-    assert!(a.take(roster(&["a", "b", "c"], &[]), at(7)));
-    assert!(b.update(a.answer(b.mark(at(8)), at(8)).unwrap(), at(8)));
-    assert!(!b.pushed(old, at(3)), "an older one");
+    assert!(!b.apply_update(fresher, at(6)));
+    assert_eq!(b.digest(at(6)).unwrap().age, at(1));
+    assert!(a.apply_roster(roster(&["a", "b", "c"], &[]), at(7)));
+    assert!(b.apply_update(a.update_for(b.digest(at(8)), at(8)).unwrap(), at(8)));
+    assert!(!b.apply_push(old, at(3)), "an older one");
     assert_eq!(b.roster(at(8)).records.len(), 3);
 }
 
@@ -152,7 +155,7 @@
     for second in 1..=seconds {
         let now = at(second);
         for node in 0..live.len() {
-            if tracker::due(&live[node], &live, Some(read[node]), tried[node], now) {
+            if tracker::should_read(&live[node], &live, Some(read[node]), tried[node], now) {
                 tried[node] = now;
                 read[node] = now;
                 count += 1;
@@ -169,6 +172,6 @@
 fn reads_of_the_store_do_not_grow_with_the_fleet() {
     let (small, large) = (reads(8), reads(690));
     println!("{small} reads a second at 8 proxies, {large} at 690");
-    let watchers = f64::from(u32::try_from(spread::WATCHERS).unwrap());
+    let watchers = f64::from(u32::try_from(spread::WATCHER_COUNT).unwrap());
     assert!(small <= watchers && large <= watchers);
 }
--- a/src/witness.rs
+++ b/src/witness.rs
@@ -32,7 +32,7 @@
 /// use mangotray::witness;
 /// let mut witness = witness::Witness::new(Duration::from_secs(5));
 /// assert!(!witness.report(Duration::from_secs(6)).contacted);
-/// witness.contact(Duration::from_secs(7));
+/// witness.record_contact(Duration::from_secs(7));
 /// let report = witness.report(Duration::from_secs(9));
 /// assert_eq!(report.silent, Duration::from_secs(2));
 /// ```
@@ -54,7 +54,7 @@
 
     /// Records a lease renewal that the store answered, whatever the answer. Reads do not count:
     /// while only writes fail, no seat can change its owner and all owners have to keep theirs.
-    pub fn contact(&mut self, answered: id::Time) {
+    pub fn record_contact(&mut self, answered: id::Time) {
         self.last = self.last.max(Some(answered));
     }
 
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -73,7 +73,7 @@
 #[test]
 fn every_cause_of_a_route_and_of_a_refusal_is_documented() {
     let handbook = handbook();
-    let causes = [variants::<route::Why>(), variants::<reason::Reason>()];
+    let causes = [variants::<route::Reason>(), variants::<reason::Reason>()];
     for causes in &causes {
         assert!(causes.len() >= 7, "{causes:?}");
     }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -123,7 +123,7 @@
     pub fn records(&self) -> Vec<enrol::Record> {
         let entries = self.platform.entries().into_iter();
         entries
-            .filter(|entry| entry.key.starts_with(enrol::PREFIX))
+            .filter(|entry| entry.key.starts_with(enrol::KEY_PREFIX))
             .map(|entry| serde_json::from_slice(&entry.value).unwrap())
             .collect()
     }
--- a/tests/matrix/cell.rs
+++ b/tests/matrix/cell.rs
@@ -152,7 +152,9 @@
     async fn prepare(&mut self) {
         let proxies = self.scene.proxies();
         let ready = || {
-            let held = proxies.iter().all(|proxy| proxy.terms.held().is_some());
+            let held = proxies
+                .iter()
+                .all(|proxy| proxy.terms.reserved_term().is_some());
             let boards = proxies.iter().map(|proxy| proxy.group.watch.board());
             held && boards.into_iter().all(|board| board.leader().is_some())
         };
@@ -266,11 +268,15 @@
         let mut session = proxy.session();
         let batch = session.batch(Kind::Write, OWN, patience);
         let telling = enrolment.clone();
-        let tell = proxy.life.work(async move { telling.drain().await });
+        let tell = proxy
+            .life
+            .work(async move { telling.mark_draining().await });
         let tell = futures_lite::future::or(tell, proxy.life.ended());
         let (answer, ()) = future::join(session.run(batch, false), tell).await;
         let class = self.class(answer, Kind::Write, OWN);
-        let leave = proxy.life.work(async move { enrolment.leave().await });
+        let leave = proxy
+            .life
+            .work(async move { enrolment.revoke_lease().await });
         futures_lite::future::or(leave, proxy.life.ended()).await;
         if !proxy.life.gone() {
             let left = !self.scene.service.holds(&shutdown::key(proxy));
@@ -278,7 +284,7 @@
                 self.broken.push("the lease was not given back".to_owned());
             }
             proxy.group.revoke();
-            let settled = || proxy.group.settled();
+            let settled = || proxy.group.trim_to_share();
             self.wait("the end of all work", RECOVERY, settled).await;
             proxy.life.end();
         }
--- a/tests/matrix/follower.rs
+++ b/tests/matrix/follower.rs
@@ -50,7 +50,10 @@
 
     fn exchange(&self, from: usize, to: usize) {
         let digest = scene::lock(&self.0[to]).state.digest();
-        let newer = scene::lock(&self.0[from]).state.newer(&digest).cloned();
+        let newer = scene::lock(&self.0[from])
+            .state
+            .file_newer_than(&digest)
+            .cloned();
         if let Some(file) = newer {
             scene::lock(&self.0[to]).offer(&file);
         }
--- a/tests/matrix/proxy.rs
+++ b/tests/matrix/proxy.rs
@@ -114,7 +114,7 @@
 
     /// Puts a file in force that takes `leaving` out of service.
     pub fn declare(&self, leaving: Option<id::Index>) {
-        self.group.redeclare(declaration(leaving));
+        self.group.set_declaration(declaration(leaving));
     }
 
     /// A session of this proxy.
--- a/tests/matrix/repair.rs
+++ b/tests/matrix/repair.rs
@@ -48,7 +48,7 @@
         let down = || {
             let proxies = scene.proxies();
             let mut boards = proxies.iter().map(|proxy| proxy.group.watch.board());
-            boards.all(|board| board.seen()[2].failures > 0)
+            boards.all(|board| board.instances()[2].failures > 0)
         };
         assert!(wait(&scene, down).await);
         scene
--- a/tests/model/rules.rs
+++ b/tests/model/rules.rs
@@ -109,7 +109,7 @@
             status.fence = status.stamp.term;
         }
         let mut board = board::Board::new(state::INSTANCES);
-        board.answered(index.into(), observation(0, 0, status));
+        board.record_answer(index.into(), observation(0, 0, status));
         board.confirmed(place.stamp(), place.primary.into(), Duration::ZERO)
     }
 
@@ -125,8 +125,8 @@
     pub fn answered(&self, reader: &mut state::Reader, index: usize, seen: state::Seen) {
         let mut board = self.board(&reader.seen);
         let observation = self.observation(seen);
-        board.answered(index, observation);
-        if board.seen()[index].last == Some(observation) {
+        board.record_answer(index, observation);
+        if board.instances()[index].last == Some(observation) {
             reader.seen[index] = Some(seen);
         }
     }
@@ -137,7 +137,7 @@
         if self.config.broken(Mutation::OneSampled) {
             return reader.seen.iter().flatten().find_map(|seen| {
                 let mut board = board::Board::new(1);
-                board.answered(0, self.observation(*seen));
+                board.record_answer(0, self.observation(*seen));
                 board.floor(arrived)
             });
         }
@@ -174,7 +174,7 @@
         let mut board = board::Board::new(state::INSTANCES);
         for (index, seen) in seen.iter().enumerate() {
             if let Some(seen) = seen {
-                board.answered(index, self.observation(*seen));
+                board.record_answer(index, self.observation(*seen));
             }
         }
         board
@@ -221,7 +221,7 @@
 
     fn avoid(&mut self, handle: Handle, index: Option<u8>) -> Handle {
         let mut machine = self.known[handle as usize].clone();
-        machine.avoid(index.map(usize::from));
+        machine.set_replaced(index.map(usize::from));
         self.handle(machine)
     }
 
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -13,7 +13,7 @@
 use futures_util::future::BoxFuture;
 use futures_util::{SinkExt, StreamExt};
 use mangotray::clock::Clock;
-use mangotray::lane::{Lane, Switch};
+use mangotray::lane::{Factory, Lane};
 use mangotray::outcome::Outcome;
 use mangotray::reason::Reason;
 use mangotray::{
@@ -105,7 +105,7 @@
 
 struct Local(sync::Arc<Upstream>);
 
-impl Switch for Local {
+impl Factory for Local {
     fn lane(&self, database: &str) -> Option<Box<dyn Lane>> {
         self.0.lanes.fetch_add(1, atomic::Ordering::Relaxed);
         (database == "shows").then(|| {
@@ -127,7 +127,7 @@
 }
 
 impl peer::Handler for Handler {
-    fn switch(&self) -> sync::Arc<dyn Switch> {
+    fn lanes(&self) -> sync::Arc<dyn Factory> {
         self.switch.clone()
     }
 
@@ -145,8 +145,8 @@
     }
 }
 
-fn sign(vm: &str, incarnation: u64) -> evidence::Sign {
-    evidence::Sign {
+fn sign(vm: &str, incarnation: u64) -> evidence::Heartbeat {
+    evidence::Heartbeat {
         vm: vm.into(),
         domain: "patan-hall".into(),
         incarnation,
@@ -725,7 +725,7 @@
         let accept = async {
             let (stream, _) = silent.accept().await.unwrap();
             let hello = hello::Hello::new(KEY);
-            hello.answer::<(), ()>(Box::new(stream)).await.unwrap()
+            hello.accept::<(), ()>(Box::new(stream)).await.unwrap()
         };
         let (connection, _held) = future::zip(entry.connection(address, SHORT), accept).await;
         let batch = entry.batch(class::Class::Write, "INSERT", GENEROUS);
@@ -747,7 +747,7 @@
         let mut client: hello::Framed<
             tarpc::Response<peer::PeerResponse>,
             tarpc::ClientMessage<peer::PeerRequest>,
-        > = hello.ask(stream.await.unwrap()).await.unwrap();
+        > = hello.connect(stream.await.unwrap()).await.unwrap();
         let batch = entry.batch(class::Class::Begin, "BEGIN", GENEROUS);
         let mut run = peer::Run::new(&batch, entry.clock.now());
         run.open = Some("shows".into());
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -55,7 +55,7 @@
     }
 }
 
-impl lane::Switch for FakeSwitch {
+impl lane::Factory for FakeSwitch {
     fn lane(&self, database: &str) -> Option<Box<dyn lane::Lane>> {
         self.0.lanes.fetch_add(1, sync::atomic::Ordering::SeqCst);
         (database == "dome").then(|| Box::new(FakeLane(self.0.clone())) as Box<dyn lane::Lane>)
