--- a/src/accept.rs
+++ b/src/accept.rs
@@ -226,7 +226,7 @@
 fn bounded(reply: reply::Reply) -> peer::Answer {
     let frames = reply.frames.iter();
     let size: usize = frames.map(|frame| frame.body.len() + OVERHEAD).sum();
-    if size + OVERHEAD <= packet::LIMIT {
+    if size + OVERHEAD <= packet::MAX_MESSAGE_BYTES {
         return Ok(reply);
     }
     Err(outcome::Outcome::Unknown {
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -23,7 +23,7 @@
 
     /// Brings the gauges up to date that are read from the state; called before the
     /// metrics are rendered.
-    fn measure(&self) {}
+    fn update_gauges(&self) {}
 }
 
 /// State of one proxy.
--- a/src/admin/client.rs
+++ b/src/admin/client.rs
@@ -12,7 +12,7 @@
 use crate::admin;
 
 /// Largest status that is read, so that a wrong address cannot use up the memory.
-const BODY_BYTES: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Fetches `/status` from a proxy's admin address.
 ///
@@ -29,13 +29,13 @@
     address: net::SocketAddr,
     timeout: time::Duration,
 ) -> eyre::Result<admin::Status> {
-    let late = async {
+    let timed_out = async {
         async_io::Timer::after(timeout).await;
         let waited = humantime::format_duration(timeout);
         Err(eyre::eyre!("no answer within {waited}"))
     };
     get(address)
-        .or(late)
+        .or(timed_out)
         .await
         .wrap_err_with(|| format!("status of {address}"))
 }
@@ -47,11 +47,11 @@
     let request = hyper::Request::get("/status")
         .header(header::HOST, address.to_string())
         .body(http_body_util::Empty::<body::Bytes>::new())?;
-    let answered = async {
+    let exchange = async {
         let answer = sender.send_request(request).await?;
         let code = answer.status();
         eyre::ensure!(code.is_success(), "answered {code}");
-        let limited = http_body_util::Limited::new(answer.into_body(), BODY_BYTES);
+        let limited = http_body_util::Limited::new(answer.into_body(), MAX_BODY_BYTES);
         let bytes = limited.collect().await.map_err(|e| eyre::eyre!(e))?;
         Ok(serde_json::from_slice(&bytes.to_bytes())?)
     };
@@ -59,5 +59,5 @@
         connection.await?;
         std::future::pending().await
     };
-    answered.or(closed).await
+    exchange.or(closed).await
 }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -15,21 +15,21 @@
 use crate::telemetry;
 
 /// Connections served at once; more wait, so that scrapers cannot use up file descriptors.
-const CONNECTIONS: usize = 32;
+const MAX_CONNECTIONS: usize = 32;
 
 /// Time for a client to send its request's head. A client that connects and stays silent
 /// would otherwise hold one of the few connections for ever; operators would see the
 /// endpoint hang on a healthy proxy.
-const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+const REQUEST_HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// Pause after a failed accept, which mostly means that file descriptors ran out.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
 
-const TEXT: &str = "text/plain; charset=utf-8";
-const METRICS: &str = "text/plain; version=0.0.4; charset=utf-8";
-const JSON: &str = "application/json";
+const TEXT_TYPE: &str = "text/plain; charset=utf-8";
+const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
+const JSON_TYPE: &str = "application/json";
 
-type Answer = hyper::Response<Full<body::Bytes>>;
+type Response = hyper::Response<Full<body::Bytes>>;
 
 /// A bound endpoint.
 pub struct Server {
@@ -95,7 +95,7 @@
 
     /// Serves until the future is dropped; each connection is a task of `executor`.
     pub async fn run(self, executor: sync::Arc<async_executor::Executor<'static>>) {
-        let slots = sync::Arc::new(async_lock::Semaphore::new(CONNECTIONS));
+        let slots = sync::Arc::new(async_lock::Semaphore::new(MAX_CONNECTIONS));
         loop {
             let slot = slots.acquire_arc().await;
             match self.listener.accept().await {
@@ -110,7 +110,7 @@
                 }
                 Err(error) => {
                     tracing::warn!(%error, "admin connection not accepted");
-                    async_io::Timer::after(ACCEPT_PAUSE).await;
+                    async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -119,64 +119,78 @@
 
 async fn serve(stream: async_net::TcpStream, handler: sync::Arc<Handler>) {
     let service = service::service_fn(|request: hyper::Request<body::Incoming>| {
-        let answer = handler.answer(request.method(), request.uri().path());
-        async move { Ok::<_, convert::Infallible>(answer) }
+        let response = handler.respond(request.method(), request.uri().path());
+        async move { Ok::<_, convert::Infallible>(response) }
     });
-    let served = hyper::server::conn::http1::Builder::new()
+    let result = hyper::server::conn::http1::Builder::new()
         .timer(smol_hyper::rt::SmolTimer::new())
-        .header_read_timeout(HEAD_TIMEOUT)
+        .header_read_timeout(REQUEST_HEAD_TIMEOUT)
         .serve_connection(smol_hyper::rt::FuturesIo::new(stream), service)
         .await;
-    if let Err(error) = served {
+    if let Err(error) = result {
         tracing::debug!(%error, "admin connection ended");
     }
 }
 
 impl Handler {
-    fn answer(&self, method: &hyper::Method, path: &str) -> Answer {
+    fn respond(&self, method: &hyper::Method, path: &str) -> Response {
         if method != hyper::Method::GET {
-            return answer(hyper::StatusCode::METHOD_NOT_ALLOWED, TEXT, "GET only\n");
+            return response(
+                hyper::StatusCode::METHOD_NOT_ALLOWED,
+                TEXT_TYPE,
+                "GET only\n",
+            );
         }
         match path {
             "/metrics" => self.metrics(),
             "/status" => self.status(),
             "/healthz" => self.health(),
-            _ => answer(
+            _ => response(
                 hyper::StatusCode::NOT_FOUND,
-                TEXT,
+                TEXT_TYPE,
                 "try /status, /metrics or /healthz\n",
             ),
         }
     }
 
-    fn metrics(&self) -> Answer {
-        self.source.measure();
-        answer(hyper::StatusCode::OK, METRICS, self.metrics.render())
+    fn metrics(&self) -> Response {
+        self.source.update_gauges();
+        response(hyper::StatusCode::OK, METRICS_TYPE, self.metrics.render())
     }
 
-    fn status(&self) -> Answer {
+    fn status(&self) -> Response {
         match serde_json::to_vec(&self.source.status()) {
-            Ok(json) => answer(hyper::StatusCode::OK, JSON, json),
+            Ok(json) => response(hyper::StatusCode::OK, JSON_TYPE, json),
             Err(error) => {
                 let code = hyper::StatusCode::INTERNAL_SERVER_ERROR;
-                answer(code, TEXT, format!("{error}\n"))
+                response(code, TEXT_TYPE, format!("{error}\n"))
             }
         }
     }
 
-    fn health(&self) -> Answer {
+    fn health(&self) -> Response {
         if self.source.status().draining {
-            answer(hyper::StatusCode::SERVICE_UNAVAILABLE, TEXT, "draining\n")
+            response(
+                hyper::StatusCode::SERVICE_UNAVAILABLE,
+                TEXT_TYPE,
+                "draining\n",
+            )
         } else {
-            answer(hyper::StatusCode::OK, TEXT, "ok\n")
+            response(hyper::StatusCode::OK, TEXT_TYPE, "ok\n")
         }
     }
 }
 
-fn answer(code: hyper::StatusCode, kind: &'static str, body: impl Into<body::Bytes>) -> Answer {
-    let mut answer = hyper::Response::new(Full::new(body.into()));
-    *answer.status_mut() = code;
-    let kind = header::HeaderValue::from_static(kind);
-    answer.headers_mut().insert(header::CONTENT_TYPE, kind);
-    answer
+fn response(
+    code: hyper::StatusCode,
+    content_type: &'static str,
+    body: impl Into<body::Bytes>,
+) -> Response {
+    let mut response = hyper::Response::new(Full::new(body.into()));
+    *response.status_mut() = code;
+    let content_type = header::HeaderValue::from_static(content_type);
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
+    response
 }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -8,16 +8,16 @@
 use crate::admin;
 use crate::telemetry;
 
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
+const FETCH_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-struct Fixed(admin::Status);
+struct FixedSource(admin::Status);
 
-impl admin::Source for Fixed {
+impl admin::Source for FixedSource {
     fn status(&self) -> admin::Status {
         self.0.clone()
     }
 
-    fn measure(&self) {
+    fn update_gauges(&self) {
         metrics::gauge!("test_measured").set(5.0);
     }
 }
@@ -40,9 +40,9 @@
 }
 
 /// Runs a client against a served endpoint.
-fn with<T>(client: impl AsyncFnOnce(std::net::SocketAddr) -> T) -> T {
+fn with_server<T>(client: impl AsyncFnOnce(std::net::SocketAddr) -> T) -> T {
     let executor = sync::Arc::new(async_executor::Executor::new());
-    let source = sync::Arc::new(Fixed(status()));
+    let source = sync::Arc::new(FixedSource(status()));
     future::block_on(executor.run(async {
         let address = "127.0.0.1:0".parse().unwrap();
         let metrics = telemetry::Handle::install();
@@ -55,7 +55,7 @@
     }))
 }
 
-async fn raw(address: std::net::SocketAddr, request: &str) -> String {
+async fn send_raw(address: std::net::SocketAddr, request: &str) -> String {
     let mut stream = async_net::TcpStream::connect(address).await.unwrap();
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut answer = String::new();
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn a_status_arrives_as_it_was_given() {
-    let fetched = with(async |address| admin::fetch(address, PATIENCE).await);
+fn the_served_status_is_fetched_unchanged() {
+    let fetched = with_server(async |address| admin::fetch(address, FETCH_TIMEOUT).await);
     assert_eq!(fetched.unwrap(), status());
 }
 
@@ -78,13 +78,13 @@
         ("GET /other", "HTTP/1.1 404", "/status"),
         ("POST /status", "HTTP/1.1 405", "GET only"),
     ];
-    with(async |address| {
+    with_server(async |address| {
         metrics::gauge!("test_scraped").set(7.0);
-        for (request, code, words) in cases {
+        for (request, code, expected) in cases {
             let head = format!("{request} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-            let answer = raw(address, &head).await;
+            let answer = send_raw(address, &head).await;
             assert!(answer.starts_with(code), "{request}: {answer}");
-            assert!(answer.contains(words), "{request}: {answer}");
+            assert!(answer.contains(expected), "{request}: {answer}");
         }
     });
 }
@@ -92,12 +92,12 @@
 // Symptom: `mangotray status` hangs. Events: the admin address belongs to a process that
 // accepts connections and says nothing. Cause: a fetch without a timeout.
 #[test]
-fn a_silent_peer_ends_in_an_error() {
+fn a_fetch_from_a_silent_server_times_out() {
     let error = future::block_on(async {
         let listener = async_net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         admin::fetch(address, time::Duration::from_millis(20)).await
     });
-    let words = format!("{:#}", error.unwrap_err());
-    assert!(words.contains("no answer within 20ms"), "{words}");
+    let message = format!("{:#}", error.unwrap_err());
+    assert!(message.contains("no answer within 20ms"), "{message}");
 }
--- a/src/analysis/tests.rs
+++ b/src/analysis/tests.rs
@@ -13,7 +13,7 @@
     Message::Parse(Parse {
         name: query.into(),
         query: query.into(),
-        types: bytes::Bytes::from_static(&[0, 0]),
+        parameter_types: bytes::Bytes::from_static(&[0, 0]),
     })
 }
 
@@ -22,11 +22,11 @@
     let bind = Message::Bind(Bind {
         portal: "".into(),
         statement: query.into(),
-        rest: bytes::Bytes::new(),
+        parameters: bytes::Bytes::new(),
     });
     let execute = Message::Execute {
         portal: "".into(),
-        rows: 0,
+        max_rows: 0,
     };
     vec![prepare(query), bind, execute]
 }
@@ -59,7 +59,7 @@
 fn portal_of_an_earlier_batch_is_a_write() {
     let execute = Message::Execute {
         portal: "cursor".into(),
-        rows: 10,
+        max_rows: 10,
     };
     assert_eq!(class(&[execute]), Class::Write);
 }
--- a/src/answer.rs
+++ b/src/answer.rs
@@ -14,10 +14,10 @@
 use crate::transaction;
 
 /// Object id of the type `text`.
-const TEXT: u32 = 25;
+const TEXT_TYPE_ID: u32 = 25;
 /// Size that stands for "varies".
-const VARIES: i16 = -1;
-const NO_MODIFIER: i32 = -1;
+const VARIABLE_SIZE: i16 = -1;
+const NO_TYPE_MODIFIER: i32 = -1;
 
 const PARSE_COMPLETE: u8 = b'1';
 const BIND_COMPLETE: u8 = b'2';
@@ -26,7 +26,7 @@
 const EMPTY_QUERY: u8 = b'I';
 
 /// A frame without a body.
-fn bare(tag: u8) -> frame::Frame {
+fn without_body(tag: u8) -> frame::Frame {
     frame::Frame {
         tag,
         body: bytes::Bytes::new(),
@@ -36,21 +36,21 @@
 /// The answer to a text without statements.
 ///
 /// ```
-/// assert_eq!(mangotray::answer::empty().tag, b'I');
+/// assert_eq!(mangotray::answer::empty_query().tag, b'I');
 /// ```
 #[must_use]
-pub fn empty() -> frame::Frame {
-    bare(EMPTY_QUERY)
+pub fn empty_query() -> frame::Frame {
+    without_body(EMPTY_QUERY)
 }
 
 /// Tells that the next request is awaited.
 ///
 /// ```
 /// use mangotray::{answer, transaction};
-/// assert_eq!(answer::ready(transaction::State::Open).body[..], b"T"[..]);
+/// assert_eq!(answer::ready_for_query(transaction::State::Open).body[..], b"T"[..]);
 /// ```
 #[must_use]
-pub fn ready(state: transaction::State) -> frame::Frame {
+pub fn ready_for_query(state: transaction::State) -> frame::Frame {
     let status = match state {
         transaction::State::Idle => response::TransactionStatus::Idle,
         transaction::State::Open => response::TransactionStatus::Transaction,
@@ -62,10 +62,10 @@
 /// Reports the value of a setting.
 ///
 /// ```
-/// assert_eq!(mangotray::answer::status("TimeZone", "UTC").tag, b'S');
+/// assert_eq!(mangotray::answer::parameter_status("TimeZone", "UTC").tag, b'S');
 /// ```
 #[must_use]
-pub fn status(name: &str, value: &str) -> frame::Frame {
+pub fn parameter_status(name: &str, value: &str) -> frame::Frame {
     frame::Frame::encode(&startup::ParameterStatus::new(
         name.to_owned(),
         value.to_owned(),
@@ -73,16 +73,24 @@
 }
 
 /// Ends the answer to one statement.
-fn complete(tag: &str) -> frame::Frame {
+fn command_complete(tag: &str) -> frame::Frame {
     frame::Frame::encode(&response::CommandComplete::new(tag.to_owned()))
 }
 
-fn columns(name: &str) -> frame::Frame {
-    let field = data::FieldDescription::new(name.to_owned(), 0, 0, TEXT, VARIES, NO_MODIFIER, 0);
+fn text_column(name: &str) -> frame::Frame {
+    let field = data::FieldDescription::new(
+        name.to_owned(),
+        0,
+        0,
+        TEXT_TYPE_ID,
+        VARIABLE_SIZE,
+        NO_TYPE_MODIFIER,
+        0,
+    );
     frame::Frame::encode(&data::RowDescription::new(vec![field]))
 }
 
-fn row(value: &str) -> frame::Frame {
+fn data_row(value: &str) -> frame::Frame {
     let length = i32::try_from(value.len()).expect("settings are short");
     let mut body = bytes::BytesMut::new();
     body.put_i32(length);
@@ -90,10 +98,10 @@
     frame::Frame::encode(&data::DataRow::new(body, 1))
 }
 
-fn rows(answer: &local::Answer) -> Vec<frame::Frame> {
+fn statement_result(answer: &local::Answer) -> Vec<frame::Frame> {
     match answer {
-        local::Answer::Done(tag) => vec![complete(tag)],
-        local::Answer::Row { value, .. } => vec![row(value), complete("SHOW")],
+        local::Answer::Done(tag) => vec![command_complete(tag)],
+        local::Answer::Row { value, .. } => vec![data_row(value), command_complete("SHOW")],
     }
 }
 
@@ -107,10 +115,10 @@
 #[must_use]
 pub fn simple(answer: &local::Answer) -> Vec<frame::Frame> {
     match answer {
-        local::Answer::Done(_) => rows(answer),
+        local::Answer::Done(_) => statement_result(answer),
         local::Answer::Row { name, .. } => {
-            let mut frames = vec![columns(name)];
-            frames.extend(rows(answer));
+            let mut frames = vec![text_column(name)];
+            frames.extend(statement_result(answer));
             frames
         }
     }
@@ -135,19 +143,19 @@
     for (message, reference) in messages.iter().zip(references) {
         let statement = reference.as_deref();
         match message {
-            extended::Message::Parse(_) => frames.push(bare(PARSE_COMPLETE)),
-            extended::Message::Bind(_) => frames.push(bare(BIND_COMPLETE)),
-            extended::Message::Close(_) => frames.push(bare(CLOSE_COMPLETE)),
+            extended::Message::Parse(_) => frames.push(without_body(PARSE_COMPLETE)),
+            extended::Message::Bind(_) => frames.push(without_body(BIND_COMPLETE)),
+            extended::Message::Close(_) => frames.push(without_body(CLOSE_COMPLETE)),
             extended::Message::Describe(target) => {
                 if matches!(target, extended::Target::Statement(_)) {
                     frames.push(frame::Frame::encode(&data::ParameterDescription::new(
                         Vec::new(),
                     )));
                 }
-                frames.push(shape(statement));
+                frames.push(row_description(statement));
             }
             extended::Message::Execute { .. } => match statement.map(&mut run) {
-                Some(Ok(answer)) => frames.extend(rows(&answer)),
+                Some(Ok(answer)) => frames.extend(statement_result(&answer)),
                 Some(Err(error)) => {
                     frames.push(error.frame());
                     return (frames, effects);
@@ -161,13 +169,13 @@
     (frames, effects)
 }
 
-fn shape(statement: Option<&prepared::Statement>) -> frame::Frame {
+fn row_description(statement: Option<&prepared::Statement>) -> frame::Frame {
     match statement.map(|statement| &*statement.plan) {
         Some(classify::Plan::Local(commands)) => match commands.as_slice() {
-            [local::Command::Show(name)] => columns(name),
-            _ => bare(NO_DATA),
+            [local::Command::Show(name)] => text_column(name),
+            _ => without_body(NO_DATA),
         },
-        _ => bare(NO_DATA),
+        _ => without_body(NO_DATA),
     }
 }
 
--- a/src/assembly.rs
+++ b/src/assembly.rs
@@ -13,31 +13,31 @@
 use crate::upstream;
 
 /// First words of the failure of an answer that exceeds the limit.
-pub const TOO_LARGE: &str = "answer too large";
+pub const TOO_LARGE_MESSAGE: &str = "answer too large";
 
 /// Bytes of a frame besides its body.
-pub(crate) const HEADER_BYTES: usize = 5;
-pub(crate) const STAMP: &str = "group_stamp";
+pub(crate) const FRAME_HEADER_BYTES: usize = 5;
+pub(crate) const STAMP_PARAMETER: &str = "group_stamp";
 /// Parameters that begin with this are for the proxy and never reach the caller.
-const PRIVATE_PREFIX: &str = "group_";
+const PRIVATE_PARAMETER_PREFIX: &str = "group_";
 const SQLSTATE_FIELD: u8 = b'C';
 const MESSAGE_FIELD: u8 = b'M';
 
 /// Answer under construction.
 pub(crate) struct Assembly {
     frames: Vec<frame::Frame>,
-    size: usize,
-    limit: usize,
+    bytes: usize,
+    max_bytes: usize,
     stamp: Option<stamp::Stamp>,
     error: Option<CompactString>,
 }
 
 impl Assembly {
-    pub(crate) fn new(limit: usize) -> Self {
+    pub(crate) fn new(max_bytes: usize) -> Self {
         Self {
             frames: Vec::new(),
-            size: 0,
-            limit,
+            bytes: 0,
+            max_bytes,
             stamp: None,
             error: None,
         }
@@ -48,28 +48,30 @@
         &mut self,
         frame: frame::Frame,
     ) -> Result<Option<reply::Reply>, upstream::Failure> {
-        self.size += HEADER_BYTES + frame.body.len();
-        if self.size > self.limit {
+        self.bytes += FRAME_HEADER_BYTES + frame.body.len();
+        if self.bytes > self.max_bytes {
             return Err(self.too_large());
         }
-        self.sort(frame)
+        self.process(frame)
             .map_err(|error| upstream::Failure::Unknown(format_compact!("{error}")))
     }
 
     fn too_large(&self) -> upstream::Failure {
-        let limit = self.limit;
-        upstream::Failure::Unknown(format_compact!("{TOO_LARGE}: more than {limit} bytes"))
+        let max_bytes = self.max_bytes;
+        upstream::Failure::Unknown(format_compact!(
+            "{TOO_LARGE_MESSAGE}: more than {max_bytes} bytes"
+        ))
     }
 
-    fn sort(&mut self, frame: frame::Frame) -> eyre::Result<Option<reply::Reply>> {
+    fn process(&mut self, frame: frame::Frame) -> eyre::Result<Option<reply::Reply>> {
         match frame.tag {
             response::MESSAGE_TYPE_BYTE_READY_FOR_QUERY => return self.finish(&frame).map(Some),
             startup::MESSAGE_TYPE_BYTE_PARAMETER_STATUS => {
                 let status = frame.decode::<startup::ParameterStatus>()?;
-                if status.name == STAMP {
+                if status.name == STAMP_PARAMETER {
                     self.stamp = Some(status.value.parse()?);
                 }
-                if status.name.starts_with(PRIVATE_PREFIX) {
+                if status.name.starts_with(PRIVATE_PARAMETER_PREFIX) {
                     return Ok(None);
                 }
             }
@@ -91,14 +93,14 @@
         let ready = frame.decode::<response::ReadyForQuery>()?;
         Ok(reply::Reply {
             frames: std::mem::take(&mut self.frames),
-            transaction: state(ready.status),
+            transaction: transaction_state(ready.status),
             stamp: self.stamp,
             error: self.error.take(),
         })
     }
 }
 
-fn state(status: response::TransactionStatus) -> transaction::State {
+fn transaction_state(status: response::TransactionStatus) -> transaction::State {
     match status {
         response::TransactionStatus::Idle => transaction::State::Idle,
         response::TransactionStatus::Transaction => transaction::State::Open,
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -56,99 +56,108 @@
         let pid = self.runner.handle().pid();
         let database = parameters.database.as_str();
         tracing::debug!(target: "mangotray::session", pid, database, "open");
-        let _closed = Closed { pid };
-        match self.answer_all(parameters).await {
+        let _close_log = CloseLog { pid };
+        match self.serve_requests(parameters).await {
             Err(stop) => (self.stream, stop),
             Ok(never) => match never {},
         }
     }
 
-    async fn answer_all(
+    async fn serve_requests(
         &mut self,
         parameters: &startup::Parameters,
     ) -> Result<convert::Infallible, reader::Stop> {
-        let welcome = startup::welcome(parameters, self.runner.handle());
-        self.send(welcome).await?;
+        let response = startup::response(parameters, self.runner.handle());
+        self.send(response).await?;
         loop {
-            self.answer_one().await?;
+            self.serve_request().await?;
         }
     }
 
-    async fn answer_one(&mut self) -> Result<(), reader::Stop> {
-        let first = self.first().await?;
+    async fn serve_request(&mut self) -> Result<(), reader::Stop> {
+        let first_frame = self.first_frame().await?;
         let token = self.runner.settings.token;
-        let mut frames = match self.request(first).await? {
-            reader::Request::Query(text, frame) => self.query(&text, frame).await,
-            reader::Request::Extended(messages) => self.extended(&messages).await,
-            reader::Request::Unsupported { what, skip } => self.unsupported(what, skip).await?,
+        let mut frames = match self.read_request(first_frame).await? {
+            reader::Request::Query(text, frame) => self.run_query(&text, frame).await,
+            reader::Request::Extended(messages) => self.run_extended(&messages).await,
+            reader::Request::Unsupported {
+                message,
+                skip_to_sync,
+            } => self.refuse_unsupported(message, skip_to_sync).await?,
             reader::Request::Terminate => return Err(reader::Stop::Closed),
         };
         let settings = &self.runner.settings;
         if settings.token != token {
-            frames.push(answer::status(local::TOKEN, &settings.token_text()));
+            frames.push(answer::parameter_status(
+                local::TOKEN,
+                &settings.token_text(),
+            ));
         }
-        frames.push(answer::ready(self.runner.state()));
+        frames.push(answer::ready_for_query(self.runner.state()));
         self.send(frames).await
     }
 
     /// Waits for a request's first frame: without limit when idle, unless the process
     /// drains, and for a limited time within a transaction, which a drain lets finish.
-    async fn first(&mut self) -> Result<frame::Frame, reader::Stop> {
-        let idle = self.runner.state() == transaction::State::Idle;
+    async fn first_frame(&mut self) -> Result<frame::Frame, reader::Stop> {
+        let is_idle = self.runner.state() == transaction::State::Idle;
         let drain = self.context.drain.clone();
-        let patience = self.context.limits.patience;
+        let timeout = self.context.limits.caller_timeout;
         let stop = async move {
-            if idle {
+            if is_idle {
                 drain.wait().await;
                 return Err(reader::Stop::Fatal(writer::shutdown()));
             }
-            Err(reader::expire(patience, writer::idle_transaction()).await)
+            Err(reader::stop_after(timeout, writer::idle_transaction()).await)
         };
         // The read comes first: a request that is already here is served.
         reader::frame(&mut self.stream).or(stop).await
     }
 
-    async fn request(&mut self, first: frame::Frame) -> Result<reader::Request, reader::Stop> {
+    async fn read_request(
+        &mut self,
+        first_frame: frame::Frame,
+    ) -> Result<reader::Request, reader::Stop> {
         let limits = self.context.limits;
-        let late = reader::expire(limits.patience, writer::incomplete_request());
-        reader::request(&mut self.stream, first, limits.request)
-            .or(async { Err(late.await) })
+        let timed_out = reader::stop_after(limits.caller_timeout, writer::incomplete_request());
+        reader::request(&mut self.stream, first_frame, limits.max_request_bytes)
+            .or(async { Err(timed_out.await) })
             .await
     }
 
     async fn send(&mut self, frames: Vec<frame::Frame>) -> Result<(), reader::Stop> {
-        writer::send(&mut self.stream, frames, self.context.limits.send).await
+        writer::send(&mut self.stream, frames, self.context.limits.send_timeout).await
     }
 
-    async fn unsupported(
+    async fn refuse_unsupported(
         &mut self,
-        what: &str,
-        skip: bool,
+        message: &str,
+        skip_to_sync: bool,
     ) -> Result<Vec<frame::Frame>, reader::Stop> {
         let error = refusal::Error::new(
             refusal::NOT_SUPPORTED,
-            format_compact!("{what} messages are not supported through the proxy (not run)"),
+            format_compact!("{message} messages are not supported through the proxy (not run)"),
         );
         let frames = self.refuse(&error);
-        if skip {
+        if skip_to_sync {
             // The caller may wait for this answer before it sends the Sync.
             self.send(frames).await?;
-            reader::skip(&mut self.stream).await?;
+            reader::skip_to_sync(&mut self.stream).await?;
             return Ok(Vec::new());
         }
         Ok(frames)
     }
 
-    async fn query(&mut self, text: &str, frame: frame::Frame) -> Vec<frame::Frame> {
+    async fn run_query(&mut self, text: &str, frame: frame::Frame) -> Vec<frame::Frame> {
         let unnamed = prepared::Effect::Remove(CompactString::default());
         self.statements.settle([unnamed]);
-        let plan = self.context.verdicts.plan(text);
-        if self.runner.lost() {
-            return self.query_lost(&plan);
+        let plan = self.context.plans.plan(text);
+        if self.runner.is_transaction_lost() {
+            return self.query_after_loss(&plan);
         }
         match &*plan {
-            classify::Plan::Empty => vec![answer::empty()],
-            classify::Plan::Local(commands) => self.local(commands),
+            classify::Plan::Empty => vec![answer::empty_query()],
+            classify::Plan::Local(commands) => self.run_local_commands(commands),
             classify::Plan::Refuse(error) => self.refuse(error),
             classify::Plan::Run(verdict) => match self.runner.run(verdict, vec![frame]).await {
                 Ok(reply) => reply.frames,
@@ -159,7 +168,7 @@
     }
 
     /// Answers for a transaction that is already over at the database.
-    fn query_lost(&mut self, plan: &classify::Plan) -> Vec<frame::Frame> {
+    fn query_after_loss(&mut self, plan: &classify::Plan) -> Vec<frame::Frame> {
         if !analysis::ends(plan) {
             return vec![failed_transaction().frame()];
         }
@@ -167,7 +176,7 @@
         rolled_back()
     }
 
-    fn local(&mut self, commands: &[local::Command]) -> Vec<frame::Frame> {
+    fn run_local_commands(&mut self, commands: &[local::Command]) -> Vec<frame::Frame> {
         if self.runner.state() == transaction::State::Failed {
             return vec![failed_transaction().frame()];
         }
@@ -184,26 +193,28 @@
         frames
     }
 
-    async fn extended(&mut self, messages: &[extended::Message]) -> Vec<frame::Frame> {
+    async fn run_extended(&mut self, messages: &[extended::Message]) -> Vec<frame::Frame> {
         if let Err(error) = self.statements.check(messages) {
             return self.refuse(&error);
         }
-        let references = self.statements.resolve(messages, &self.context.verdicts);
-        if self.runner.lost() && analysis::ends_transaction(messages, &references) {
-            return self.extended_lost(messages, &references);
+        let references = self.statements.resolve(messages, &self.context.plans);
+        if self.runner.is_transaction_lost() && analysis::ends_transaction(messages, &references) {
+            return self.extended_after_loss(messages, &references);
         }
         let failed = self.runner.state() == transaction::State::Failed;
         match analysis::analyze(messages, &references) {
-            analysis::Analysis::Bookkeeping => self.answer(messages, &references),
+            analysis::Analysis::Bookkeeping => self.answer_locally(messages, &references),
             analysis::Analysis::Local if failed => vec![failed_transaction().frame()],
-            _ if self.runner.lost() => vec![failed_transaction().frame()],
-            analysis::Analysis::Local => self.answer(messages, &references),
+            _ if self.runner.is_transaction_lost() => vec![failed_transaction().frame()],
+            analysis::Analysis::Local => self.answer_locally(messages, &references),
             analysis::Analysis::Refuse(error) => self.refuse(&error),
-            analysis::Analysis::Run(verdict) => self.relay(messages, &references, &verdict).await,
+            analysis::Analysis::Run(verdict) => {
+                self.run_on_upstream(messages, &references, &verdict).await
+            }
         }
     }
 
-    async fn relay(
+    async fn run_on_upstream(
         &mut self,
         messages: &[extended::Message],
         references: &prepared::References,
@@ -217,12 +228,12 @@
                 relay.frames
             }
             Err(runner::Ending::Error(error)) => vec![error.frame()],
-            Err(runner::Ending::RolledBack) => self.extended_lost(messages, references),
+            Err(runner::Ending::RolledBack) => self.extended_after_loss(messages, references),
         }
     }
 
     /// Answers a batch that ends a transaction which is already over at the database.
-    fn extended_lost(
+    fn extended_after_loss(
         &mut self,
         messages: &[extended::Message],
         references: &prepared::References,
@@ -240,7 +251,7 @@
     }
 
     /// Answers a batch that touches only the session itself.
-    fn answer(
+    fn answer_locally(
         &mut self,
         messages: &[extended::Message],
         references: &prepared::References,
@@ -248,7 +259,7 @@
         let settings = &mut self.runner.settings;
         let mut failed = false;
         let (frames, effects) = answer::extended(messages, references, |statement| {
-            let result = run_local(settings, &statement.plan);
+            let result = run_local_statement(settings, &statement.plan);
             failed |= result.is_err();
             result
         });
@@ -266,11 +277,11 @@
     }
 }
 
-struct Closed {
+struct CloseLog {
     pid: i32,
 }
 
-impl Drop for Closed {
+impl Drop for CloseLog {
     fn drop(&mut self) {
         tracing::debug!(target: "mangotray::session", pid = self.pid, "close");
     }
@@ -280,7 +291,7 @@
     answer::simple(&local::Answer::Done(ROLLBACK))
 }
 
-fn run_local(
+fn run_local_statement(
     settings: &mut local::Settings,
     plan: &classify::Plan,
 ) -> Result<local::Answer, refusal::Error> {
--- a/src/console.rs
+++ b/src/console.rs
@@ -8,7 +8,7 @@
 
 const RED: &str = "31";
 const YELLOW: &str = "33";
-const NO_COLOUR: &str = "NO_COLOR";
+const NO_COLOUR_VARIABLE: &str = "NO_COLOR";
 
 /// Results go to `out`, everything else to `err`.
 pub struct Console {
@@ -30,7 +30,7 @@
     /// ```
     #[must_use]
     pub fn standard() -> Self {
-        let plain = std::env::var_os(NO_COLOUR).is_some_and(|value| !value.is_empty());
+        let plain = std::env::var_os(NO_COLOUR_VARIABLE).is_some_and(|value| !value.is_empty());
         Self {
             out: Box::new(io::stdout()),
             err: Box::new(io::stderr()),
@@ -47,8 +47,8 @@
     /// let mut console = mangotray::console::Console::standard();
     /// assert!(console.error("no such file").is_ok());
     /// ```
-    pub fn error(&mut self, words: &str) -> io::Result<()> {
-        self.paint(RED, "error", words)
+    pub fn error(&mut self, message: &str) -> io::Result<()> {
+        self.print_labelled(RED, "error", message)
     }
 
     /// Prints a warning.
@@ -60,8 +60,8 @@
     /// let mut console = mangotray::console::Console::standard();
     /// assert!(console.warning("one failure domain only").is_ok());
     /// ```
-    pub fn warning(&mut self, words: &str) -> io::Result<()> {
-        self.paint(YELLOW, "warning", words)
+    pub fn warning(&mut self, message: &str) -> io::Result<()> {
+        self.print_labelled(YELLOW, "warning", message)
     }
 
     /// Prints all faults of a file as errors.
@@ -100,11 +100,11 @@
         exit::Code::GeneralError
     }
 
-    fn paint(&mut self, colour: &str, label: &str, words: &str) -> io::Result<()> {
+    fn print_labelled(&mut self, colour: &str, label: &str, message: &str) -> io::Result<()> {
         if self.colour {
-            writeln!(self.err, "\x1b[1;{colour}m{label}\x1b[0m: {words}")
+            writeln!(self.err, "\x1b[1;{colour}m{label}\x1b[0m: {message}")
         } else {
-            writeln!(self.err, "{label}: {words}")
+            writeln!(self.err, "{label}: {message}")
         }
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -210,8 +210,8 @@
     let switch: sync::Arc<dyn lane::Factory> =
         sync::Arc::new(directory::CallerLanes(directory.clone()));
     let limits = session::Limits {
-        request: settings.limits.message_bytes,
-        startup: settings.limits.startup_timeout,
+        max_request_bytes: settings.limits.message_bytes,
+        startup_timeout: settings.limits.startup_timeout,
         ..session::Limits::default()
     };
     let callers = session::Context::new(switch, clock.clone(), limits, drain.clone());
--- a/src/direct.rs
+++ b/src/direct.rs
@@ -21,15 +21,15 @@
 use crate::transaction;
 
 /// SQLSTATE of a write refused because the instance does not lead (any more).
-const READ_ONLY: &str = "25006";
+const READ_ONLY_SQLSTATE: &str = "25006";
 
 /// Wait that a caller is told when all attempts have failed.
-const RETRY: time::Duration = time::Duration::from_millis(500);
+const RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
-const EXPIRED: &str = "the deadline passed while the request was running";
+const EXPIRED_DETAIL: &str = "the deadline passed while the request was running";
 
 /// Classes that turn no transaction into one that writes.
-const READING: [class::Class; 4] = [
+const NON_WRITING_CLASSES: [class::Class; 4] = [
     class::Class::Read,
     class::Class::BeginRead,
     class::Class::Commit,
@@ -52,7 +52,7 @@
 /// The attempts at one request outside of a transaction.
 struct Attempts<'a> {
     group: &'a group::Group,
-    latest: retry::Attempt,
+    attempt: retry::Attempt,
     backoff: retry::Backoff,
 }
 
@@ -60,7 +60,7 @@
     fn new(group: &'a group::Group, batch: &batch::Batch) -> Self {
         Self {
             group,
-            latest: retry::Attempt {
+            attempt: retry::Attempt {
                 class: batch.class,
                 pinned: false,
                 number: 1,
@@ -71,9 +71,9 @@
     }
 
     /// Pauses before the next attempt; false when there is to be none.
-    async fn again(&mut self, outcome: &outcome::Outcome) -> bool {
+    async fn pause_before_retry(&mut self, outcome: &outcome::Outcome) -> bool {
         let decision = retry::decide(
-            &self.latest,
+            &self.attempt,
             outcome,
             self.group.clock.now(),
             &mut self.group.retry_budget(),
@@ -83,7 +83,7 @@
         let retry::Decision::Again { after } = decision else {
             return false;
         };
-        self.latest.number += 1;
+        self.attempt.number += 1;
         async_io::Timer::after(after).await;
         true
     }
@@ -101,19 +101,19 @@
         }
     }
 
-    async fn dispatch(&mut self, batch: batch::Batch) -> Answer {
+    async fn run_batch(&mut self, batch: batch::Batch) -> Answer {
         self.path.group.watch.record_request();
         self.path.group.retry_budget().record_first_attempt();
         if let Some(pin) = self.pin.take() {
-            return self.pinned(pin, &batch).await;
+            return self.run_pinned(pin, &batch).await;
         }
         match batch.class {
-            class::Class::Read | class::Class::BeginRead => self.read(&batch).await,
-            _ => self.write(&batch).await,
+            class::Class::Read | class::Class::BeginRead => self.run_read(&batch).await,
+            _ => self.run_write(&batch).await,
         }
     }
 
-    async fn pinned(&mut self, pin: Pin, batch: &batch::Batch) -> Answer {
+    async fn run_pinned(&mut self, pin: Pin, batch: &batch::Batch) -> Answer {
         let Pin {
             place,
             parked,
@@ -121,8 +121,8 @@
         } = pin;
         // A transaction opened read-only may turn into one that writes; being refused then
         // says nothing of the primary.
-        let led = writes;
-        let writes = writes || !READING.contains(&batch.class);
+        let began_writing = writes;
+        let writes = writes || !NON_WRITING_CLASSES.contains(&batch.class);
         let Some(guard) = parked.resume() else {
             return Err(rolled_back(
                 "the proxy's share of the instance has ended".into(),
@@ -132,26 +132,28 @@
         self.path
             .log(batch, place.index, route::Reason::Pinned, None);
         match self.path.send(place, Some(guard), batch).await {
-            path::Delivery::Answered(reply, _) if led && !batch.mixed && read_only(&reply) => {
-                Err(replaced())
+            path::Delivery::Answered(reply, _)
+                if began_writing && !batch.mixed && is_read_only_error(&reply) =>
+            {
+                Err(primary_replaced())
             }
             path::Delivery::Answered(reply, guard) => {
-                self.settle(batch, place, writes, reply, guard).await
+                self.finish(batch, place, writes, reply, guard).await
             }
-            path::Delivery::Lost(detail) if commits && writes => Err(lost(detail)),
-            path::Delivery::Expired if commits && writes => Err(expired()),
+            path::Delivery::Lost(detail) if commits && writes => Err(connection_lost(detail)),
+            path::Delivery::Expired if commits && writes => Err(expired_while_running()),
             // The transaction was never asked to commit, so losing its connection
             // has rolled it back.
             path::Delivery::Lost(detail) | path::Delivery::Unsent(detail) => {
                 Err(rolled_back(detail))
             }
-            path::Delivery::Expired => Err(rolled_back(EXPIRED.into())),
-            path::Delivery::Late => Err(late()),
+            path::Delivery::Expired => Err(rolled_back(EXPIRED_DETAIL.into())),
+            path::Delivery::Late => Err(not_sent_in_time()),
             path::Delivery::Refused(outcome) => Err(outcome),
         }
     }
 
-    async fn write(&mut self, batch: &batch::Batch) -> Answer {
+    async fn run_write(&mut self, batch: &batch::Batch) -> Answer {
         let group = self.path.group.clone();
         let mut attempts = Attempts::new(&group, batch);
         loop {
@@ -159,34 +161,34 @@
             self.path
                 .log(batch, place.index, route::Reason::Primary, None);
             let outcome = match self.path.send(place, None, batch).await {
-                path::Delivery::Answered(reply, guard) if refused_by_replica(batch, &reply) => {
+                path::Delivery::Answered(reply, guard) if is_refused_as_replica(batch, &reply) => {
                     // A transaction may be open, and failed; it ends with the connection.
                     drop(guard);
                     unsent("the instance does not lead any more".into())
                 }
                 path::Delivery::Answered(reply, guard) => {
-                    return self.settle(batch, place, true, reply, guard).await;
+                    return self.finish(batch, place, true, reply, guard).await;
                 }
                 path::Delivery::Unsent(detail) => unsent(detail),
-                path::Delivery::Lost(detail) if ends_unfinished(batch) => {
+                path::Delivery::Lost(detail) if loss_rolls_back(batch) => {
                     return Err(rolled_back(detail));
                 }
-                path::Delivery::Expired if ends_unfinished(batch) => {
-                    return Err(rolled_back(EXPIRED.into()));
+                path::Delivery::Expired if loss_rolls_back(batch) => {
+                    return Err(rolled_back(EXPIRED_DETAIL.into()));
                 }
-                path::Delivery::Lost(detail) => return Err(lost(detail)),
-                path::Delivery::Expired => return Err(expired()),
-                path::Delivery::Late => return Err(late()),
+                path::Delivery::Lost(detail) => return Err(connection_lost(detail)),
+                path::Delivery::Expired => return Err(expired_while_running()),
+                path::Delivery::Late => return Err(not_sent_in_time()),
                 path::Delivery::Refused(outcome) => return Err(outcome),
             };
-            if !attempts.again(&outcome).await {
-                return Err(hinted(outcome));
+            if !attempts.pause_before_retry(&outcome).await {
+                return Err(with_retry_hint(outcome));
             }
             self.path.await_change(place.index, batch).await;
         }
     }
 
-    async fn read(&mut self, batch: &batch::Batch) -> Answer {
+    async fn run_read(&mut self, batch: &batch::Batch) -> Answer {
         let group = self.path.group.clone();
         let mut attempts = Attempts::new(&group, batch);
         let mut failed = Vec::new();
@@ -194,25 +196,27 @@
         loop {
             let found = self.path.read_target(batch, &failed).await;
             let (place, why, floor) =
-                found.map_err(|outcome| finally(unanswered.as_ref(), outcome))?;
+                found.map_err(|outcome| read_outcome(unanswered.as_ref(), outcome))?;
             self.path.log(batch, place.index, why, Some(floor));
             let outcome = match self.path.send(place, None, batch).await {
                 path::Delivery::Answered(reply, guard) => {
-                    return self.settle(batch, place, false, reply, guard).await;
+                    return self.finish(batch, place, false, reply, guard).await;
                 }
                 path::Delivery::Unsent(detail) => unsent(detail),
                 path::Delivery::Lost(detail) => {
-                    unanswered = Some(lost(detail.clone()));
-                    lost_read(batch, detail)
+                    unanswered = Some(connection_lost(detail.clone()));
+                    read_connection_lost(batch, detail)
+                }
+                path::Delivery::Expired => return Err(expired_while_running()),
+                path::Delivery::Late => {
+                    return Err(read_outcome(unanswered.as_ref(), not_sent_in_time()));
                 }
-                path::Delivery::Expired => return Err(expired()),
-                path::Delivery::Late => return Err(finally(unanswered.as_ref(), late())),
                 path::Delivery::Refused(outcome) => {
-                    return Err(finally(unanswered.as_ref(), outcome));
+                    return Err(read_outcome(unanswered.as_ref(), outcome));
                 }
             };
-            if !attempts.again(&outcome).await {
-                return Err(finally(unanswered.as_ref(), hinted(outcome)));
+            if !attempts.pause_before_retry(&outcome).await {
+                return Err(read_outcome(unanswered.as_ref(), with_retry_hint(outcome)));
             }
             failed.push(place.index);
             if failed.len() >= group.declaration().instances.len() {
@@ -222,7 +226,7 @@
     }
 
     /// Relays a whole answer, once what it shows is certain to last.
-    async fn settle(
+    async fn finish(
         &mut self,
         batch: &batch::Batch,
         place: path::Target,
@@ -259,43 +263,43 @@
 
 impl lane::Lane for Lane {
     fn run(&mut self, batch: batch::Batch) -> futures_util::future::BoxFuture<'_, Answer> {
-        self.dispatch(batch).boxed()
+        self.run_batch(batch).boxed()
     }
 }
 
 /// Whether the instance proved that it leads no more and that nothing was committed.
-fn refused_by_replica(batch: &batch::Batch, reply: &reply::Reply) -> bool {
+fn is_refused_as_replica(batch: &batch::Batch, reply: &reply::Reply) -> bool {
     let writes = matches!(batch.class, class::Class::Write | class::Class::Begin);
     let idle = reply.transaction == transaction::State::Idle;
     // Within a mixed batch a transaction may have been committed before the refusal;
     // its end would have been reported.
-    let nothing_ended = if batch.mixed {
+    let no_transaction_ended = if batch.mixed {
         reply.stamp.is_none()
     } else {
         idle
     };
-    writes && nothing_ended && read_only(reply)
+    writes && no_transaction_ended && is_read_only_error(reply)
 }
 
 /// Whether the instance refused to write. Inside a transaction that was opened on a
 /// primary it means that the primary has been replaced and the transaction aborted.
-fn read_only(reply: &reply::Reply) -> bool {
-    reply.error.as_deref() == Some(READ_ONLY)
+fn is_read_only_error(reply: &reply::Reply) -> bool {
+    reply.error.as_deref() == Some(READ_ONLY_SQLSTATE)
 }
 
 /// Whether losing the connection surely rolls the batch back: a transaction was opened
 /// and nothing in the batch could have committed it.
-fn ends_unfinished(batch: &batch::Batch) -> bool {
+fn loss_rolls_back(batch: &batch::Batch) -> bool {
     batch.class == class::Class::Begin
 }
 
-fn late() -> outcome::Outcome {
+fn not_sent_in_time() -> outcome::Outcome {
     let detail = "the deadline passed before the request was sent".into();
     outcome::Outcome::not_run(reason::Reason::Deadline, detail, None)
 }
 
-fn expired() -> outcome::Outcome {
-    outcome::Outcome::unknown(reason::Reason::Deadline, EXPIRED.into())
+fn expired_while_running() -> outcome::Outcome {
+    outcome::Outcome::unknown(reason::Reason::Deadline, EXPIRED_DETAIL.into())
 }
 
 /// What a failed attempt shows when nothing was sent. Without a hint: that is for the
@@ -305,21 +309,21 @@
 }
 
 /// A transaction that was only opened, for reads, is as good as never opened.
-fn lost_read(batch: &batch::Batch, detail: CompactString) -> outcome::Outcome {
+fn read_connection_lost(batch: &batch::Batch, detail: CompactString) -> outcome::Outcome {
     match batch.class {
         class::Class::BeginRead => unsent(detail),
-        _ => lost(detail),
+        _ => connection_lost(detail),
     }
 }
 
 /// Outcome of a read: one that was sent and not answered may have run, whatever became
 /// of the later attempts.
-fn finally(unanswered: Option<&outcome::Outcome>, last: outcome::Outcome) -> outcome::Outcome {
+fn read_outcome(unanswered: Option<&outcome::Outcome>, last: outcome::Outcome) -> outcome::Outcome {
     unanswered.cloned().unwrap_or(last)
 }
 
 /// Adds a hint for the caller where there is none.
-fn hinted(outcome: outcome::Outcome) -> outcome::Outcome {
+fn with_retry_hint(outcome: outcome::Outcome) -> outcome::Outcome {
     match outcome {
         outcome::Outcome::NotRun {
             reason,
@@ -328,13 +332,13 @@
         } => outcome::Outcome::NotRun {
             reason,
             detail,
-            retry: retry.or_else(|| Some(enrol::jittered(RETRY))),
+            retry: retry.or_else(|| Some(enrol::jittered(RETRY_AFTER))),
         },
         unknown @ outcome::Outcome::Unknown { .. } => unknown,
     }
 }
 
-fn lost(detail: CompactString) -> outcome::Outcome {
+fn connection_lost(detail: CompactString) -> outcome::Outcome {
     outcome::Outcome::unknown(reason::Reason::ConnectionLost, detail)
 }
 
@@ -343,7 +347,7 @@
     outcome::Outcome::not_run(reason::Reason::ConnectionLost, detail, retry)
 }
 
-fn replaced() -> outcome::Outcome {
+fn primary_replaced() -> outcome::Outcome {
     rolled_back("the primary was replaced before the commit".into())
 }
 
--- a/src/direct/tests.rs
+++ b/src/direct/tests.rs
@@ -31,12 +31,12 @@
 use crate::upstream;
 
 const START: id::Time = time::Duration::from_secs(100);
-const PATIENCE: time::Duration = time::Duration::from_secs(3);
+const BATCH_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
 /// Time that moves only when a test says so.
-struct Manual(sync::Mutex<id::Time>);
+struct ManualClock(sync::Mutex<id::Time>);
 
-impl clock::Clock for Manual {
+impl clock::Clock for ManualClock {
     fn now(&self) -> id::Time {
         *self.0.lock().unwrap()
     }
@@ -44,33 +44,33 @@
 
 /// What becomes of the batches that reach any instance.
 #[derive(Default)]
-struct Fate {
+struct Upstreams {
     sent: atomic::AtomicUsize,
     /// Batches that are lost; all later connections are refused.
     lost: usize,
 }
 
-struct Instance(sync::Arc<Fate>);
+struct Instance(sync::Arc<Upstreams>);
 
-type Failed = upstream::Failure;
+type Failure = upstream::Failure;
 
 impl upstream::Upstream for Instance {
-    fn status(&self) -> future::BoxFuture<'_, Result<status::Status, Failed>> {
-        future::ready(Err(Failed::NotRun("not asked here".into()))).boxed()
+    fn status(&self) -> future::BoxFuture<'_, Result<status::Status, Failure>> {
+        future::ready(Err(Failure::NotRun("not asked here".into()))).boxed()
     }
 
-    fn fence(&self, _: id::Term) -> future::BoxFuture<'_, Result<status::Status, Failed>> {
+    fn fence(&self, _: id::Term) -> future::BoxFuture<'_, Result<status::Status, Failure>> {
         self.status()
     }
 
-    fn promote(&self, _: id::Term) -> future::BoxFuture<'_, Result<status::Status, Failed>> {
+    fn promote(&self, _: id::Term) -> future::BoxFuture<'_, Result<status::Status, Failure>> {
         self.status()
     }
 
-    fn open(&self) -> future::BoxFuture<'_, Result<Box<dyn upstream::Connection>, Failed>> {
+    fn open(&self) -> future::BoxFuture<'_, Result<Box<dyn upstream::Connection>, Failure>> {
         let sent = self.0.sent.load(atomic::Ordering::SeqCst);
         let connection: Box<dyn upstream::Connection> = Box::new(Connection(self.0.clone()));
-        let refused = Err(Failed::NotRun("refused".into()));
+        let refused = Err(Failure::NotRun("refused".into()));
         let answer = if sent < self.0.lost {
             Ok(connection)
         } else {
@@ -80,7 +80,7 @@
     }
 }
 
-struct Connection(sync::Arc<Fate>);
+struct Connection(sync::Arc<Upstreams>);
 
 impl upstream::Connection for Connection {
     fn incarnation(&self) -> id::Incarnation {
@@ -90,31 +90,32 @@
     fn run<'a>(
         &'a mut self,
         _: &'a [frame::Frame],
-    ) -> future::BoxFuture<'a, Result<reply::Reply, Failed>> {
+    ) -> future::BoxFuture<'a, Result<reply::Reply, Failure>> {
         self.0.sent.fetch_add(1, atomic::Ordering::SeqCst);
-        future::ready(Err(Failed::Unknown("reset by peer".into()))).boxed()
+        future::ready(Err(Failure::Unknown("reset by peer".into()))).boxed()
     }
 }
 
 /// A group whose tasks never run: its board shows what the test says.
 struct Setup {
     group: sync::Arc<group::Group>,
-    clock: sync::Arc<Manual>,
-    fate: sync::Arc<Fate>,
+    clock: sync::Arc<ManualClock>,
+    upstreams: sync::Arc<Upstreams>,
 }
 
-const TEXT: &str = "[group g]\ndatabase = d\n\
+const DECLARATION: &str = "[group g]\ndatabase = d\n\
     instances = a@x:10.0.0.1:5, b@y:10.0.0.2:5, c@z:10.0.0.3:5\n\
     connections = 20\nslots = 3\ndeadline = 2s\n";
 
 fn setup(lost: usize) -> Setup {
-    let clock = sync::Arc::new(Manual(sync::Mutex::new(START)));
-    let fate = sync::Arc::new(Fate {
+    let clock = sync::Arc::new(ManualClock(sync::Mutex::new(START)));
+    let upstreams = sync::Arc::new(Upstreams {
         lost,
-        ..Fate::default()
+        ..Upstreams::default()
     });
-    let declaration = declaration::Declaration::parse(TEXT).unwrap();
-    let instance = || sync::Arc::new(Instance(fate.clone())) as sync::Arc<dyn upstream::Upstream>;
+    let declaration = declaration::Declaration::parse(DECLARATION).unwrap();
+    let instance =
+        || sync::Arc::new(Instance(upstreams.clone())) as sync::Arc<dyn upstream::Upstream>;
     let limit = pool::Limit {
         connections: 6,
         slots: 3,
@@ -136,13 +137,17 @@
         executor: sync::Arc::default(),
     });
     group.set_share(limit, START * 10);
-    let setup = Setup { group, clock, fate };
-    (0..3).for_each(|index| setup.see(index, 5));
+    let setup = Setup {
+        group,
+        clock,
+        upstreams,
+    };
+    (0..3).for_each(|index| setup.report_position(index, 5));
     setup
 }
 
 impl Setup {
-    fn see(&self, index: id::Index, position: id::Position) {
+    fn report_position(&self, index: id::Index, position: id::Position) {
         let now = clock::Clock::now(&*self.clock);
         let primary = index == 0;
         let observation = board::Observation {
@@ -163,11 +168,11 @@
         self.group.watch.record_answer(index, observation);
     }
 
-    fn pass(&self, time: time::Duration) {
+    fn advance(&self, time: time::Duration) {
         *self.clock.0.lock().unwrap() += time;
     }
 
-    fn batch(&self, class: class::Class, patience: time::Duration) -> batch::Batch {
+    fn batch(&self, class: class::Class, timeout: time::Duration) -> batch::Batch {
         let now = clock::Clock::now(&*self.clock);
         batch::Batch {
             request: 1,
@@ -179,24 +184,24 @@
             tables: vec![],
             token: None,
             arrived: now,
-            deadline: now + patience,
+            deadline: now + timeout,
         }
     }
 
     fn run(&self, class: class::Class) -> outcome::Outcome {
         let mut lane = direct::Lane::new(self.group.clone());
-        async_io::block_on(lane.run(self.batch(class, PATIENCE))).unwrap_err()
+        async_io::block_on(lane.run(self.batch(class, BATCH_TIMEOUT))).unwrap_err()
     }
 
-    fn primary(&self, patience: time::Duration) -> Result<id::Index, outcome::Outcome> {
+    fn primary(&self, timeout: time::Duration) -> Result<id::Index, outcome::Outcome> {
         let path = path::Path::new(self.group.clone());
-        let place = async_io::block_on(path.primary(&self.batch(class::Class::Write, patience)));
+        let place = async_io::block_on(path.primary(&self.batch(class::Class::Write, timeout)));
         place.map(|place| place.index)
     }
 }
 
-fn refused_for(result: &Result<id::Index, outcome::Outcome>, wanted: reason::Reason) -> bool {
-    matches!(result, Err(outcome::Outcome::NotRun { reason, retry: Some(_), .. }) if *reason == wanted)
+fn is_refused_for(result: &Result<id::Index, outcome::Outcome>, expected: reason::Reason) -> bool {
+    matches!(result, Err(outcome::Outcome::NotRun { reason, retry: Some(_), .. }) if *reason == expected)
 }
 
 /// Symptom: a read that an instance may have run is reported as surely not run. Events:
@@ -207,7 +212,7 @@
     for class in [class::Class::Read, class::Class::BeginRead] {
         let setup = setup(1);
         assert_matches!(setup.run(class), outcome::Outcome::Unknown { .. });
-        assert_eq!(setup.fate.sent.load(atomic::Ordering::SeqCst), 1);
+        assert_eq!(setup.upstreams.sent.load(atomic::Ordering::SeqCst), 1);
     }
 }
 
@@ -224,14 +229,14 @@
     let setup = setup(usize::MAX);
     let now = clock::Clock::now(&*setup.clock);
     setup.run(class::Class::Read);
-    let sent = setup.fate.sent.swap(0, atomic::Ordering::SeqCst);
+    let sent = setup.upstreams.sent.swap(0, atomic::Ordering::SeqCst);
     assert_eq!(sent, usize::try_from(retry::MAX_ATTEMPTS).unwrap());
     while setup.group.retry_budget().take_retry(now) {}
     assert_matches!(
         setup.run(class::Class::Read),
         outcome::Outcome::Unknown { .. }
     );
-    assert_eq!(setup.fate.sent.load(atomic::Ordering::SeqCst), 1);
+    assert_eq!(setup.upstreams.sent.load(atomic::Ordering::SeqCst), 1);
 }
 
 /// Symptom: reads wait for an instance that answers none, while others are well. Events:
@@ -256,20 +261,20 @@
 #[test]
 fn a_write_that_cannot_be_confirmed_in_time_is_refused() {
     let setup = setup(0);
-    setup.see(0, 9);
-    setup.pass(time::Duration::from_secs(4));
+    setup.report_position(0, 9);
+    setup.advance(time::Duration::from_secs(4));
     let wait = time::Duration::from_secs(10);
     assert_eq!(setup.primary(wait), Ok(0));
-    assert_eq!(setup.primary(PATIENCE), Ok(0), "the trial");
-    assert!(refused_for(
-        &setup.primary(PATIENCE),
+    assert_eq!(setup.primary(BATCH_TIMEOUT), Ok(0), "the trial");
+    assert!(is_refused_for(
+        &setup.primary(BATCH_TIMEOUT),
         reason::Reason::NoMajority
     ));
-    setup.pass(time::Duration::from_secs(1));
-    assert_eq!(setup.primary(PATIENCE), Ok(0), "the next trial");
-    setup.see(1, 9);
-    assert_eq!(setup.primary(PATIENCE), Ok(0));
-    assert_eq!(setup.primary(PATIENCE), Ok(0));
+    setup.advance(time::Duration::from_secs(1));
+    assert_eq!(setup.primary(BATCH_TIMEOUT), Ok(0), "the next trial");
+    setup.report_position(1, 9);
+    assert_eq!(setup.primary(BATCH_TIMEOUT), Ok(0));
+    assert_eq!(setup.primary(BATCH_TIMEOUT), Ok(0));
 }
 
 #[test]
@@ -277,9 +282,12 @@
     let none = time::Duration::ZERO;
     let setup = setup(0);
     setup.group.watch.record_failure(0);
-    assert!(refused_for(&setup.primary(none), reason::Reason::NoPrimary));
+    assert!(is_refused_for(
+        &setup.primary(none),
+        reason::Reason::NoPrimary
+    ));
     setup.group.watch.record_failure(1);
-    assert!(refused_for(
+    assert!(is_refused_for(
         &setup.primary(none),
         reason::Reason::NoMajority
     ));
--- a/src/extended.rs
+++ b/src/extended.rs
@@ -29,7 +29,7 @@
         /// Name of the portal.
         portal: CompactString,
         /// Greatest number of rows to answer; zero for all.
-        rows: i32,
+        max_rows: i32,
     },
     /// Ends the batch.
     Sync,
@@ -43,7 +43,7 @@
     /// SQL text.
     pub query: sync::Arc<str>,
     /// Count and object ids of the parameter types, as encoded.
-    pub types: bytes::Bytes,
+    pub parameter_types: bytes::Bytes,
 }
 
 /// A statement with its parameters.
@@ -54,7 +54,7 @@
     /// Name of the statement.
     pub statement: CompactString,
     /// Parameters and formats, as encoded.
-    pub rest: bytes::Bytes,
+    pub parameters: bytes::Bytes,
 }
 
 /// What a Describe or Close is about.
@@ -66,9 +66,9 @@
     Portal(CompactString),
 }
 
-const STATEMENT: u8 = b'S';
-const PORTAL: u8 = b'P';
-const TYPE_BYTES: usize = 4;
+const STATEMENT_KIND: u8 = b'S';
+const PORTAL_KIND: u8 = b'P';
+const TYPE_ID_BYTES: usize = 4;
 
 impl Message {
     /// Takes a frame apart.
@@ -77,7 +77,7 @@
     /// use mangotray::{extended, frame};
     /// let frame = frame::Frame { tag: b'E', body: bytes::Bytes::from_static(b"\0\0\0\0\0") };
     /// let message = extended::Message::decode(&frame).unwrap();
-    /// assert_eq!(message, extended::Message::Execute { portal: "".into(), rows: 0 });
+    /// assert_eq!(message, extended::Message::Execute { portal: "".into(), max_rows: 0 });
     /// assert_eq!(message.encode(), frame);
     /// ```
     ///
@@ -99,8 +99,8 @@
             b'D' => Target::read(body).map(Self::Describe),
             b'C' => Target::read(body).map(Self::Close),
             b'E' => Some(Self::Execute {
-                portal: text(body)?.into(),
-                rows: body.try_get_i32().ok()?,
+                portal: read_text(body)?.into(),
+                max_rows: body.try_get_i32().ok()?,
             }),
             b'S' => Some(Self::Sync),
             _ => None,
@@ -118,15 +118,15 @@
         let mut body = bytes::BytesMut::new();
         let tag = match self {
             Self::Parse(parse) => {
-                put(&mut body, &parse.name);
-                put(&mut body, &parse.query);
-                body.put_slice(&parse.types);
+                put_text(&mut body, &parse.name);
+                put_text(&mut body, &parse.query);
+                body.put_slice(&parse.parameter_types);
                 b'P'
             }
             Self::Bind(bind) => {
-                put(&mut body, &bind.portal);
-                put(&mut body, &bind.statement);
-                body.put_slice(&bind.rest);
+                put_text(&mut body, &bind.portal);
+                put_text(&mut body, &bind.statement);
+                body.put_slice(&bind.parameters);
                 b'B'
             }
             Self::Describe(target) => {
@@ -137,9 +137,9 @@
                 target.write(&mut body);
                 b'C'
             }
-            Self::Execute { portal, rows } => {
-                put(&mut body, portal);
-                body.put_i32(*rows);
+            Self::Execute { portal, max_rows } => {
+                put_text(&mut body, portal);
+                body.put_i32(*max_rows);
                 b'E'
             }
             Self::Sync => b'S',
@@ -153,23 +153,27 @@
 
 impl Parse {
     fn read(body: &mut bytes::Bytes) -> Option<Self> {
-        let name = text(body)?.into();
-        let query = text(body)?.into();
+        let name = read_text(body)?.into();
+        let query = read_text(body)?.into();
         let count = usize::from(body.clone().try_get_u16().ok()?);
-        let types = take(body, size_of::<u16>() + count * TYPE_BYTES)?;
-        Some(Self { name, query, types })
+        let parameter_types = split_front(body, size_of::<u16>() + count * TYPE_ID_BYTES)?;
+        Some(Self {
+            name,
+            query,
+            parameter_types,
+        })
     }
 }
 
 impl Bind {
     fn read(body: &mut bytes::Bytes) -> Option<Self> {
-        let portal = text(body)?.into();
-        let statement = text(body)?.into();
-        let rest = body.split_off(0);
+        let portal = read_text(body)?.into();
+        let statement = read_text(body)?.into();
+        let parameters = body.split_off(0);
         Some(Self {
             portal,
             statement,
-            rest,
+            parameters,
         })
     }
 }
@@ -177,19 +181,19 @@
 impl Target {
     fn read(body: &mut bytes::Bytes) -> Option<Self> {
         match body.try_get_u8().ok()? {
-            STATEMENT => Some(Self::Statement(text(body)?.into())),
-            PORTAL => Some(Self::Portal(text(body)?.into())),
+            STATEMENT_KIND => Some(Self::Statement(read_text(body)?.into())),
+            PORTAL_KIND => Some(Self::Portal(read_text(body)?.into())),
             _ => None,
         }
     }
 
     fn write(&self, body: &mut bytes::BytesMut) {
         let (kind, name) = match self {
-            Self::Statement(name) => (STATEMENT, name),
-            Self::Portal(name) => (PORTAL, name),
+            Self::Statement(name) => (STATEMENT_KIND, name),
+            Self::Portal(name) => (PORTAL_KIND, name),
         };
         body.put_u8(kind);
-        put(body, name);
+        put_text(body, name);
     }
 }
 
@@ -205,7 +209,7 @@
 /// The fatal error to send, when the body is not one text.
 pub fn query(frame: &frame::Frame) -> Result<String, refusal::Error> {
     let mut body = frame.body.clone();
-    text(&mut body)
+    read_text(&mut body)
         .filter(|_| body.is_empty())
         .ok_or_else(|| malformed(frame))
 }
@@ -222,17 +226,17 @@
 }
 
 /// Reads a text that ends in a zero byte.
-fn text(body: &mut bytes::Bytes) -> Option<String> {
+fn read_text(body: &mut bytes::Bytes) -> Option<String> {
     let length = body.iter().position(|byte| *byte == 0)?;
-    let text = take(body, length + 1)?;
+    let text = split_front(body, length + 1)?;
     String::from_utf8(text[..length].to_vec()).ok()
 }
 
-fn take(body: &mut bytes::Bytes, length: usize) -> Option<bytes::Bytes> {
+fn split_front(body: &mut bytes::Bytes, length: usize) -> Option<bytes::Bytes> {
     (length <= body.len()).then(|| body.split_to(length))
 }
 
-fn put(body: &mut bytes::BytesMut, text: &str) {
+fn put_text(body: &mut bytes::BytesMut, text: &str) {
     body.put_slice(text.as_bytes());
     body.put_u8(0);
 }
--- a/src/hello.rs
+++ b/src/hello.rs
@@ -123,7 +123,7 @@
 }
 
 fn into_peer_codec<In, Out>(framed: Framed<Hello, Hello>) -> Framed<In, Out> {
-    framed.map_codec(|_| packet::Codec::new(packet::LIMIT))
+    framed.map_codec(|_| packet::Codec::new(packet::MAX_MESSAGE_BYTES))
 }
 
 async fn with_timeout<T>(exchange: impl Future<Output = io::Result<T>>) -> io::Result<T> {
--- a/src/link.rs
+++ b/src/link.rs
@@ -295,7 +295,7 @@
 /// A frame over the limit is refused by its length field, before it is read.
 fn lost(error: &io::Error) -> upstream::Failure {
     if error.kind() == io::ErrorKind::InvalidData {
-        return unknown(format_args!("{}: {error}", assembly::TOO_LARGE));
+        return unknown(format_args!("{}: {error}", assembly::TOO_LARGE_MESSAGE));
     }
     unknown(format_args!(
         "connection lost before the whole answer: {error}"
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -43,7 +43,7 @@
 }
 
 fn complete() -> Vec<u8> {
-    let stamp = startup::ParameterStatus::new(assembly::STAMP.into(), "3/9".into());
+    let stamp = startup::ParameterStatus::new(assembly::STAMP_PARAMETER.into(), "3/9".into());
     let zone = startup::ParameterStatus::new("TimeZone".into(), "UTC".into());
     [
         encode(&data::DataRow::new(bytes::BytesMut::new(), 0)),
@@ -140,11 +140,11 @@
 fn an_answer_over_the_limit_is_named_so() {
     let many = complete();
     let results = converse(many.len() - 1, vec![many.clone()], 2);
-    assert_matches!(&results[0], Err(upstream::Failure::Unknown(words)) if words.starts_with(assembly::TOO_LARGE));
+    assert_matches!(&results[0], Err(upstream::Failure::Unknown(words)) if words.starts_with(assembly::TOO_LARGE_MESSAGE));
     assert_matches!(results[1], Err(upstream::Failure::NotRun(_)));
     let row = data::DataRow::new(bytes::BytesMut::from(&[0; 2000][..]), 1);
     let results = converse(1024, vec![encode(&row)], 1);
-    assert_matches!(&results[0], Err(upstream::Failure::Unknown(words)) if words.starts_with(assembly::TOO_LARGE));
+    assert_matches!(&results[0], Err(upstream::Failure::Unknown(words)) if words.starts_with(assembly::TOO_LARGE_MESSAGE));
     assert_matches!(converse(many.len(), vec![many], 1)[0], Ok(_));
 }
 
@@ -189,7 +189,7 @@
             let row = data::DataRow::new(bytes::BytesMut::zeroed(LONG), 1);
             socket.write_all(&encode(&row)).await.unwrap();
             // Header and final zero of the query, less the part that was read first.
-            let rest = LONG + assembly::HEADER_BYTES + 1 - 1024;
+            let rest = LONG + assembly::FRAME_HEADER_BYTES + 1 - 1024;
             socket.read_exact(&mut vec![0; rest]).await.unwrap();
             socket.write_all(&complete()).await.unwrap();
         };
--- a/src/packet.rs
+++ b/src/packet.rs
@@ -9,7 +9,7 @@
 const LENGTH_BYTES: usize = 4;
 
 /// Largest message between two proxies, in bytes, without its length field.
-pub const LIMIT: usize = 64 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Codec that sends messages of type `Out` and receives messages of type `In`.
 ///
@@ -20,12 +20,12 @@
 #[derive(Debug)]
 pub struct Codec<In, Out> {
     inner: codec::LengthDelimitedCodec,
-    limit: usize,
+    max_bytes: usize,
     types: marker::PhantomData<fn(Out) -> In>,
 }
 
 impl<In, Out> Codec<In, Out> {
-    /// A codec for messages of at most `limit` bytes.
+    /// A codec for messages of at most `max_bytes` bytes.
     ///
     /// ```
     /// use mangotray::packet;
@@ -36,13 +36,13 @@
     /// assert_eq!(codec.decode(&mut buffer).unwrap(), Some(7));
     /// ```
     #[must_use]
-    pub fn new(limit: usize) -> Self {
+    pub fn new(max_bytes: usize) -> Self {
         Self {
             inner: codec::LengthDelimitedCodec::builder()
                 .length_field_length(LENGTH_BYTES)
-                .max_frame_length(limit)
+                .max_frame_length(max_bytes)
                 .new_codec(),
-            limit,
+            max_bytes,
             types: marker::PhantomData,
         }
     }
@@ -73,7 +73,7 @@
     /// On any error the buffer is left as it was, so nothing of the message is sent.
     fn encode(&mut self, message: Out, buffer: &mut bytes::BytesMut) -> io::Result<()> {
         let start = buffer.len();
-        let result = append(&message, buffer, self.limit);
+        let result = append(&message, buffer, self.max_bytes);
         if result.is_err() {
             buffer.truncate(start);
         }
@@ -84,15 +84,15 @@
 fn append<M: serde::Serialize>(
     message: &M,
     buffer: &mut bytes::BytesMut,
-    limit: usize,
+    max_bytes: usize,
 ) -> io::Result<()> {
     let start = buffer.len();
     let body = start + LENGTH_BYTES;
     buffer.put_bytes(0, LENGTH_BYTES);
     postcard::to_io(message, (&mut *buffer).writer()).map_err(malformed)?;
     let length = buffer.len() - body;
-    if length > limit {
-        let text = format!("message of {length} bytes is over the limit of {limit}");
+    if length > max_bytes {
+        let text = format!("message of {length} bytes is over the limit of {max_bytes}");
         return Err(io::Error::new(io::ErrorKind::InvalidData, text));
     }
     let length = u32::try_from(length).map_err(malformed)?;
--- a/src/prepared.rs
+++ b/src/prepared.rs
@@ -46,7 +46,7 @@
     /// let parse = extended::Parse {
     ///     name: "s1".into(),
     ///     query: "SELECT 1".into(),
-    ///     types: bytes::Bytes::from_static(&[0, 0]),
+    ///     parameter_types: bytes::Bytes::from_static(&[0, 0]),
     /// };
     /// let statement = prepared::Statement::new(&parse, &plans::Cache::default());
     /// assert!(statement.upstream.starts_with("mangotray_"));
@@ -55,10 +55,10 @@
     pub fn new(parse: &extended::Parse, verdicts: &plans::Cache) -> Self {
         let mut hasher = collections::hash_map::DefaultHasher::new();
         parse.query.hash(&mut hasher);
-        parse.types.hash(&mut hasher);
+        parse.parameter_types.hash(&mut hasher);
         Self {
             query: parse.query.clone(),
-            types: parse.types.clone(),
+            types: parse.parameter_types.clone(),
             upstream: format_compact!("mangotray_{:016x}", hasher.finish()),
             plan: verdicts.plan(&parse.query),
         }
@@ -104,7 +104,7 @@
     /// let bind = extended::Message::Bind(extended::Bind {
     ///     portal: "".into(),
     ///     statement: "never prepared".into(),
-    ///     rest: bytes::Bytes::new(),
+    ///     parameters: bytes::Bytes::new(),
     /// });
     /// let statements = prepared::Statements::new();
     /// assert_eq!(statements.resolve(&[bind], &plans::Cache::default()), [None]);
--- a/src/prepared/tests.rs
+++ b/src/prepared/tests.rs
@@ -8,7 +8,7 @@
     extended::Parse {
         name: name.into(),
         query: query.into(),
-        types: bytes::Bytes::from_static(types),
+        parameter_types: bytes::Bytes::from_static(types),
     }
 }
 
--- a/src/reader.rs
+++ b/src/reader.rs
@@ -19,13 +19,13 @@
     Query(String, frame::Frame),
     /// Messages of the extended protocol, the last of them a Sync.
     Extended(Vec<extended::Message>),
-    /// A message that pooled connections cannot serve; `skip` when the caller goes on
+    /// A message that pooled connections cannot serve; `skip_to_sync` when the caller goes on
     /// to a Sync before it awaits the end of the answer.
     Unsupported {
         /// Name of the message.
-        what: &'static str,
+        message: &'static str,
         /// Whether to ignore everything up to a Sync.
-        skip: bool,
+        skip_to_sync: bool,
     },
     /// The caller says good-bye.
     Terminate,
@@ -43,10 +43,10 @@
 const QUERY: u8 = b'Q';
 const SYNC: u8 = b'S';
 const FLUSH: u8 = b'H';
-const CALL: u8 = b'F';
+const FUNCTION_CALL: u8 = b'F';
 const TERMINATE: u8 = b'X';
-const HEADER_BYTES: usize = 5;
-const LENGTH_HINT: &str = "The operators bound messages by message_bytes in [limits].";
+const FRAME_HEADER_BYTES: usize = 5;
+const MESSAGE_LIMIT_HINT: &str = "The operators bound messages by message_bytes in [limits].";
 
 /// Reads one frame.
 ///
@@ -56,7 +56,7 @@
     loop {
         let frame = match stream.next().await {
             Some(Ok(frame)) => frame,
-            Some(Err(error)) => return Err(broken(stream, &error)),
+            Some(Err(error)) => return Err(framing_error(stream, &error)),
             None => return Err(Stop::Closed),
         };
         // Left over from a copy that was refused; the protocol has them ignored.
@@ -73,18 +73,18 @@
 pub async fn packet(stream: &mut wire::Stream) -> Result<frame::Frame, Stop> {
     match stream.next().await {
         Some(Ok(frame)) => Ok(frame),
-        Some(Err(error)) if invalid(&error) => Err(Stop::Fatal(refusal::Error::fatal(
+        Some(Err(error)) if is_invalid_data(&error) => Err(Stop::Fatal(refusal::Error::fatal(
             refusal::PROTOCOL_VIOLATION,
             format_compact!(
                 "startup packet has an invalid length; the limit is {} bytes",
-                wire::STARTUP_LIMIT
+                wire::MAX_STARTUP_PACKET_BYTES
             ),
         ))),
         Some(Err(_)) | None => Err(Stop::Closed),
     }
 }
 
-fn invalid(error: &io::Error) -> bool {
+fn is_invalid_data(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput
@@ -93,17 +93,17 @@
 
 /// The codec leaves an oversized message in the buffer, and has taken one that is
 /// shorter than its own header.
-fn broken(stream: &wire::Stream, error: &io::Error) -> Stop {
-    if !invalid(error) {
+fn framing_error(stream: &wire::Stream, error: &io::Error) -> Stop {
+    if !is_invalid_data(error) {
         return Stop::Closed;
     }
     let head = stream.read_buffer();
-    let (text, hint) = if error.get_ref().is_some() && head.len() >= HEADER_BYTES {
-        let length = (&head[1..HEADER_BYTES]).get_u32();
+    let (text, hint) = if error.get_ref().is_some() && head.len() >= FRAME_HEADER_BYTES {
+        let length = (&head[1..FRAME_HEADER_BYTES]).get_u32();
         let tag = char::from(head[0]);
         let text =
             format_compact!("message of type {tag:?} has an invalid length of {length} bytes");
-        (text, Some(LENGTH_HINT.into()))
+        (text, Some(MESSAGE_LIMIT_HINT.into()))
     } else {
         ("message is shorter than its own header".into(), None)
     };
@@ -111,27 +111,27 @@
     Stop::Fatal(refusal::Error { hint, ..error })
 }
 
-/// Reads the rest of the request that `first` opens, of at most `limit` bytes in all.
+/// Reads the rest of the request that `first` opens, of at most `max_bytes` bytes in all.
 ///
 /// # Errors
 /// When the caller is gone, or sends what is no request or too large a one.
 pub async fn request(
     stream: &mut wire::Stream,
     first: frame::Frame,
-    limit: usize,
+    max_bytes: usize,
 ) -> Result<Request, Stop> {
     let mut messages = Vec::new();
     let mut bytes = 0;
     let mut next = first;
     loop {
-        bytes += next.body.len() + HEADER_BYTES;
-        if bytes > limit {
-            return Err(Stop::Fatal(too_large(&next, bytes, limit)));
+        bytes += next.body.len() + FRAME_HEADER_BYTES;
+        if bytes > max_bytes {
+            return Err(Stop::Fatal(too_large(&next, bytes, max_bytes)));
         }
         match next.tag {
             TERMINATE => return Ok(Request::Terminate),
             FLUSH => return Ok(unsupported("Flush", true)),
-            CALL => return Ok(unsupported("FunctionCall", !messages.is_empty())),
+            FUNCTION_CALL => return Ok(unsupported("FunctionCall", !messages.is_empty())),
             QUERY if messages.is_empty() => {
                 let text = extended::query(&next).map_err(Stop::Fatal)?;
                 return Ok(Request::Query(text, next));
@@ -142,27 +142,30 @@
                     return Ok(Request::Extended(messages));
                 }
             }
-            tag => return Err(Stop::Fatal(unexpected(tag))),
+            tag => return Err(Stop::Fatal(unexpected_message(tag))),
         }
         next = frame(stream).await?;
     }
 }
 
-const fn unsupported(what: &'static str, skip: bool) -> Request {
-    Request::Unsupported { what, skip }
+const fn unsupported(message: &'static str, skip_to_sync: bool) -> Request {
+    Request::Unsupported {
+        message,
+        skip_to_sync,
+    }
 }
 
-fn too_large(frame: &frame::Frame, bytes: usize, limit: usize) -> refusal::Error {
+fn too_large(frame: &frame::Frame, bytes: usize, max_bytes: usize) -> refusal::Error {
     refusal::Error::fatal(
         refusal::PROTOCOL_VIOLATION,
         format_compact!(
-            "request of {bytes} bytes, up to a message of type {:?}, exceeds the limit of {limit}",
+            "request of {bytes} bytes, up to a message of type {:?}, exceeds the limit of {max_bytes}",
             char::from(frame.tag)
         ),
     )
 }
 
-fn unexpected(tag: u8) -> refusal::Error {
+fn unexpected_message(tag: u8) -> refusal::Error {
     refusal::Error::fatal(
         refusal::PROTOCOL_VIOLATION,
         format_compact!("unexpected message of type {:?}", char::from(tag)),
@@ -170,8 +173,8 @@
 }
 
 /// Waits and gives the reason to end the session then.
-pub async fn expire(after: time::Duration, error: refusal::Error) -> Stop {
-    async_io::Timer::after(after).await;
+pub async fn stop_after(delay: time::Duration, error: refusal::Error) -> Stop {
+    async_io::Timer::after(delay).await;
     Stop::Fatal(error)
 }
 
@@ -179,7 +182,7 @@
 ///
 /// # Errors
 /// When the caller is gone, says good-bye or sends no frame.
-pub async fn skip(stream: &mut wire::Stream) -> Result<(), Stop> {
+pub async fn skip_to_sync(stream: &mut wire::Stream) -> Result<(), Stop> {
     loop {
         match frame(stream).await?.tag {
             SYNC => return Ok(()),
--- a/src/report.rs
+++ b/src/report.rs
@@ -84,7 +84,7 @@
         }
     }
 
-    fn measure(&self) {
+    fn update_gauges(&self) {
         let groups = self.directory.status();
         for group in &groups {
             let connections = group.instances.iter().map(|i| i.connections).sum();
--- a/src/rewrite.rs
+++ b/src/rewrite.rs
@@ -94,8 +94,8 @@
                 self.close(name, message);
             }
             (extended::Message::Sync, _) => self.end(),
-            (extended::Message::Execute { rows, .. }, _) => {
-                self.keeps_portals |= *rows > 0;
+            (extended::Message::Execute { max_rows, .. }, _) => {
+                self.keeps_portals |= *max_rows > 0;
                 self.visible(message.clone(), None, "");
             }
             _ => self.visible(message.clone(), None, ""),
@@ -179,7 +179,7 @@
             self.hidden(extended::Message::Parse(extended::Parse {
                 name: upstream.clone(),
                 query: statement.query.clone(),
-                types: statement.types.clone(),
+                parameter_types: statement.types.clone(),
             }));
             self.present.insert(upstream.clone(), statement.clone());
         }
--- a/src/rewrite/tests.rs
+++ b/src/rewrite/tests.rs
@@ -11,7 +11,7 @@
     Message::Parse(Parse {
         name: name.into(),
         query: query.into(),
-        types: bytes::Bytes::from_static(&[0, 0]),
+        parameter_types: bytes::Bytes::from_static(&[0, 0]),
     })
 }
 
@@ -23,7 +23,7 @@
     Message::Bind(Bind {
         portal: portal.into(),
         statement: statement.into(),
-        rest: bytes::Bytes::from_static(&[0; 6]),
+        parameters: bytes::Bytes::from_static(&[0; 6]),
     })
 }
 
@@ -38,7 +38,7 @@
 fn execute() -> Message {
     Message::Execute {
         portal: "".into(),
-        rows: 0,
+        max_rows: 0,
     }
 }
 
--- a/src/runner.rs
+++ b/src/runner.rs
@@ -25,13 +25,13 @@
     context: sync::Arc<session::Context>,
     database: CompactString,
     /// Drawn at random, since other proxies forward sessions to the same queues.
-    number: u64,
+    caller_number: u64,
     lane: Option<Box<dyn lane::Lane>>,
     handle: cancel::Handle,
     state: transaction::State,
     /// The open transaction has lost its connection: it is over at the database, and
     /// the caller has yet to end it on its side.
-    lost: bool,
+    transaction_lost: bool,
     /// Settings that the caller may change.
     pub(crate) settings: local::Settings,
 }
@@ -57,10 +57,10 @@
             .ok_or_else(|| unknown_database(&database))?;
         Ok(Self {
             lane: Some(lane),
-            handle: context.cancels.register(),
+            handle: context.cancel_registry.register(),
             state: transaction::State::Idle,
-            lost: false,
-            number: fastrand::u64(..),
+            transaction_lost: false,
+            caller_number: fastrand::u64(..),
             settings,
             database,
             context,
@@ -73,8 +73,8 @@
     }
 
     /// Whether the transaction is over at the database but not yet for the caller.
-    pub(crate) const fn lost(&self) -> bool {
-        self.lost
+    pub(crate) const fn is_transaction_lost(&self) -> bool {
+        self.transaction_lost
     }
 
     /// What a cancel request has to show.
@@ -89,33 +89,33 @@
         frames: Vec<frame::Frame>,
     ) -> Result<reply::Reply, Ending> {
         if verdict.bound && !verdict.multi && self.state == transaction::State::Idle {
-            return Err(Ending::Error(needs_transaction()));
+            return Err(Ending::Error(transaction_required()));
         }
-        let batch = self.batch(verdict, frames);
-        let result = self.attempt(batch).await;
+        let batch = self.build_batch(verdict, frames);
+        let result = self.run_on_lane(batch).await;
         let outcome = match &result {
             Ok(_) => "done",
             Err(loss) => loss.outcome_label(verdict, self.state),
         };
-        count(verdict.class, outcome);
+        count_request(verdict.class, outcome);
         match result {
             Ok(reply) => {
-                self.accept(&reply);
+                self.apply_reply(&reply);
                 Ok(reply)
             }
-            Err(loss) => Err(self.lose(verdict, &loss)),
+            Err(loss) => Err(self.handle_loss(verdict, &loss)),
         }
     }
 
-    fn batch(&self, verdict: &classify::Verdict, frames: Vec<frame::Frame>) -> batch::Batch {
+    fn build_batch(&self, verdict: &classify::Verdict, frames: Vec<frame::Frame>) -> batch::Batch {
         let arrived = self.context.clock.now();
         let deadline = self
             .settings
             .deadline
             .unwrap_or_else(|| self.context.switch.deadline(&self.database));
         batch::Batch {
-            request: self.context.request(),
-            caller: self.number,
+            request: self.context.next_request_id(),
+            caller: self.caller_number,
             frames,
             class: verdict.class,
             mixed: verdict.mixed,
@@ -123,11 +123,11 @@
             token: self.settings.bound(),
             own: self.settings.token,
             arrived,
-            deadline: arrived + deadline.saturating_sub(margin(deadline)),
+            deadline: arrived + deadline.saturating_sub(return_margin(deadline)),
         }
     }
 
-    async fn attempt(&mut self, batch: batch::Batch) -> Result<reply::Reply, loss::Loss> {
+    async fn run_on_lane(&mut self, batch: batch::Batch) -> Result<reply::Reply, loss::Loss> {
         let Some(lane) = &mut self.lane else {
             return Err(loss::Loss::NoDatabase(unknown_database(&self.database)));
         };
@@ -140,7 +140,7 @@
         run.or(canceled).await
     }
 
-    fn accept(&mut self, reply: &reply::Reply) {
+    fn apply_reply(&mut self, reply: &reply::Reply) {
         self.settings.outcome = "outcome=done".into();
         self.state = reply.transaction;
         if let Some(stamp) = reply.stamp {
@@ -149,7 +149,7 @@
     }
 
     /// What a batch without an answer means for the session.
-    fn lose(&mut self, verdict: &classify::Verdict, loss: &loss::Loss) -> Ending {
+    fn handle_loss(&mut self, verdict: &classify::Verdict, loss: &loss::Loss) -> Ending {
         let error = loss.error(verdict, self.state);
         self.settings.outcome = error.detail.clone().unwrap_or_default();
         let open = self.state != transaction::State::Idle;
@@ -169,12 +169,12 @@
     /// Ends an open transaction at the database after an error; the caller still has
     /// to end it on its side, and until then nothing is sent on.
     pub(crate) fn fail(&mut self) {
-        if self.state == transaction::State::Idle || self.lost {
+        if self.state == transaction::State::Idle || self.transaction_lost {
             return;
         }
         self.reset();
         self.state = transaction::State::Failed;
-        self.lost = true;
+        self.transaction_lost = true;
     }
 
     /// Starts over on a fresh lane; dropping the old one rolls its transaction back.
@@ -182,7 +182,7 @@
         self.lane = None;
         self.lane = self.context.switch.lane(&self.database);
         self.state = transaction::State::Idle;
-        self.lost = false;
+        self.transaction_lost = false;
     }
 }
 
@@ -193,7 +193,7 @@
     )
 }
 
-fn needs_transaction() -> refusal::Error {
+fn transaction_required() -> refusal::Error {
     refusal::Error::new(
         refusal::NOT_SUPPORTED,
         "functions that answer for the connection need an open transaction (not run)",
@@ -201,7 +201,7 @@
     .hint("Run them between BEGIN and COMMIT.")
 }
 
-fn count(class: class::Class, outcome: &'static str) {
+fn count_request(class: class::Class, outcome: &'static str) {
     let class = match class {
         class::Class::Read => "read",
         class::Class::Write => "write",
@@ -217,6 +217,6 @@
 /// the deadline reaches the caller after it.
 const RETURN_MARGIN: std::time::Duration = std::time::Duration::from_millis(25);
 
-fn margin(deadline: std::time::Duration) -> std::time::Duration {
+fn return_margin(deadline: std::time::Duration) -> std::time::Duration {
     RETURN_MARGIN.min(deadline / 10)
 }
--- a/src/session.rs
+++ b/src/session.rs
@@ -24,23 +24,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest request in bytes, over all its messages.
-    pub request: usize,
+    pub max_request_bytes: usize,
     /// Time from the connection until its startup is complete.
-    pub startup: time::Duration,
+    pub startup_timeout: time::Duration,
     /// Time that an open transaction, or a request not yet complete, may wait for the
     /// caller; it holds a scarce connection meanwhile.
-    pub patience: time::Duration,
+    pub caller_timeout: time::Duration,
     /// Time that a caller may take to accept an answer.
-    pub send: time::Duration,
+    pub send_timeout: time::Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            request: 16 * 1024 * 1024,
-            startup: time::Duration::from_secs(10),
-            patience: time::Duration::from_mins(1),
-            send: time::Duration::from_secs(30),
+            max_request_bytes: 16 * 1024 * 1024,
+            startup_timeout: time::Duration::from_secs(10),
+            caller_timeout: time::Duration::from_mins(1),
+            send_timeout: time::Duration::from_secs(30),
         }
     }
 }
@@ -52,14 +52,14 @@
     /// Source of time.
     pub clock: sync::Arc<dyn clock::Clock>,
     /// Sessions that can be canceled.
-    pub cancels: cancel::Registry,
+    pub cancel_registry: cancel::Registry,
     /// Memory of classified texts.
-    pub verdicts: plans::Cache,
+    pub plans: plans::Cache,
     /// Bounds of each session.
     pub limits: Limits,
     /// Raised when the process shuts down.
     pub drain: drain::Signal,
-    requests: atomic::AtomicU64,
+    next_request: atomic::AtomicU64,
 }
 
 impl Context {
@@ -74,24 +74,24 @@
         Self {
             switch,
             clock,
-            cancels: cancel::Registry::new(),
-            verdicts: plans::Cache::default(),
+            cancel_registry: cancel::Registry::new(),
+            plans: plans::Cache::default(),
             limits,
             drain,
-            requests: atomic::AtomicU64::new(1),
+            next_request: atomic::AtomicU64::new(1),
         }
     }
 
-    pub(crate) fn request(&self) -> id::Request {
-        self.requests.fetch_add(1, atomic::Ordering::Relaxed)
+    pub(crate) fn next_request_id(&self) -> id::Request {
+        self.next_request.fetch_add(1, atomic::Ordering::Relaxed)
     }
 }
 
 /// Serves one caller until either side ends the connection.
 pub async fn serve(stream: wire::Stream, context: sync::Arc<Context>) {
     metrics::gauge!(telemetry::CALLERS).increment(1.0);
-    let _counted = Counted;
-    let (stream, stop) = attend(stream, &context).await;
+    let _caller_gauge = CallerGauge;
+    let (stream, stop) = run_session(stream, &context).await;
     if let reader::Stop::Fatal(error) = stop {
         tracing::debug!(target: "mangotray::session", code = error.code, "{}", error.message);
         writer::close(stream, &error).await;
@@ -99,21 +99,22 @@
 }
 
 /// Counts the caller out, also when its task is dropped.
-struct Counted;
+struct CallerGauge;
 
-impl Drop for Counted {
+impl Drop for CallerGauge {
     fn drop(&mut self) {
         metrics::gauge!(telemetry::CALLERS).decrement(1.0);
     }
 }
 
-async fn attend(
+async fn run_session(
     mut stream: wire::Stream,
     context: &sync::Arc<Context>,
 ) -> (wire::Stream, reader::Stop) {
-    let startup = startup::receive(&mut stream, &context.cancels);
-    let late = reader::expire(context.limits.startup, writer::incomplete_startup());
-    let parameters = match startup.or(async { Err(late.await) }).await {
+    let startup = startup::receive(&mut stream, &context.cancel_registry);
+    let timed_out =
+        reader::stop_after(context.limits.startup_timeout, writer::incomplete_startup());
+    let parameters = match startup.or(async { Err(timed_out.await) }).await {
         Ok(Some(parameters)) => parameters,
         Ok(None) => return (stream, reader::Stop::Closed),
         Err(stop) => return (stream, stop),
@@ -122,7 +123,7 @@
     let settings = parameters.settings.clone();
     match runner::Runner::new(context.clone(), database, settings) {
         Ok(runner) => {
-            let stream = wire::established(stream, context.limits.request);
+            let stream = wire::established(stream, context.limits.max_request_bytes);
             caller::Caller::new(stream, context.clone(), runner)
                 .serve(&parameters)
                 .await
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -17,15 +17,15 @@
 use crate::transaction;
 use crate::wire;
 
-const CANCEL: u32 = 80_877_102;
-const SSL: u32 = 80_877_103;
-const GSS: u32 = 80_877_104;
-const MAJOR: u16 = 3;
-const NEWEST_MINOR: u16 = 2;
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const SSL_REQUEST_CODE: u32 = 80_877_103;
+const GSS_REQUEST_CODE: u32 = 80_877_104;
+const MAJOR_VERSION: u16 = 3;
+const NEWEST_MINOR_VERSION: u16 = 2;
 const CODE_BYTES: usize = 4;
-const CANCEL_BYTES: usize = 12;
+const CANCEL_REQUEST_BYTES: usize = 12;
 /// Encryption requests that one connection may make; one of each kind is usual.
-const NEGOTIATIONS: usize = 2;
+const MAX_ENCRYPTION_REQUESTS: usize = 2;
 
 /// Version that callers are told; the dialect the proxy classifies.
 pub const SERVER_VERSION: &str = "15.0";
@@ -34,11 +34,11 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Packet {
     /// Asks for TLS or GSS encryption.
-    Encrypt,
+    EncryptionRequest,
     /// Asks to cancel what another session runs.
-    Cancel(cancel::Pid, cancel::Secret),
+    CancelRequest(cancel::Pid, cancel::Secret),
     /// Opens a session.
-    Open(Parameters),
+    Startup(Parameters),
 }
 
 /// What a caller asks for when it opens a session.
@@ -52,7 +52,7 @@
     pub settings: local::Settings,
     /// Protocol version to answer with, and options not understood, when they differ
     /// from what was asked.
-    pub negotiate: Option<(i32, Vec<String>)>,
+    pub negotiation: Option<(i32, Vec<String>)>,
 }
 
 impl Packet {
@@ -62,7 +62,7 @@
     /// use mangotray::{frame, startup};
     /// let body = bytes::Bytes::from_static(&[0x04, 0xd2, 0x16, 0x2f]);
     /// let packet = startup::Packet::decode(&frame::Frame { tag: 0, body });
-    /// assert_eq!(packet, Ok(startup::Packet::Encrypt));
+    /// assert_eq!(packet, Ok(startup::Packet::EncryptionRequest));
     /// ```
     ///
     /// # Errors
@@ -70,56 +70,63 @@
     pub fn decode(frame: &frame::Frame) -> Result<Self, refusal::Error> {
         let mut body = frame.body.clone();
         match body.try_get_u32() {
-            Ok(SSL | GSS) if body.is_empty() => Ok(Self::Encrypt),
-            Ok(CANCEL) if frame.body.len() == CANCEL_BYTES => {
-                Ok(Self::Cancel(body.get_i32(), body.get_i32()))
+            Ok(SSL_REQUEST_CODE | GSS_REQUEST_CODE) if body.is_empty() => {
+                Ok(Self::EncryptionRequest)
             }
-            Ok(code) if code >> u16::BITS == u32::from(MAJOR) => open(frame).map(Self::Open),
-            Ok(code) => Err(violation(&format_compact!(
+            Ok(CANCEL_REQUEST_CODE) if frame.body.len() == CANCEL_REQUEST_BYTES => {
+                Ok(Self::CancelRequest(body.get_i32(), body.get_i32()))
+            }
+            Ok(code) if code >> u16::BITS == u32::from(MAJOR_VERSION) => {
+                decode_startup(frame).map(Self::Startup)
+            }
+            Ok(code) => Err(protocol_violation(&format_compact!(
                 "unsupported protocol {}.{}",
                 code >> u16::BITS,
                 code & u32::from(u16::MAX)
             ))),
-            Err(_) => Err(violation("startup packet is too short")),
+            Err(_) => Err(protocol_violation("startup packet is too short")),
         }
     }
 }
 
-fn violation(text: &str) -> refusal::Error {
+fn protocol_violation(text: &str) -> refusal::Error {
     refusal::Error::fatal(refusal::PROTOCOL_VIOLATION, text)
 }
 
-fn open(frame: &frame::Frame) -> Result<Parameters, refusal::Error> {
+fn decode_startup(frame: &frame::Frame) -> Result<Parameters, refusal::Error> {
     // The codec ends the list of parameters wherever a text is missing or empty; a
     // packet that is not closed by an empty name was cut or is made up.
     let pairs = frame.body.get(CODE_BYTES..).unwrap_or_default();
     if pairs != [0] && !pairs.ends_with(&[0, 0]) {
-        return Err(violation("startup packet has no terminator"));
+        return Err(protocol_violation("startup packet has no terminator"));
     }
     let startup: startup::Startup = frame
         .decode()
-        .map_err(|_| violation("malformed startup packet"))?;
+        .map_err(|_| protocol_violation("malformed startup packet"))?;
     let minor = startup.protocol_number_minor;
     let (extensions, parameters): (Vec<_>, Vec<_>) = startup
         .parameters
         .into_iter()
         .partition(|(name, _)| name.starts_with("_pq_."));
-    let unknown: Vec<_> = extensions.into_iter().map(|(name, _)| name).collect();
-    parameters_of(parameters.into_iter().collect(), negotiate(minor, unknown))
+    let unknown_options: Vec<_> = extensions.into_iter().map(|(name, _)| name).collect();
+    session_parameters(
+        parameters.into_iter().collect(),
+        negotiation(minor, unknown_options),
+    )
 }
 
-fn negotiate(minor: u16, unknown: Vec<String>) -> Option<(i32, Vec<String>)> {
+fn negotiation(minor: u16, unknown_options: Vec<String>) -> Option<(i32, Vec<String>)> {
     let accepted = match minor {
         0 | 1 => 0,
-        _ => NEWEST_MINOR,
+        _ => NEWEST_MINOR_VERSION,
     };
-    let version = (i32::from(MAJOR) << u16::BITS) | i32::from(accepted);
-    (accepted != minor || !unknown.is_empty()).then_some((version, unknown))
+    let version = (i32::from(MAJOR_VERSION) << u16::BITS) | i32::from(accepted);
+    (accepted != minor || !unknown_options.is_empty()).then_some((version, unknown_options))
 }
 
-fn parameters_of(
+fn session_parameters(
     mut pairs: collections::BTreeMap<String, String>,
-    negotiate: Option<(i32, Vec<String>)>,
+    negotiation: Option<(i32, Vec<String>)>,
 ) -> Result<Parameters, refusal::Error> {
     let user = pairs
         .remove("user")
@@ -128,17 +135,21 @@
     let options = pairs.remove("options").unwrap_or_default();
     let mut settings = local::Settings::default();
     for (name, value) in read_options(&options)?.into_iter().chain(pairs) {
-        apply(&mut settings, &name, &value)?;
+        apply_parameter(&mut settings, &name, &value)?;
     }
     Ok(Parameters {
         user: user.into(),
         database: database.into(),
         settings,
-        negotiate,
+        negotiation,
     })
 }
 
-fn apply(settings: &mut local::Settings, name: &str, value: &str) -> Result<(), refusal::Error> {
+fn apply_parameter(
+    settings: &mut local::Settings,
+    name: &str,
+    value: &str,
+) -> Result<(), refusal::Error> {
     if name == "replication" && matches!(value, "false" | "off" | "no" | "0") {
         return Ok(());
     }
@@ -170,8 +181,9 @@
                 .map(str::to_owned),
         };
         let pair = pair.as_deref().and_then(|pair| pair.split_once('='));
-        let (name, value) =
-            pair.ok_or_else(|| violation(&format_compact!("invalid startup option \"{word}\"")))?;
+        let (name, value) = pair.ok_or_else(|| {
+            protocol_violation(&format_compact!("invalid startup option \"{word}\""))
+        })?;
         pairs.push((name.replace('-', "_"), value.to_owned()));
     }
     Ok(pairs)
@@ -197,24 +209,24 @@
 /// When the caller is gone or its packets are malformed.
 pub async fn receive(
     stream: &mut wire::Stream,
-    cancels: &cancel::Registry,
+    cancel_registry: &cancel::Registry,
 ) -> Result<Option<Parameters>, reader::Stop> {
-    for _ in 0..=NEGOTIATIONS {
+    for _ in 0..=MAX_ENCRYPTION_REQUESTS {
         let frame = reader::packet(stream).await?;
         match Packet::decode(&frame).map_err(reader::Stop::Fatal)? {
-            Packet::Open(parameters) => return Ok(Some(parameters)),
-            Packet::Cancel(pid, secret) => {
-                let found = cancels.cancel(pid, secret);
+            Packet::Startup(parameters) => return Ok(Some(parameters)),
+            Packet::CancelRequest(pid, secret) => {
+                let found = cancel_registry.cancel(pid, secret);
                 tracing::debug!(target: "mangotray::session", pid, found, "cancel request");
                 return Ok(None);
             }
-            Packet::Encrypt => {
+            Packet::EncryptionRequest => {
                 stream.write_buffer_mut().extend_from_slice(b"N");
                 stream.flush().await.map_err(|_| reader::Stop::Closed)?;
             }
         }
     }
-    Err(reader::Stop::Fatal(violation(
+    Err(reader::Stop::Fatal(protocol_violation(
         "too many encryption requests",
     )))
 }
@@ -227,18 +239,26 @@
 ///     user: "desk".into(),
 ///     database: "dome".into(),
 ///     settings: local::Settings::default(),
-///     negotiate: None,
+///     negotiation: None,
 /// };
 /// let handle = cancel::Registry::new().register();
-/// let frames = startup::welcome(&parameters, &handle);
+/// let frames = startup::response(&parameters, &handle);
 /// assert_eq!(frames.last().unwrap().tag, b'Z');
 /// ```
 #[must_use]
-pub fn welcome(parameters: &Parameters, handle: &cancel::Handle) -> Vec<frame::Frame> {
+pub fn response(parameters: &Parameters, handle: &cancel::Handle) -> Vec<frame::Frame> {
     let mut frames = Vec::new();
-    frames.extend(parameters.negotiate.clone().map(|(version, unknown)| {
-        frame::Frame::encode(&startup::NegotiateProtocolVersion::new(version, unknown))
-    }));
+    frames.extend(
+        parameters
+            .negotiation
+            .clone()
+            .map(|(version, unknown_options)| {
+                frame::Frame::encode(&startup::NegotiateProtocolVersion::new(
+                    version,
+                    unknown_options,
+                ))
+            }),
+    );
     frames.push(frame::Frame::encode(&startup::Authentication::Ok));
     let token = parameters.settings.token_text();
     let own = [
@@ -253,13 +273,13 @@
         (local::TOKEN, token.as_str()),
     ];
     let statuses = local::IN_FORCE.iter().copied().chain(own);
-    frames.extend(statuses.map(|(name, value)| answer::status(name, value)));
+    frames.extend(statuses.map(|(name, value)| answer::parameter_status(name, value)));
     let secret = startup::SecretKey::I32(handle.secret());
     frames.push(frame::Frame::encode(&startup::BackendKeyData::new(
         handle.pid(),
         secret,
     )));
-    frames.push(answer::ready(transaction::State::Idle));
+    frames.push(answer::ready_for_query(transaction::State::Idle));
     frames
 }
 
--- a/src/startup/tests.rs
+++ b/src/startup/tests.rs
@@ -25,14 +25,14 @@
     }
     rest.push('\0');
     match Packet::decode(&packet((3 << 16) | minor, rest.as_bytes()))? {
-        Packet::Open(parameters) => Ok(parameters),
+        Packet::Startup(parameters) => Ok(parameters),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
 fn token_and_deadline_come_by_options_or_by_name() {
-    let ways: [&[(&str, &str)]; 4] = [
+    let forms: [&[(&str, &str)]; 4] = [
         &[(
             "options",
             "-c mangotray.token=3/77 -c mangotray.deadline=500ms",
@@ -44,8 +44,8 @@
             ("mangotray.token", "3/77"),
         ],
     ];
-    for way in ways {
-        let parameters = open(0, &[&[("user", "desk")], way].concat()).unwrap();
+    for form in forms {
+        let parameters = open(0, &[&[("user", "desk")], form].concat()).unwrap();
         assert_eq!(parameters.settings.token_text(), "3/77");
         assert_eq!(parameters.settings.deadline.unwrap().as_millis(), 500);
         assert_eq!(parameters.database, "desk", "the user's name by default");
@@ -67,7 +67,7 @@
         assert_eq!(error.code, code, "{name}");
         assert_eq!(error.severity, refusal::Severity::Fatal);
     }
-    let usual = [
+    let accepted = [
         ("user", "desk"),
         ("client_encoding", "UTF8"),
         ("DateStyle", "ISO"),
@@ -76,28 +76,31 @@
         ("application_name", "psql"),
         ("replication", "false"),
     ];
-    assert_eq!(open(0, &usual).unwrap().settings.application, "psql");
+    assert_eq!(open(0, &accepted).unwrap().settings.application, "psql");
 }
 
 #[test]
 fn later_versions_and_options_are_negotiated() {
     let user = ("user", "desk");
-    assert_eq!(open(0, &[user]).unwrap().negotiate, None);
-    assert_eq!(open(2, &[user]).unwrap().negotiate, None);
-    assert_eq!(open(1, &[user]).unwrap().negotiate, Some((196_608, vec![])));
+    assert_eq!(open(0, &[user]).unwrap().negotiation, None);
+    assert_eq!(open(2, &[user]).unwrap().negotiation, None);
     assert_eq!(
-        open(9999, &[user]).unwrap().negotiate,
+        open(1, &[user]).unwrap().negotiation,
+        Some((196_608, vec![]))
+    );
+    assert_eq!(
+        open(9999, &[user]).unwrap().negotiation,
         Some((196_610, vec![]))
     );
     let option = ("_pq_.test", "1");
     let expected = Some((196_608, vec!["_pq_.test".to_owned()]));
-    assert_eq!(open(0, &[user, option]).unwrap().negotiate, expected);
+    assert_eq!(open(0, &[user, option]).unwrap().negotiation, expected);
 }
 
 #[test]
 fn cancel_request_holds_pid_and_secret() {
     let frame = packet(80_877_102, &[0, 0, 0, 7, 255, 255, 255, 255]);
-    assert_eq!(Packet::decode(&frame), Ok(Packet::Cancel(7, -1)));
+    assert_eq!(Packet::decode(&frame), Ok(Packet::CancelRequest(7, -1)));
     let short = packet(80_877_102, &[0, 0, 0, 7]);
     assert_matches!(Packet::decode(&short), Err(error) if error.code == "08P01");
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -14,7 +14,7 @@
 const TAG_BYTES: usize = 1;
 
 /// Largest startup packet; the protocol's own servers use the same bound.
-pub const STARTUP_LIMIT: usize = 10_000;
+pub const MAX_STARTUP_PACKET_BYTES: usize = 10_000;
 
 /// Any bidirectional byte stream: plain TCP, TLS, or a test's pipe.
 pub trait Duplex: stream::AsyncRead + stream::AsyncWrite + Unpin + Send {}
@@ -35,9 +35,9 @@
 impl Codec {
     /// Frames of a connection that has passed its startup.
     #[must_use]
-    pub fn tagged(limit: usize) -> Self {
+    pub fn tagged(max_bytes: usize) -> Self {
         Self {
-            inner: delimited(TAG_BYTES, limit),
+            inner: length_codec(TAG_BYTES, max_bytes),
             tagged: true,
         }
     }
@@ -47,7 +47,7 @@
     #[must_use]
     pub fn untagged() -> Self {
         Self {
-            inner: delimited(0, STARTUP_LIMIT),
+            inner: length_codec(0, MAX_STARTUP_PACKET_BYTES),
             tagged: false,
         }
     }
@@ -55,14 +55,14 @@
 
 /// The protocol's length counts itself but not the tag before it, while the packet
 /// handed out begins with the tag.
-fn delimited(offset: usize, limit: usize) -> codec::LengthDelimitedCodec {
-    let adjustment = isize::try_from(offset).expect("offset of one byte at most");
+fn length_codec(tag_bytes: usize, max_bytes: usize) -> codec::LengthDelimitedCodec {
+    let adjustment = isize::try_from(tag_bytes).expect("offset of one byte at most");
     codec::LengthDelimitedCodec::builder()
-        .length_field_offset(offset)
+        .length_field_offset(tag_bytes)
         .length_field_length(LENGTH_BYTES)
         .length_adjustment(adjustment)
         .num_skip(0)
-        .max_frame_length(limit)
+        .max_frame_length(max_bytes)
         .new_codec()
 }
 
@@ -103,10 +103,10 @@
     codec::Framed::new(socket.compat(), Codec::untagged())
 }
 
-/// Switches a stream to tagged frames of at most `limit` bytes each.
+/// Switches a stream to tagged frames of at most `max_bytes` bytes each.
 #[must_use]
-pub fn established(stream: Stream, limit: usize) -> Stream {
-    stream.map_codec(|_| Codec::tagged(limit))
+pub fn established(stream: Stream, max_bytes: usize) -> Stream {
+    stream.map_codec(|_| Codec::tagged(max_bytes))
 }
 
 #[cfg(test)]
--- a/src/writer.rs
+++ b/src/writer.rs
@@ -12,23 +12,23 @@
 use crate::wire;
 
 /// Time to write the last message.
-const LAST_SEND: time::Duration = time::Duration::from_secs(1);
+const LAST_SEND_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Time to wait for the caller to close after the last message.
-const LINGER: time::Duration = time::Duration::from_secs(1);
+const LINGER_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Bytes thrown away at a time.
-const CHUNK: usize = 4 * 1024;
+const DISCARD_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Writes an answer.
 ///
 /// # Errors
-/// When the caller is gone or does not take the answer within `limit`: a caller that
+/// When the caller is gone or does not take the answer within `timeout`: a caller that
 /// stopped reading would otherwise hold the answer in memory and delay a drain.
 pub async fn send(
     stream: &mut wire::Stream,
     frames: Vec<frame::Frame>,
-    limit: time::Duration,
+    timeout: time::Duration,
 ) -> Result<(), reader::Stop> {
     let write = async {
         for frame in frames {
@@ -36,11 +36,11 @@
         }
         stream.flush().await
     };
-    let late = async {
-        async_io::Timer::after(limit).await;
+    let timed_out = async {
+        async_io::Timer::after(timeout).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
-    write.or(late).await.map_err(|_| reader::Stop::Closed)
+    write.or(timed_out).await.map_err(|_| reader::Stop::Closed)
 }
 
 /// Sends the error that ends a session and closes the connection.
@@ -49,7 +49,7 @@
 /// reset can destroy the error before the caller has read it. So the proxy closes its
 /// own direction only and reads on for a moment.
 pub async fn close(mut stream: wire::Stream, error: &refusal::Error) {
-    if send(&mut stream, vec![error.frame()], LAST_SEND)
+    if send(&mut stream, vec![error.frame()], LAST_SEND_TIMEOUT)
         .await
         .is_err()
     {
@@ -58,13 +58,17 @@
     let finish = async {
         let _ = SinkExt::<frame::Frame>::close(&mut stream).await;
         let mut socket = stream.into_inner().into_inner();
-        let mut waste = [0; CHUNK];
-        while socket.read(&mut waste).await.is_ok_and(|count| count > 0) {}
+        let mut discarded = [0; DISCARD_BUFFER_BYTES];
+        while socket
+            .read(&mut discarded)
+            .await
+            .is_ok_and(|count| count > 0)
+        {}
     };
-    let late = async {
-        async_io::Timer::after(LINGER).await;
+    let timed_out = async {
+        async_io::Timer::after(LINGER_TIMEOUT).await;
     };
-    finish.or(late).await;
+    finish.or(timed_out).await;
 }
 
 /// The error for a caller that is idle when the process shuts down.
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -540,7 +540,7 @@
 #[test]
 fn malformed_input_is_answered_and_the_process_goes_on() {
     let small = session::Limits {
-        request: 2_000,
+        max_request_bytes: 2_000,
         ..limits()
     };
     let server = Server::start(small, plain);
@@ -668,8 +668,8 @@
     // transaction open, another connects and says nothing, a third sends half a
     // request. Cause, were it so: waits without limit.
     let hasty = session::Limits {
-        startup: time::Duration::from_millis(300),
-        patience: time::Duration::from_millis(300),
+        startup_timeout: time::Duration::from_millis(300),
+        caller_timeout: time::Duration::from_millis(300),
         ..limits()
     };
     let server = Server::start(hasty, plain);
