--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,7 +1,7 @@
 //! HTTP endpoint for status and metrics.
 //!
-//! `GET /metrics` gives the Prometheus text format, `GET /status` a [`Status`] as JSON and
-//! `GET /healthz` 200 while the proxy takes new callers, 503 once it drains. Everything is
+//! `GET /metrics` returns the Prometheus text format, `GET /status` a [`Status`] as JSON, and
+//! `GET /healthz` 200 while the proxy accepts new callers and 503 once it drains. The endpoint is
 //! read-only: operators change a system by applying a file.
 
 use compact_str::CompactString;
@@ -16,13 +16,13 @@
 pub use client::fetch;
 pub use server::Server;
 
-/// Gives the state of a proxy whenever it is asked; must not block.
+/// Provides the state of a proxy on request. Implementations must not block.
 pub trait Source: Send + Sync {
-    /// State as of now.
+    /// The current state.
     fn status(&self) -> Status;
 
-    /// Brings the gauges up to date that are read from the state; called before the
-    /// metrics are rendered.
+    /// Updates the gauges that are derived from the state; called before each rendering of the
+    /// metrics.
     fn update_gauges(&self) {}
 }
 
@@ -31,13 +31,13 @@
 pub struct Status {
     /// VM that the proxy runs on.
     pub vm: id::Vm,
-    /// Start of the proxy's process.
+    /// Incarnation of the proxy's process.
     pub incarnation: id::Incarnation,
-    /// Revision of the configuration in force; 0 before the first.
+    /// Revision of the active configuration; 0 before the first one.
     pub revision: id::Revision,
-    /// True once the proxy takes no new callers.
+    /// Whether the proxy has stopped accepting new callers.
     pub draining: bool,
-    /// Groups that the proxy knows.
+    /// Groups known to the proxy.
     pub groups: Vec<Group>,
 }
 
@@ -46,17 +46,17 @@
 pub struct Group {
     /// Name in the operators' file.
     pub name: id::Group,
-    /// Instance that leads, when one is known.
+    /// Name of the primary, if known.
     pub primary: Option<CompactString>,
     /// Highest term seen.
     pub term: id::Term,
-    /// Instances in the order of the catalog.
+    /// Instances in catalog order.
     pub instances: Vec<Instance>,
-    /// Requests that run or wait before the instances.
+    /// Requests that are running on the instances or waiting for a slot.
     pub queue: usize,
-    /// Promotions that this proxy carried through since it serves the group.
+    /// Promotions that this proxy has completed since it began to serve the group.
     pub promotions: u64,
-    /// Length of the last failover gap in milliseconds, when there was one.
+    /// Length of the last failover gap in milliseconds; `None` if there was none.
     pub last_failover_gap_ms: Option<u64>,
 }
 
@@ -65,19 +65,19 @@
 pub struct Instance {
     /// Name in the operators' file.
     pub name: CompactString,
-    /// What the instance believes to be; `None` before its first answer.
+    /// Role that the instance reports; `None` before its first answer.
     pub role: Option<role::Role>,
-    /// Last applied record.
+    /// Stamp of the last applied record.
     pub stamp: stamp::Stamp,
-    /// Highest term that it was fenced at.
+    /// Highest term at which it was fenced.
     pub fence: id::Term,
     /// Records behind the highest stamp seen in the group; `None` across terms.
     pub lag_records: Option<u64>,
     /// Whether it answered the last status probe.
     pub reachable: bool,
-    /// Connections that this proxy holds open.
+    /// Open connections of this proxy to the instance.
     pub connections: usize,
-    /// Requests that run or wait before the instance now.
+    /// Requests that are running on the instance or waiting for a slot now.
     pub busy: usize,
 }
 
--- a/src/admin/client.rs
+++ b/src/admin/client.rs
@@ -1,4 +1,4 @@
-//! Fetches the status of a proxy.
+//! Client for the status of a proxy.
 
 use std::net;
 use std::time;
@@ -11,13 +11,13 @@
 
 use crate::admin;
 
-/// Largest status that is read, so that a wrong address cannot use up the memory.
+/// Largest response body that is read. A server at a wrong address could otherwise exhaust memory.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Fetches `/status` from a proxy's admin address.
 ///
 /// # Errors
-/// When the proxy cannot be reached, gives no status or takes longer than `timeout`.
+/// When the proxy cannot be reached, its response is not a status, or `timeout` has passed.
 ///
 /// ```
 /// use std::time::Duration;
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Serves the endpoint.
+//! HTTP server for status and metrics.
 
 use std::convert;
 use std::io;
@@ -14,15 +14,15 @@
 use crate::admin;
 use crate::telemetry;
 
-/// Connections served at once; more wait, so that scrapers cannot use up file descriptors.
+/// Connections served at once. More wait, so that scrapers cannot exhaust file descriptors.
 const MAX_CONNECTIONS: usize = 32;
 
-/// Time for a client to send its request's head. A client that connects and stays silent
-/// would otherwise hold one of the few connections for ever; operators would see the
-/// endpoint hang on a healthy proxy.
+/// Time for a client to send the head of its request. A client that connects and sends nothing
+/// would otherwise hold one of the few connections forever, and the endpoint of a healthy proxy
+/// could hang.
 const REQUEST_HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Pause after a failed accept, which mostly means that file descriptors ran out.
+/// Delay after a failed accept, which is usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
 
 const TEXT_TYPE: &str = "text/plain; charset=utf-8";
@@ -31,7 +31,7 @@
 
 type Response = hyper::Response<Full<body::Bytes>>;
 
-/// A bound endpoint.
+/// A server bound to its address.
 pub struct Server {
     listener: async_net::TcpListener,
     handler: sync::Arc<Handler>,
@@ -43,7 +43,7 @@
 }
 
 impl Server {
-    /// Binds the endpoint; port 0 takes any free port.
+    /// Binds the server; port 0 selects any free port.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -72,10 +72,10 @@
         Ok(Self { listener, handler })
     }
 
-    /// Address that was bound.
+    /// The bound address.
     ///
     /// # Errors
-    /// When the system cannot tell it.
+    /// When the operating system does not return the address.
     ///
     /// ```
     /// # use mangotray::{admin, telemetry};
@@ -93,7 +93,7 @@
         self.listener.local_addr()
     }
 
-    /// Serves until the future is dropped; each connection is a task of `executor`.
+    /// Serves requests until the future is dropped, each connection in a task of `executor`.
     pub async fn run(self, executor: sync::Arc<async_executor::Executor<'static>>) {
         let slots = sync::Arc::new(async_lock::Semaphore::new(MAX_CONNECTIONS));
         loop {
@@ -109,7 +109,7 @@
                         .detach();
                 }
                 Err(error) => {
-                    tracing::warn!(%error, "admin connection not accepted");
+                    tracing::warn!(%error, "cannot accept an admin connection");
                     async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -128,7 +128,7 @@
         .serve_connection(smol_hyper::rt::FuturesIo::new(stream), service)
         .await;
     if let Err(error) = result {
-        tracing::debug!(%error, "admin connection ended");
+        tracing::debug!(%error, "admin connection failed");
     }
 }
 
@@ -148,7 +148,7 @@
             _ => response(
                 hyper::StatusCode::NOT_FOUND,
                 TEXT_TYPE,
-                "try /status, /metrics or /healthz\n",
+                "unknown path; use /status, /metrics or /healthz\n",
             ),
         }
     }
--- a/src/admin/tests.rs
+++ b/src/admin/tests.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Runs a client against a served endpoint.
+/// Runs a client against a running server.
 fn with_server<T>(client: impl AsyncFnOnce(std::net::SocketAddr) -> T) -> T {
     let executor = sync::Arc::new(async_executor::Executor::new());
     let source = sync::Arc::new(FixedSource(status()));
@@ -89,8 +89,8 @@
     });
 }
 
-// Symptom: `mangotray status` hangs. Events: the admin address belongs to a process that
-// accepts connections and says nothing. Cause: a fetch without a timeout.
+// Guards against `mangotray status` hanging: without a timeout, a fetch from a process that
+// accepts connections but sends nothing never ends.
 #[test]
 fn a_fetch_from_a_silent_server_times_out() {
     let error = future::block_on(async {
--- a/src/answer.rs
+++ b/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the proxy gives without an upstream, as frames.
+//! Frames of answers that the proxy gives without an upstream.
 
 use bytes::BufMut;
 use pgwire::messages::data;
@@ -13,9 +13,9 @@
 use crate::refusal;
 use crate::transaction;
 
-/// Object id of the type `text`.
+/// Object ID of the type `text`.
 const TEXT_TYPE_ID: u32 = 25;
-/// Size that stands for "varies".
+/// Type size that marks a type of variable length.
 const VARIABLE_SIZE: i16 = -1;
 const NO_TYPE_MODIFIER: i32 = -1;
 
@@ -25,7 +25,7 @@
 const NO_DATA: u8 = b'n';
 const EMPTY_QUERY: u8 = b'I';
 
-/// A frame without a body.
+/// A frame with an empty body.
 fn without_body(tag: u8) -> frame::Frame {
     frame::Frame {
         tag,
@@ -33,7 +33,7 @@
     }
 }
 
-/// The answer to a text without statements.
+/// The answer to a query text that contains no statement.
 ///
 /// ```
 /// assert_eq!(mangotray::answer::empty_query().tag, b'I');
@@ -43,7 +43,7 @@
     without_body(EMPTY_QUERY)
 }
 
-/// Tells that the next request is awaited.
+/// The frame that ends an answer and invites the next request, with the transaction state.
 ///
 /// ```
 /// use mangotray::{answer, transaction};
@@ -59,7 +59,7 @@
     frame::Frame::encode(&response::ReadyForQuery::new(status))
 }
 
-/// Reports the value of a setting.
+/// The frame that reports the value of a setting.
 ///
 /// ```
 /// assert_eq!(mangotray::answer::parameter_status("TimeZone", "UTC").tag, b'S');
@@ -72,7 +72,7 @@
     ))
 }
 
-/// Ends the answer to one statement.
+/// The frame that ends the answer to one statement.
 fn command_complete(tag: &str) -> frame::Frame {
     frame::Frame::encode(&response::CommandComplete::new(tag.to_owned()))
 }
@@ -124,8 +124,9 @@
     }
 }
 
-/// The answer to a batch of the extended protocol, and the effects of its messages.
-/// `run` is called for each statement that is executed; an error ends the batch.
+/// The answer to a batch of the extended protocol, and the effects of its messages on the
+/// session's prepared statements. `run` is called for each executed statement; an error ends the
+/// batch.
 ///
 /// ```
 /// use mangotray::{answer, extended, local};
--- a/src/assembly.rs
+++ b/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Assembly of an instance's answer from its frames.
+//! Assembly of an instance's frames into a whole answer.
 
 use compact_str::CompactString;
 use compact_str::format_compact;
@@ -12,18 +12,18 @@
 use crate::transaction;
 use crate::upstream;
 
-/// First words of the failure of an answer that exceeds the limit.
+/// Start of the error message for an answer that exceeds the size limit.
 pub const TOO_LARGE_MESSAGE: &str = "answer too large";
 
-/// Bytes of a frame besides its body.
+/// Bytes of a frame's tag and length field.
 pub(crate) const FRAME_HEADER_BYTES: usize = 5;
 pub(crate) const STAMP_PARAMETER: &str = "group_stamp";
-/// Parameters that begin with this are for the proxy and never reach the caller.
+/// Prefix of the parameters that are reported to the proxy only and not relayed to the caller.
 const PRIVATE_PARAMETER_PREFIX: &str = "group_";
 const SQLSTATE_FIELD: u8 = b'C';
 const MESSAGE_FIELD: u8 = b'M';
 
-/// Answer under construction.
+/// An answer that is not complete yet.
 pub(crate) struct Assembly {
     frames: Vec<frame::Frame>,
     bytes: usize,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Takes the next frame; gives the reply when it was the last.
+    /// Adds the next frame; returns the reply if the frame was the last one.
     pub(crate) fn add(
         &mut self,
         frame: frame::Frame,
@@ -81,7 +81,7 @@
             }
             copy::MESSAGE_TYPE_BYTE_COPY_IN_RESPONSE
             | copy::MESSAGE_TYPE_BYTE_COPY_BOTH_RESPONSE => {
-                eyre::bail!("COPY from the caller is not relayed");
+                eyre::bail!("COPY from the caller is not supported");
             }
             _ => {}
         }
--- a/src/batch.rs
+++ b/src/batch.rs
@@ -1,4 +1,4 @@
-//! One unit of a caller's work: all frames up to a Query or a Sync.
+//! A caller's batch: all frames up to and including a Query or a Sync.
 
 use compact_str::CompactString;
 
@@ -7,29 +7,29 @@
 use crate::id;
 use crate::stamp;
 
-/// A unit that runs on one connection and has one answer.
+/// A unit of work that runs on one connection and has one answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Batch {
-    /// Number for the logs.
+    /// Request number, used in logs.
     pub request: id::Request,
-    /// Number of the caller's session, drawn at random; callers get equal turns.
+    /// Random number of the caller's session, used to give callers equal turns in the queue.
     pub caller: u64,
     /// Frames to send, ending in a Query or a Sync.
     pub frames: Vec<frame::Frame>,
-    /// What the statements need.
+    /// Class of the statements, which decides where and how the batch runs.
     pub class: class::Class,
-    /// Whether it opens or ends a transaction beside other statements, as in
-    /// `COMMIT; INSERT ...`: part of it may then be committed although it failed.
+    /// Whether the batch opens or ends a transaction next to other statements, as in
+    /// `COMMIT; INSERT ...`. Part of it may then be committed even if it fails.
     pub mixed: bool,
-    /// Tables that the statements read, where the parser could tell; empty means unknown.
+    /// Tables that the statements read, as far as the parser can determine; empty if unknown.
     pub tables: Vec<CompactString>,
-    /// Stamp that the answer must include, when the caller carries a token for this group.
+    /// Stamp that the answer must include, if the caller has a token for this group.
     pub token: Option<stamp::Stamp>,
-    /// Last stamp that the session itself has written: a lower bound for every read, also
-    /// for one that accepts data of a stated age.
+    /// Stamp of the session's own last write: a lower bound for every read, including one that
+    /// accepts data of a given age.
     pub own: Option<stamp::Stamp>,
-    /// Time the batch was received.
+    /// Time at which the batch was received.
     pub arrived: id::Time,
-    /// Time after which an answer is of no use.
+    /// Time by which the answer is needed.
     pub deadline: id::Time,
 }
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -1,4 +1,4 @@
-//! The side of a session that faces its caller: takes requests, gives whole answers.
+//! The caller's side of a session: reads requests and sends whole answers.
 
 use std::convert;
 use std::sync;
@@ -23,7 +23,7 @@
 use crate::wire;
 use crate::writer;
 
-/// A caller that has asked for a session.
+/// A caller's connection after the startup.
 pub(crate) struct Caller {
     stream: wire::Stream,
     context: sync::Arc<session::Context>,
@@ -47,15 +47,15 @@
         }
     }
 
-    /// Serves requests until either side ends the session; gives the stream back for
-    /// a last message.
+    /// Serves requests until either side ends the session. Returns the stream, on which a final
+    /// error can still be sent, and the reason for the end.
     pub(crate) async fn serve(
         mut self,
         parameters: &startup::Parameters,
     ) -> (wire::Stream, reader::Stop) {
         let pid = self.runner.handle().pid();
         let database = parameters.database.as_str();
-        tracing::debug!(target: "mangotray::session", pid, database, "open");
+        tracing::debug!(target: "mangotray::session", pid, database, "session opened");
         let _close_log = CloseLog { pid };
         match self.serve_requests(parameters).await {
             Err(stop) => (self.stream, stop),
@@ -97,8 +97,8 @@
         self.send(frames).await
     }
 
-    /// Waits for a request's first frame: without limit when idle, unless the process
-    /// drains, and for a limited time within a transaction, which a drain lets finish.
+    /// Waits for the first frame of a request. An idle session waits without a limit until the
+    /// process drains. Within a transaction the wait is limited, and a drain does not end it.
     async fn first_frame(&mut self) -> Result<frame::Frame, reader::Stop> {
         let is_idle = self.runner.state() == transaction::State::Idle;
         let drain = self.context.drain.clone();
@@ -110,7 +110,7 @@
             }
             Err(reader::stop_after(timeout, writer::idle_transaction()).await)
         };
-        // The read comes first: a request that is already here is served.
+        // The read is polled first, so that a request which has already arrived is served.
         reader::frame(&mut self.stream).or(stop).await
     }
 
@@ -140,7 +140,7 @@
         );
         let frames = self.refuse(&error);
         if skip_to_sync {
-            // The caller may wait for this answer before it sends the Sync.
+            // Sent right away: the caller may wait for the error before it sends the Sync.
             self.send(frames).await?;
             reader::skip_to_sync(&mut self.stream).await?;
             return Ok(Vec::new());
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Answers for a transaction that is already over at the database.
+    /// Answers a query in a transaction that has already been rolled back at the database.
     fn query_after_loss(&mut self, plan: &classify::Plan) -> Vec<frame::Frame> {
         if !analysis::ends(plan) {
             return vec![failed_transaction().frame()];
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Answers a batch that ends a transaction which is already over at the database.
+    /// Answers a batch that ends a transaction already rolled back at the database.
     fn extended_after_loss(
         &mut self,
         messages: &[extended::Message],
@@ -250,7 +250,7 @@
         frames
     }
 
-    /// Answers a batch that touches only the session itself.
+    /// Answers a batch that concerns only the session's own state.
     fn answer_locally(
         &mut self,
         messages: &[extended::Message],
@@ -270,20 +270,21 @@
         frames
     }
 
-    /// Refuses a request; an error within a transaction ends it.
+    /// Refuses a request. An open transaction fails with it.
     fn refuse(&mut self, error: &refusal::Error) -> Vec<frame::Frame> {
         self.runner.fail();
         vec![error.frame()]
     }
 }
 
+/// Logs the end of the session when dropped.
 struct CloseLog {
     pid: i32,
 }
 
 impl Drop for CloseLog {
     fn drop(&mut self) {
-        tracing::debug!(target: "mangotray::session", pid = self.pid, "close");
+        tracing::debug!(target: "mangotray::session", pid = self.pid, "session closed");
     }
 }
 
--- a/src/console.rs
+++ b/src/console.rs
@@ -1,4 +1,4 @@
-//! What a command prints, for people or for scripts.
+//! Output of the command-line tool, for people and for scripts.
 
 use std::io;
 use std::io::IsTerminal;
@@ -10,18 +10,19 @@
 const YELLOW: &str = "33";
 const NO_COLOUR_VARIABLE: &str = "NO_COLOR";
 
-/// Results go to `out`, everything else to `err`.
+/// Output streams of a command.
 pub struct Console {
-    /// Results.
+    /// Stream for results.
     pub out: Box<dyn io::Write>,
-    /// Errors and warnings.
+    /// Stream for errors and warnings.
     pub err: Box<dyn io::Write>,
     /// Whether errors and warnings are coloured.
     pub colour: bool,
 }
 
 impl Console {
-    /// Standard output and error; coloured if the latter is a terminal and `NO_COLOR` is unset.
+    /// Standard output and standard error. Errors and warnings are coloured if standard error is a
+    /// terminal and `NO_COLOR` is unset or empty.
     ///
     /// ```
     /// use std::io::Write;
@@ -82,11 +83,12 @@
         Ok(exit::Code::InvalidFile)
     }
 
-    /// Prints an error that ended a command, unless nobody reads the output any more.
+    /// Prints the error that ended a command. A broken pipe is not reported, since the reader of
+    /// the output has closed it.
     ///
     /// ```
     /// use mangotray::{console, exit};
-    /// let code = console::Console::standard().fail(&eyre::eyre!("out of luck"));
+    /// let code = console::Console::standard().fail(&eyre::eyre!("no route to host"));
     /// assert_eq!(code, exit::Code::GeneralError);
     /// ```
     pub fn fail(&mut self, error: &eyre::Report) -> exit::Code {
@@ -94,7 +96,7 @@
             .downcast_ref::<io::Error>()
             .is_some_and(|error| error.kind() == io::ErrorKind::BrokenPipe);
         if !closed {
-            // Nothing is left to report to if standard error is gone as well.
+            // If standard error cannot be written either, the error cannot be reported.
             let _ = self.error(&format!("{error:#}"));
         }
         exit::Code::GeneralError
--- a/src/direct.rs
+++ b/src/direct.rs
@@ -1,4 +1,4 @@
-//! A session's lane into a group whose instances this proxy reaches itself.
+//! Lane of a session to a group whose instances this proxy connects to itself.
 
 use std::sync;
 use std::time;
@@ -20,15 +20,15 @@
 use crate::route;
 use crate::transaction;
 
-/// SQLSTATE of a write refused because the instance does not lead (any more).
+/// SQLSTATE of a write that is refused because the instance is not the primary.
 const READ_ONLY_SQLSTATE: &str = "25006";
 
-/// Wait that a caller is told when all attempts have failed.
+/// Retry delay suggested to the caller when all attempts have failed.
 const RETRY_AFTER: time::Duration = time::Duration::from_millis(500);
 
 const EXPIRED_DETAIL: &str = "the deadline passed while the request was running";
 
-/// Classes that turn no transaction into one that writes.
+/// Classes that cannot turn a read-only transaction into a writing one.
 const NON_WRITING_CLASSES: [class::Class; 4] = [
     class::Class::Read,
     class::Class::BeginRead,
@@ -40,16 +40,17 @@
 struct Pin {
     place: path::Target,
     parked: pool::Parked,
+    /// Whether the transaction may have written.
     writes: bool,
 }
 
-/// One session's way into a group.
+/// Runs one session's batches on the instances of a group.
 pub struct Lane {
     path: path::Path,
     pin: Option<Pin>,
 }
 
-/// The attempts at one request outside of a transaction.
+/// Attempts to run one request outside a transaction.
 struct Attempts<'a> {
     group: &'a group::Group,
     attempt: retry::Attempt,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Pauses before the next attempt; false when there is to be none.
+    /// Waits before the next attempt. Returns false if no further attempt is allowed.
     async fn pause_before_retry(&mut self, outcome: &outcome::Outcome) -> bool {
         let decision = retry::decide(
             &self.attempt,
@@ -92,7 +93,7 @@
 type Answer = Result<reply::Reply, outcome::Outcome>;
 
 impl Lane {
-    /// A lane into `group` without an open transaction.
+    /// Creates a lane to `group` without an open transaction.
     #[must_use]
     pub fn new(group: sync::Arc<group::Group>) -> Self {
         Self {
@@ -119,13 +120,13 @@
             parked,
             writes,
         } = pin;
-        // A transaction opened read-only may turn into one that writes; being refused then
-        // says nothing of the primary.
+        // A transaction that was opened read-only may still turn into a writing one. A refusal
+        // of its first write doesn't show that the primary has been replaced.
         let began_writing = writes;
         let writes = writes || !NON_WRITING_CLASSES.contains(&batch.class);
         let Some(guard) = parked.resume() else {
             return Err(rolled_back(
-                "the proxy's share of the instance has ended".into(),
+                "the proxy's share of the instance has expired".into(),
             ));
         };
         let commits = batch.class == class::Class::Commit || batch.mixed;
@@ -142,8 +143,7 @@
             }
             path::Delivery::Lost(detail) if commits && writes => Err(connection_lost(detail)),
             path::Delivery::Expired if commits && writes => Err(expired_while_running()),
-            // The transaction was never asked to commit, so losing its connection
-            // has rolled it back.
+            // No commit was sent, so the loss of the connection rolled the transaction back.
             path::Delivery::Lost(detail) | path::Delivery::Unsent(detail) => {
                 Err(rolled_back(detail))
             }
@@ -162,9 +162,9 @@
                 .log(batch, place.index, route::Reason::Primary, None);
             let outcome = match self.path.send(place, None, batch).await {
                 path::Delivery::Answered(reply, guard) if is_refused_as_replica(batch, &reply) => {
-                    // A transaction may be open, and failed; it ends with the connection.
+                    // A failed transaction may be open; closing the connection ends it.
                     drop(guard);
-                    unsent("the instance does not lead any more".into())
+                    unsent("the instance is no longer the primary".into())
                 }
                 path::Delivery::Answered(reply, guard) => {
                     return self.finish(batch, place, true, reply, guard).await;
@@ -225,7 +225,8 @@
         }
     }
 
-    /// Relays a whole answer, once what it shows is certain to last.
+    /// Keeps or returns the connection, and returns the answer once the records it reflects are
+    /// confirmed.
     async fn finish(
         &mut self,
         batch: &batch::Batch,
@@ -237,7 +238,8 @@
         let open = reply.transaction != transaction::State::Idle;
         if open {
             if !writes {
-                // Holds no locks that others wait for, so the slot is free meanwhile.
+                // A read-only transaction holds no locks that others wait for, so its slot is
+                // released between batches.
                 guard.slot = None;
             }
             let parked = self.path.group.pool(place.index).park(guard);
@@ -249,7 +251,7 @@
         } else {
             self.path.group.pool(place.index).put_back(guard);
         }
-        // In a mixed batch a transaction may have ended before the open one began.
+        // In a mixed batch, a transaction may have been committed before the open one began.
         if open && !(batch.mixed && reply.stamp.is_some()) {
             return Ok(reply);
         }
@@ -267,12 +269,12 @@
     }
 }
 
-/// Whether the instance proved that it leads no more and that nothing was committed.
+/// Whether the answer proves that the instance is not the primary and that nothing was committed.
 fn is_refused_as_replica(batch: &batch::Batch, reply: &reply::Reply) -> bool {
     let writes = matches!(batch.class, class::Class::Write | class::Class::Begin);
     let idle = reply.transaction == transaction::State::Idle;
-    // Within a mixed batch a transaction may have been committed before the refusal;
-    // its end would have been reported.
+    // In a mixed batch, a transaction may have been committed before the refusal. The answer then
+    // includes its stamp.
     let no_transaction_ended = if batch.mixed {
         reply.stamp.is_none()
     } else {
@@ -281,14 +283,14 @@
     writes && no_transaction_ended && is_read_only_error(reply)
 }
 
-/// Whether the instance refused to write. Inside a transaction that was opened on a
-/// primary it means that the primary has been replaced and the transaction aborted.
+/// Whether the instance refused a write as read-only. Within a transaction that was opened on a
+/// primary, this means that the primary was replaced and the transaction aborted.
 fn is_read_only_error(reply: &reply::Reply) -> bool {
     reply.error.as_deref() == Some(READ_ONLY_SQLSTATE)
 }
 
-/// Whether losing the connection surely rolls the batch back: a transaction was opened
-/// and nothing in the batch could have committed it.
+/// Whether the loss of the connection rolls the whole batch back: the batch opens a transaction
+/// and contains nothing that could commit it.
 fn loss_rolls_back(batch: &batch::Batch) -> bool {
     batch.class == class::Class::Begin
 }
@@ -302,13 +304,14 @@
     outcome::Outcome::unknown(reason::Reason::Deadline, EXPIRED_DETAIL.into())
 }
 
-/// What a failed attempt shows when nothing was sent. Without a hint: that is for the
-/// caller, while another attempt may be made sooner.
+/// Outcome of an attempt of which nothing ran. It has no retry hint: the hint is meant for the
+/// caller, while the proxy itself may retry sooner.
 fn unsent(detail: CompactString) -> outcome::Outcome {
     outcome::Outcome::not_run(reason::Reason::ConnectionLost, detail, None)
 }
 
-/// A transaction that was only opened, for reads, is as good as never opened.
+/// Outcome of a read whose connection was lost after sending. A batch that only opens a read-only
+/// transaction has no effect without its connection, so it counts as not run.
 fn read_connection_lost(batch: &batch::Batch, detail: CompactString) -> outcome::Outcome {
     match batch.class {
         class::Class::BeginRead => unsent(detail),
@@ -316,13 +319,13 @@
     }
 }
 
-/// Outcome of a read: one that was sent and not answered may have run, whatever became
-/// of the later attempts.
+/// Outcome of a read after all attempts. If an attempt was sent but not answered, the read may
+/// have run, regardless of the results of later attempts.
 fn read_outcome(unanswered: Option<&outcome::Outcome>, last: outcome::Outcome) -> outcome::Outcome {
     unanswered.cloned().unwrap_or(last)
 }
 
-/// Adds a hint for the caller where there is none.
+/// Adds a retry hint for the caller if the outcome has none.
 fn with_retry_hint(outcome: outcome::Outcome) -> outcome::Outcome {
     match outcome {
         outcome::Outcome::NotRun {
--- a/src/direct/tests.rs
+++ b/src/direct/tests.rs
@@ -33,7 +33,7 @@
 const START: id::Time = time::Duration::from_secs(100);
 const BATCH_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// Time that moves only when a test says so.
+/// Clock that advances only when a test calls `advance`.
 struct ManualClock(sync::Mutex<id::Time>);
 
 impl clock::Clock for ManualClock {
@@ -42,11 +42,11 @@
     }
 }
 
-/// What becomes of the batches that reach any instance.
+/// Shared behaviour of the test's instances.
 #[derive(Default)]
 struct Upstreams {
     sent: atomic::AtomicUsize,
-    /// Batches that are lost; all later connections are refused.
+    /// Number of batches whose connection is lost; later connections are refused.
     lost: usize,
 }
 
@@ -56,7 +56,7 @@
 
 impl upstream::Upstream for Instance {
     fn status(&self) -> future::BoxFuture<'_, Result<status::Status, Failure>> {
-        future::ready(Err(Failure::NotRun("not asked here".into()))).boxed()
+        future::ready(Err(Failure::NotRun("not implemented in this test".into()))).boxed()
     }
 
     fn fence(&self, _: id::Term) -> future::BoxFuture<'_, Result<status::Status, Failure>> {
@@ -96,7 +96,7 @@
     }
 }
 
-/// A group whose tasks never run: its board shows what the test says.
+/// A group whose background tasks never run; the test sets the state on its board.
 struct Setup {
     group: sync::Arc<group::Group>,
     clock: sync::Arc<ManualClock>,
@@ -204,9 +204,9 @@
     matches!(result, Err(outcome::Outcome::NotRun { reason, retry: Some(_), .. }) if *reason == expected)
 }
 
-/// Symptom: a read that an instance may have run is reported as surely not run. Events:
-/// its first connection is lost, and no other instance takes it. Cause: the outcome of
-/// the last attempt alone was told.
+/// Guards against reporting a read as not run although an instance may have run it. Its first
+/// connection is lost and no other instance accepts it, and only the outcome of the last attempt
+/// is reported.
 #[test]
 fn a_read_that_was_sent_and_lost_ends_unknown() {
     for class in [class::Class::Read, class::Class::BeginRead] {
@@ -222,8 +222,8 @@
     assert_matches!(outcome, outcome::Outcome::NotRun { retry: Some(_), .. });
 }
 
-/// Symptom: an instance that comes back is met by a multiple of its load. Events: the
-/// budget is spent, and a read is lost. Cause: it is sent again without a common bound.
+/// Guards against overloading a returning instance with retries. The retry budget is spent and a
+/// read is lost, and it is sent again without regard to the shared budget.
 #[test]
 fn a_read_is_not_sent_again_without_budget() {
     let setup = setup(usize::MAX);
@@ -239,8 +239,8 @@
     assert_eq!(setup.upstreams.sent.load(atomic::Ordering::SeqCst), 1);
 }
 
-/// Symptom: reads wait for an instance that answers none, while others are well. Events:
-/// an instance answers probes but fails each request. Cause: probes alone decide.
+/// Guards against sending reads to an instance that answers none while others work. It answers
+/// status probes but fails each request, and the choice depends on the probes alone.
 #[test]
 fn an_instance_with_an_open_breaker_is_not_chosen() {
     let setup = setup(0);
@@ -255,9 +255,9 @@
     assert_ne!(setup.group.choose(&board, floor, &[]), Some(chosen));
 }
 
-/// Symptom: a booking ends unknown though it could have been repeated elsewhere. Events:
-/// the replicas answer but stand still, so nothing is confirmed. Cause: the write ran
-/// though its confirmation could not come in time.
+/// Guards against an unknown outcome of a write that the caller could have repeated elsewhere.
+/// The replicas answer but make no progress, so nothing is confirmed, and the write runs although
+/// its confirmation cannot arrive in time.
 #[test]
 fn a_write_that_cannot_be_confirmed_in_time_is_refused() {
     let setup = setup(0);
--- a/src/extended.rs
+++ b/src/extended.rs
@@ -1,7 +1,7 @@
 //! Messages of the extended query protocol, as callers send them.
 //!
-//! They are taken apart here and not by the codec library, whose decoders panic on a
-//! body that is cut short: one malformed message must not end the process.
+//! They are decoded here and not by the codec library, whose decoders panic on a truncated body:
+//! one malformed message must not end the process.
 
 use std::sync;
 
@@ -13,22 +13,22 @@
 use crate::frame;
 use crate::refusal;
 
-/// One message, taken apart as far as the proxy has to know it.
+/// A message, decoded as far as the proxy needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// Prepares a statement.
     Parse(Parse),
-    /// Makes a portal of a statement.
+    /// Creates a portal from a statement and its parameters.
     Bind(Bind),
-    /// Asks for the shape of a statement or portal.
+    /// Requests the description of a statement or portal.
     Describe(Target),
-    /// Drops a statement or portal.
+    /// Closes a statement or portal.
     Close(Target),
     /// Runs a portal.
     Execute {
         /// Name of the portal.
         portal: CompactString,
-        /// Greatest number of rows to answer; zero for all.
+        /// Maximum number of rows to return; zero for all.
         max_rows: i32,
     },
     /// Ends the batch.
@@ -42,22 +42,22 @@
     pub name: CompactString,
     /// SQL text.
     pub query: sync::Arc<str>,
-    /// Count and object ids of the parameter types, as encoded.
+    /// Number and object IDs of the parameter types, in encoded form.
     pub parameter_types: bytes::Bytes,
 }
 
-/// A statement with its parameters.
+/// Names and parameters of a portal to create.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bind {
     /// Name of the portal.
     pub portal: CompactString,
     /// Name of the statement.
     pub statement: CompactString,
-    /// Parameters and formats, as encoded.
+    /// Parameters, and formats of parameters and results, in encoded form.
     pub parameters: bytes::Bytes,
 }
 
-/// What a Describe or Close is about.
+/// Statement or portal to which a Describe or Close applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A prepared statement.
@@ -71,7 +71,7 @@
 const TYPE_ID_BYTES: usize = 4;
 
 impl Message {
-    /// Takes a frame apart.
+    /// Decodes a frame.
     ///
     /// ```
     /// use mangotray::{extended, frame};
@@ -82,7 +82,7 @@
     /// ```
     ///
     /// # Errors
-    /// The fatal error to send, when the body is not a message of that type.
+    /// The fatal error to send to the caller when the frame is not a valid message.
     pub fn decode(frame: &frame::Frame) -> Result<Self, refusal::Error> {
         let mut body = frame.body.clone();
         let message = Self::read(frame.tag, &mut body).ok_or_else(|| malformed(frame))?;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Puts the message together again.
+    /// Encodes the message.
     ///
     /// ```
     /// use mangotray::extended;
@@ -206,7 +206,7 @@
 /// ```
 ///
 /// # Errors
-/// The fatal error to send, when the body is not one text.
+/// The fatal error to send to the caller when the body is not exactly one text.
 pub fn query(frame: &frame::Frame) -> Result<String, refusal::Error> {
     let mut body = frame.body.clone();
     read_text(&mut body)
@@ -225,7 +225,7 @@
     )
 }
 
-/// Reads a text that ends in a zero byte.
+/// Reads a text up to its terminating zero byte; `None` if it is not valid UTF-8.
 fn read_text(body: &mut bytes::Bytes) -> Option<String> {
     let length = body.iter().position(|byte| *byte == 0)?;
     let text = split_front(body, length + 1)?;
--- a/src/frame.rs
+++ b/src/frame.rs
@@ -1,6 +1,6 @@
-//! One message of the `PostgreSQL` wire protocol, not yet interpreted.
+//! A message of the `PostgreSQL` wire protocol whose body is not decoded.
 
-/// Tag byte and body, without the length field.
+/// Tag byte and body of a message, without the length field.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Frame {
     /// Message type byte, such as `b'Q'`.
@@ -25,7 +25,8 @@
     /// ```
     ///
     /// # Panics
-    /// When the message is larger than the protocol allows; callers bound sizes before.
+    /// When the message is larger than the protocol allows; the caller of this function must limit
+    /// the size.
     pub fn encode<M: messages::Message>(message: &M) -> Self {
         let mut buffer = bytes::BytesMut::new();
         message
@@ -36,7 +37,7 @@
         Self { tag, body }
     }
 
-    /// Decodes the body as a typed message; the caller has matched the tag.
+    /// Decodes the body as a typed message. The tag is not checked.
     ///
     /// # Errors
     /// When the body is not a well-formed message of that type.
@@ -48,10 +49,10 @@
             .map_err(|error| eyre::eyre!("malformed {:?} message: {error}", char::from(self.tag)))
     }
 
-    /// Appends tag, length and body as they stand on the wire.
+    /// Appends tag, length and body in the encoding of the wire protocol.
     ///
     /// # Panics
-    /// When the body is longer than the protocol's length field can say.
+    /// When the length does not fit into the protocol's length field.
     pub fn write(&self, buffer: &mut bytes::BytesMut) {
         let length = i32::try_from(self.body.len() + LENGTH_BYTES).expect("frame within limits");
         buffer.reserve(1 + LENGTH_BYTES + self.body.len());
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request that has no ordinary answer.
+//! Outcome of a request that an instance did not answer.
 
 use std::time;
 
@@ -6,30 +6,31 @@
 
 use crate::reason;
 
-/// Refusal of a request. A request that was answered has a `reply::Reply` instead.
+/// Outcome of a request without an answer. A request that was answered has a `reply::Reply`
+/// instead.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The request surely did not run and never will.
+    /// The request did not run and will not run later.
     NotRun {
         /// Why it was refused.
         reason: reason::Reason,
-        /// Words for the caller.
+        /// Error message for the caller.
         detail: CompactString,
-        /// Earliest time worth trying again, when known.
+        /// Delay after which a retry may succeed, if known.
         retry: Option<time::Duration>,
     },
-    /// The request may or may not have run; the caller has to look.
+    /// The request may or may not have run; the caller has to check.
     Unknown {
-        /// Why it cannot be told.
+        /// Why the outcome is unknown.
         reason: reason::Reason,
-        /// Words for the caller.
+        /// Error message for the caller.
         detail: CompactString,
     },
 }
 
 impl Outcome {
-    /// A refusal of work that surely did not run.
+    /// Outcome of a request that did not run.
     ///
     /// ```
     /// use mangotray::{outcome, reason};
@@ -49,7 +50,7 @@
         }
     }
 
-    /// An answer for work that may have run.
+    /// Outcome of a request that may have run.
     ///
     /// ```
     /// use mangotray::{outcome, reason};
--- a/src/packet.rs
+++ b/src/packet.rs
@@ -1,4 +1,4 @@
-//! Messages between proxies as they stand on the wire: a length, then postcard.
+//! Encoding of messages between proxies: a length field followed by postcard data.
 
 use std::io;
 use std::marker;
@@ -13,10 +13,9 @@
 
 /// Codec that sends messages of type `Out` and receives messages of type `In`.
 ///
-/// The length field is checked before memory is reserved, so a false length
-/// cannot exhaust the proxy. The end of the stream is an error, never a quiet
-/// end: a peer that vanishes has to end its sessions at once, even while
-/// requests of it are still being answered.
+/// The length field is checked before memory is reserved, so a wrong length cannot exhaust the
+/// proxy's memory. The end of the stream is an error: when a peer disconnects, its sessions must
+/// end at once, even while its requests are still running.
 #[derive(Debug)]
 pub struct Codec<In, Out> {
     inner: codec::LengthDelimitedCodec,
@@ -25,7 +24,7 @@
 }
 
 impl<In, Out> Codec<In, Out> {
-    /// A codec for messages of at most `max_bytes` bytes.
+    /// Creates a codec for messages of at most `max_bytes` bytes, without the length field.
     ///
     /// ```
     /// use mangotray::packet;
@@ -70,7 +69,7 @@
 impl<In, Out: serde::Serialize> codec::Encoder<Out> for Codec<In, Out> {
     type Error = io::Error;
 
-    /// On any error the buffer is left as it was, so nothing of the message is sent.
+    /// Leaves the buffer unchanged on any error, so that no part of the message is sent.
     fn encode(&mut self, message: Out, buffer: &mut bytes::BytesMut) -> io::Result<()> {
         let start = buffer.len();
         let result = append(&message, buffer, self.max_bytes);
@@ -92,7 +91,7 @@
     postcard::to_io(message, (&mut *buffer).writer()).map_err(malformed)?;
     let length = buffer.len() - body;
     if length > max_bytes {
-        let text = format!("message of {length} bytes is over the limit of {max_bytes}");
+        let text = format!("message of {length} bytes exceeds the limit of {max_bytes}");
         return Err(io::Error::new(io::ErrorKind::InvalidData, text));
     }
     let length = u32::try_from(length).map_err(malformed)?;
--- a/src/reader.rs
+++ b/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads whole requests from a caller.
+//! Reads frames and complete requests from a caller.
 
 use std::io;
 use std::time;
@@ -12,29 +12,29 @@
 use crate::refusal;
 use crate::wire;
 
-/// One request of a caller.
+/// A request from a caller.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request {
-    /// Statements in the simple protocol, with the frame they came in.
+    /// Statements of the simple protocol, with the frame that contained them.
     Query(String, frame::Frame),
-    /// Messages of the extended protocol, the last of them a Sync.
+    /// Messages of the extended protocol, ending in a Sync.
     Extended(Vec<extended::Message>),
-    /// A message that pooled connections cannot serve; `skip_to_sync` when the caller goes on
-    /// to a Sync before it awaits the end of the answer.
+    /// A message that the proxy does not support on pooled connections.
     Unsupported {
         /// Name of the message.
         message: &'static str,
-        /// Whether to ignore everything up to a Sync.
+        /// Whether to ignore all messages up to the next Sync, since the caller sends one before it
+        /// expects the end of the answer.
         skip_to_sync: bool,
     },
-    /// The caller says good-bye.
+    /// The caller closes the session with a Terminate message.
     Terminate,
 }
 
 /// Why no further request can be read.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// The caller is gone.
+    /// The connection to the caller is closed.
     Closed,
     /// The session ends with this error.
     Fatal(refusal::Error),
@@ -46,12 +46,13 @@
 const FUNCTION_CALL: u8 = b'F';
 const TERMINATE: u8 = b'X';
 const FRAME_HEADER_BYTES: usize = 5;
-const MESSAGE_LIMIT_HINT: &str = "The operators bound messages by message_bytes in [limits].";
+const MESSAGE_LIMIT_HINT: &str =
+    "The limit is message_bytes in the section [limits] of the proxy's settings.";
 
 /// Reads one frame.
 ///
 /// # Errors
-/// When the caller is gone or its bytes are no frame within the limits.
+/// When the connection is closed, or the data is not a valid frame within the size limit.
 pub async fn frame(stream: &mut wire::Stream) -> Result<frame::Frame, Stop> {
     loop {
         let frame = match stream.next().await {
@@ -59,17 +60,17 @@
             Some(Err(error)) => return Err(framing_error(stream, &error)),
             None => return Err(Stop::Closed),
         };
-        // Left over from a copy that was refused; the protocol has them ignored.
+        // Data messages that remain after a refused COPY; the protocol requires to ignore them.
         if !matches!(frame.tag, b'd' | b'c' | b'f') {
             return Ok(frame);
         }
     }
 }
 
-/// Reads one packet of a connection that has not passed its startup.
+/// Reads one packet of a connection whose startup is not complete.
 ///
 /// # Errors
-/// When the caller is gone or its bytes are no packet within the limits.
+/// When the connection is closed, or the data is not a valid packet within the size limit.
 pub async fn packet(stream: &mut wire::Stream) -> Result<frame::Frame, Stop> {
     match stream.next().await {
         Some(Ok(frame)) => Ok(frame),
@@ -91,8 +92,8 @@
     )
 }
 
-/// The codec leaves an oversized message in the buffer, and has taken one that is
-/// shorter than its own header.
+/// Describes a framing error. The codec leaves an oversized message in the buffer, but has already
+/// consumed a message that is shorter than its own header.
 fn framing_error(stream: &wire::Stream, error: &io::Error) -> Stop {
     if !is_invalid_data(error) {
         return Stop::Closed;
@@ -111,10 +112,11 @@
     Stop::Fatal(refusal::Error { hint, ..error })
 }
 
-/// Reads the rest of the request that `first` opens, of at most `max_bytes` bytes in all.
+/// Reads the rest of the request that begins with `first`. All its messages together may have at
+/// most `max_bytes` bytes.
 ///
 /// # Errors
-/// When the caller is gone, or sends what is no request or too large a one.
+/// When the connection is closed, or the request is invalid or too large.
 pub async fn request(
     stream: &mut wire::Stream,
     first: frame::Frame,
@@ -172,16 +174,17 @@
     )
 }
 
-/// Waits and gives the reason to end the session then.
+/// Waits for `delay`, then returns a `Stop` with `error`. Used as a timeout.
 pub async fn stop_after(delay: time::Duration, error: refusal::Error) -> Stop {
     async_io::Timer::after(delay).await;
     Stop::Fatal(error)
 }
 
-/// Ignores everything up to the next Sync.
+/// Ignores all messages up to and including the next Sync.
 ///
 /// # Errors
-/// When the caller is gone, says good-bye or sends no frame.
+/// When the connection is closed, the caller terminates the session, or the data is not a valid
+/// frame.
 pub async fn skip_to_sync(stream: &mut wire::Stream) -> Result<(), Stop> {
     loop {
         match frame(stream).await?.tag {
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -1,21 +1,21 @@
-//! Whole answer to one batch.
+//! Complete answer to one batch.
 
 use crate::frame;
 use crate::stamp;
 use crate::transaction;
 
-/// Everything an instance answered to one batch, complete up to `ReadyForQuery`.
+/// An instance's answer to one batch, complete up to `ReadyForQuery`.
 ///
-/// A reply exists only when the answer is whole: an answer cut off half way is
-/// an `upstream::Failure`, so it can never be relayed as if it were complete.
+/// A truncated answer is an `upstream::Failure` and not a reply, so it cannot be relayed as if it
+/// were complete.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Reply {
-    /// Frames for the caller, without the closing `ReadyForQuery` and without
-    /// the upstream's private parameter reports.
+    /// Frames for the caller, without the final `ReadyForQuery` and without the parameter reports
+    /// that are meant for the proxy.
     pub frames: Vec<frame::Frame>,
-    /// Transaction state that the closing `ReadyForQuery` carried.
+    /// Transaction state from the final `ReadyForQuery`.
     pub transaction: transaction::State,
-    /// Stamp the instance reported when a transaction ended in this batch.
+    /// Stamp that the instance reported, if a transaction ended in this batch.
     pub stamp: Option<stamp::Stamp>,
     /// SQLSTATE of the first error in the answer, if any.
     pub error: Option<compact_str::CompactString>,
--- a/src/runner.rs
+++ b/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs a session's batches on its lane and follows the state of its transaction.
+//! Runs a session's batches on its lane and tracks the state of its transaction.
 
 use std::sync;
 
@@ -20,27 +20,28 @@
 use crate::telemetry;
 use crate::transaction;
 
-/// The side of a session that faces its database group.
+/// The database group's side of a session.
 pub(crate) struct Runner {
     context: sync::Arc<session::Context>,
     database: CompactString,
-    /// Drawn at random, since other proxies forward sessions to the same queues.
+    /// Session number for the admission queues. It is random, since other proxies forward sessions
+    /// to the same queues.
     caller_number: u64,
     lane: Option<Box<dyn lane::Lane>>,
     handle: cancel::Handle,
     state: transaction::State,
-    /// The open transaction has lost its connection: it is over at the database, and
-    /// the caller has yet to end it on its side.
+    /// Whether the open transaction has lost its connection: it is rolled back at the database,
+    /// but the caller has not ended it yet.
     transaction_lost: bool,
     /// Settings that the caller may change.
     pub(crate) settings: local::Settings,
 }
 
-/// How a batch ended that has no answer from an upstream.
+/// Result of a batch that has no answer from an upstream.
 pub(crate) enum Ending {
-    /// With an error.
+    /// The batch failed with this error.
     Error(refusal::Error),
-    /// It was to roll back, and with the loss of the connection it is rolled back.
+    /// The batch was a rollback, and the loss of the connection rolled the transaction back.
     RolledBack,
 }
 
@@ -67,22 +68,22 @@
         })
     }
 
-    /// State of the transaction, as the caller is told.
+    /// State of the transaction as reported to the caller.
     pub(crate) const fn state(&self) -> transaction::State {
         self.state
     }
 
-    /// Whether the transaction is over at the database but not yet for the caller.
+    /// Whether the transaction is rolled back at the database but not yet ended by the caller.
     pub(crate) const fn is_transaction_lost(&self) -> bool {
         self.transaction_lost
     }
 
-    /// What a cancel request has to show.
+    /// The process ID and secret that a cancel request must contain.
     pub(crate) const fn handle(&self) -> &cancel::Handle {
         &self.handle
     }
 
-    /// Runs a batch to its end.
+    /// Runs a batch and updates the session's state from the result.
     pub(crate) async fn run(
         &mut self,
         verdict: &classify::Verdict,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// What a batch without an answer means for the session.
+    /// Updates the session's state after a batch without an answer.
     fn handle_loss(&mut self, verdict: &classify::Verdict, loss: &loss::Loss) -> Ending {
         let error = loss.error(verdict, self.state);
         self.settings.outcome = error.detail.clone().unwrap_or_default();
@@ -166,8 +167,8 @@
         Ending::Error(error)
     }
 
-    /// Ends an open transaction at the database after an error; the caller still has
-    /// to end it on its side, and until then nothing is sent on.
+    /// Ends an open transaction at the database after an error. No batch is sent on until the
+    /// caller ends the transaction too.
     pub(crate) fn fail(&mut self) {
         if self.state == transaction::State::Idle || self.transaction_lost {
             return;
@@ -177,7 +178,7 @@
         self.transaction_lost = true;
     }
 
-    /// Starts over on a fresh lane; dropping the old one rolls its transaction back.
+    /// Replaces the lane by a new one; dropping the old lane rolls its transaction back.
     pub(crate) fn reset(&mut self) {
         self.lane = None;
         self.lane = self.context.switch.lane(&self.database);
@@ -196,7 +197,7 @@
 fn transaction_required() -> refusal::Error {
     refusal::Error::new(
         refusal::NOT_SUPPORTED,
-        "functions that answer for the connection need an open transaction (not run)",
+        "functions whose result depends on the connection need an open transaction (not run)",
     )
     .hint("Run them between BEGIN and COMMIT.")
 }
@@ -213,8 +214,8 @@
     metrics::counter!(telemetry::REQUESTS, "class" => class, "outcome" => outcome).increment(1);
 }
 
-/// Part of a deadline that is kept for the way back: an answer that leaves the proxy at
-/// the deadline reaches the caller after it.
+/// Part of a deadline that is reserved for sending the answer: an answer sent at the deadline would
+/// reach the caller after it.
 const RETURN_MARGIN: std::time::Duration = std::time::Duration::from_millis(25);
 
 fn return_margin(deadline: std::time::Duration) -> std::time::Duration {
--- a/src/session.rs
+++ b/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions of callers, from the first byte to the last.
+//! Sessions of callers, from the startup to the end of the connection.
 
 use std::sync;
 use std::sync::atomic;
@@ -20,17 +20,17 @@
 use crate::wire;
 use crate::writer;
 
-/// Bounds of one session.
+/// Limits of one session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request in bytes, over all its messages.
+    /// Largest request in bytes, including all its messages.
     pub max_request_bytes: usize,
-    /// Time from the connection until its startup is complete.
+    /// Time from the connection to the completed startup.
     pub startup_timeout: time::Duration,
-    /// Time that an open transaction, or a request not yet complete, may wait for the
-    /// caller; it holds a scarce connection meanwhile.
+    /// Time that an open transaction or an incomplete request may wait for the caller. An open
+    /// transaction holds one of the few connections to the database meanwhile.
     pub caller_timeout: time::Duration,
-    /// Time that a caller may take to accept an answer.
+    /// Time that a caller may take to receive an answer.
     pub send_timeout: time::Duration,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What all sessions of a process share.
+/// State shared by all sessions of a process.
 pub struct Context {
     /// Opens lanes to the database groups.
     pub switch: sync::Arc<dyn lane::Factory>,
@@ -53,17 +53,17 @@
     pub clock: sync::Arc<dyn clock::Clock>,
     /// Sessions that can be canceled.
     pub cancel_registry: cancel::Registry,
-    /// Memory of classified texts.
+    /// Cache of classified query texts.
     pub plans: plans::Cache,
-    /// Bounds of each session.
+    /// Limits of each session.
     pub limits: Limits,
-    /// Raised when the process shuts down.
+    /// Signal that is set when the process shuts down.
     pub drain: drain::Signal,
     next_request: atomic::AtomicU64,
 }
 
 impl Context {
-    /// A context with nothing registered yet.
+    /// Creates a context without sessions.
     #[must_use]
     pub fn new(
         switch: sync::Arc<dyn lane::Factory>,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Counts the caller out, also when its task is dropped.
+/// Decrements the gauge of callers when dropped, including when the session's task is dropped.
 struct CallerGauge;
 
 impl Drop for CallerGauge {
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -1,4 +1,4 @@
-//! First messages of a caller's connection.
+//! Startup of a caller's connection.
 
 use std::collections;
 
@@ -24,39 +24,40 @@
 const NEWEST_MINOR_VERSION: u16 = 2;
 const CODE_BYTES: usize = 4;
 const CANCEL_REQUEST_BYTES: usize = 12;
-/// Encryption requests that one connection may make; one of each kind is usual.
+/// Encryption requests allowed per connection. Clients usually send one of each kind.
 const MAX_ENCRYPTION_REQUESTS: usize = 2;
 
-/// Version that callers are told; the dialect the proxy classifies.
+/// Server version that is reported to callers. It matches the SQL dialect that the proxy
+/// classifies.
 pub const SERVER_VERSION: &str = "15.0";
 
 /// A packet without a type byte.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Packet {
-    /// Asks for TLS or GSS encryption.
+    /// Requests TLS or GSS encryption.
     EncryptionRequest,
-    /// Asks to cancel what another session runs.
+    /// Requests to cancel the running batch of another session.
     CancelRequest(cancel::Pid, cancel::Secret),
     /// Opens a session.
     Startup(Parameters),
 }
 
-/// What a caller asks for when it opens a session.
+/// Parameters with which a caller opens a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parameters {
-    /// User name, as told.
+    /// User name as sent by the caller; not verified.
     pub user: CompactString,
     /// Name of the database.
     pub database: CompactString,
-    /// The session's first settings.
+    /// Initial settings of the session.
     pub settings: local::Settings,
-    /// Protocol version to answer with, and options not understood, when they differ
-    /// from what was asked.
+    /// Accepted protocol version and unsupported protocol options; `None` if the requested version
+    /// and all options are accepted.
     pub negotiation: Option<(i32, Vec<String>)>,
 }
 
 impl Packet {
-    /// Takes a packet apart.
+    /// Decodes a packet.
     ///
     /// ```
     /// use mangotray::{frame, startup};
@@ -66,7 +67,7 @@
     /// ```
     ///
     /// # Errors
-    /// The fatal error to send.
+    /// The fatal error to send to the caller when the packet is invalid.
     pub fn decode(frame: &frame::Frame) -> Result<Self, refusal::Error> {
         let mut body = frame.body.clone();
         match body.try_get_u32() {
@@ -94,8 +95,8 @@
 }
 
 fn decode_startup(frame: &frame::Frame) -> Result<Parameters, refusal::Error> {
-    // The codec ends the list of parameters wherever a text is missing or empty; a
-    // packet that is not closed by an empty name was cut or is made up.
+    // The codec library ends the list of parameters at any missing or empty text, so the
+    // terminating empty name is checked here. A packet without it is truncated or forged.
     let pairs = frame.body.get(CODE_BYTES..).unwrap_or_default();
     if pairs != [0] && !pairs.ends_with(&[0, 0]) {
         return Err(protocol_violation("startup packet has no terminator"));
@@ -158,7 +159,7 @@
     result.map_err(|error| match error.code {
         refusal::UNKNOWN_PARAMETER => refusal::Error::fatal(
             refusal::NOT_SUPPORTED,
-            format_compact!("startup parameter \"{name}\" = \"{value}\" is not in force"),
+            format_compact!("startup parameter \"{name}\" = \"{value}\" is not supported"),
         )
         .hint("Connections to the database are shared and keep no session state."),
         _ => refusal::Error {
@@ -168,7 +169,8 @@
     })
 }
 
-/// Reads `-c name=value` and `--name=value`; a backslash keeps the next character.
+/// Parses options of the forms `-c name=value` and `--name=value`. A backslash escapes the next
+/// character.
 fn read_options(text: &str) -> Result<Vec<(String, String)>, refusal::Error> {
     let mut words = split_words(text).into_iter();
     let mut pairs = Vec::new();
@@ -206,7 +208,7 @@
 /// Reads packets until the caller opens a session; `None` after a cancel request.
 ///
 /// # Errors
-/// When the caller is gone or its packets are malformed.
+/// When the connection is closed or a packet is invalid.
 pub async fn receive(
     stream: &mut wire::Stream,
     cancel_registry: &cancel::Registry,
@@ -231,7 +233,7 @@
     )))
 }
 
-/// The frames that tell a caller that its session is open.
+/// The frames that complete the startup of a session.
 ///
 /// ```
 /// use mangotray::{cancel, local, startup};
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -13,19 +13,19 @@
 const LENGTH_BYTES: usize = 4;
 const TAG_BYTES: usize = 1;
 
-/// Largest startup packet; the protocol's own servers use the same bound.
+/// Largest startup packet in bytes. `PostgreSQL` servers use the same limit.
 pub const MAX_STARTUP_PACKET_BYTES: usize = 10_000;
 
-/// Any bidirectional byte stream: plain TCP, TLS, or a test's pipe.
+/// A bidirectional byte stream, such as TCP, TLS, or an in-memory pipe in tests.
 pub trait Duplex: stream::AsyncRead + stream::AsyncWrite + Unpin + Send {}
 
 impl<T: stream::AsyncRead + stream::AsyncWrite + Unpin + Send> Duplex for T {}
 
-/// A stream of frames over any byte stream.
+/// A stream of frames over a byte stream.
 pub type Stream = codec::Framed<compat::Compat<Box<dyn Duplex>>, Codec>;
 
-/// Splits and joins frames; the length field is checked against a limit before
-/// any memory is reserved, so a false length cannot exhaust the proxy.
+/// Encodes and decodes frames. The length field is checked against a limit before memory is
+/// reserved, so a wrong length cannot exhaust the proxy's memory.
 #[derive(Debug)]
 pub struct Codec {
     inner: codec::LengthDelimitedCodec,
@@ -33,7 +33,8 @@
 }
 
 impl Codec {
-    /// Frames of a connection that has passed its startup.
+    /// Creates a codec for a connection whose startup is complete, with frames of at most
+    /// `max_bytes` bytes.
     #[must_use]
     pub fn tagged(max_bytes: usize) -> Self {
         Self {
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Startup, SSL and cancel packets, which carry no type byte; their frames
-    /// have tag 0.
+    /// Creates a codec for startup, encryption and cancel packets. They have no type byte, so their
+    /// frames get tag 0.
     #[must_use]
     pub fn untagged() -> Self {
         Self {
@@ -53,8 +54,8 @@
     }
 }
 
-/// The protocol's length counts itself but not the tag before it, while the packet
-/// handed out begins with the tag.
+/// The protocol's length field includes itself but not the tag before it, while a decoded packet
+/// begins with the tag.
 fn length_codec(tag_bytes: usize, max_bytes: usize) -> codec::LengthDelimitedCodec {
     let adjustment = isize::try_from(tag_bytes).expect("offset of one byte at most");
     codec::LengthDelimitedCodec::builder()
@@ -74,7 +75,8 @@
         let Some(mut packet) = self.inner.decode(buffer)? else {
             return Ok(None);
         };
-        // A length below its own four bytes is a broken or hostile peer.
+        // A length below four bytes does not even cover the length field, so the peer is faulty or
+        // hostile.
         let header = LENGTH_BYTES + if self.tagged { TAG_BYTES } else { 0 };
         if packet.len() < header {
             return Err(io::ErrorKind::InvalidData.into());
@@ -97,7 +99,7 @@
     }
 }
 
-/// Wraps a byte stream whose startup is still to come.
+/// Wraps a byte stream whose startup is not complete.
 #[must_use]
 pub fn stream(socket: Box<dyn Duplex>) -> Stream {
     codec::Framed::new(socket.compat(), Codec::untagged())
--- a/src/writer.rs
+++ b/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes to callers in bounded time, up to the last message of a session.
+//! Writes answers and final errors to callers within a time limit.
 
 use std::time;
 
@@ -11,20 +11,20 @@
 use crate::refusal;
 use crate::wire;
 
-/// Time to write the last message.
+/// Time to write the final error.
 const LAST_SEND_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Time to wait for the caller to close after the last message.
+/// Time to wait for the caller to close its side after the final error.
 const LINGER_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Bytes thrown away at a time.
+/// Bytes that are read and discarded at a time.
 const DISCARD_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Writes an answer.
 ///
 /// # Errors
-/// When the caller is gone or does not take the answer within `timeout`: a caller that
-/// stopped reading would otherwise hold the answer in memory and delay a drain.
+/// When the connection is closed or the caller does not receive the answer within `timeout`. A
+/// caller that stops reading would otherwise keep the answer in memory and delay a drain.
 pub async fn send(
     stream: &mut wire::Stream,
     frames: Vec<frame::Frame>,
@@ -45,9 +45,9 @@
 
 /// Sends the error that ends a session and closes the connection.
 ///
-/// Closing a socket that still has unread bytes makes the system reset it, and the
-/// reset can destroy the error before the caller has read it. So the proxy closes its
-/// own direction only and reads on for a moment.
+/// If a socket with unread bytes is closed, the operating system resets the connection, and the
+/// caller may lose the error. The proxy therefore closes only its own direction first, and reads
+/// and discards data for a limited time.
 pub async fn close(mut stream: wire::Stream, error: &refusal::Error) {
     if send(&mut stream, vec![error.frame()], LAST_SEND_TIMEOUT)
         .await
@@ -71,7 +71,7 @@
     finish.or(timed_out).await;
 }
 
-/// The error for a caller that is idle when the process shuts down.
+/// Error for a caller that is idle when the process shuts down.
 ///
 /// ```
 /// assert_eq!(mangotray::writer::shutdown().code, "57P01");
@@ -85,7 +85,7 @@
     .hint("Connect again.")
 }
 
-/// The error for a caller that leaves a transaction open without using it.
+/// Error for a caller that leaves a transaction open without using it.
 ///
 /// ```
 /// assert_eq!(mangotray::writer::idle_transaction().code, "25P03");
@@ -98,7 +98,7 @@
     )
 }
 
-/// The error for a caller that begins a request and does not complete it.
+/// Error for a caller that does not complete a request in time.
 ///
 /// ```
 /// assert_eq!(mangotray::writer::incomplete_request().code, "08P01");
@@ -111,7 +111,7 @@
     )
 }
 
-/// The error for a caller that connects and does not complete its startup.
+/// Error for a caller that does not complete its startup in time.
 ///
 /// ```
 /// assert_eq!(mangotray::writer::incomplete_startup().code, "08P01");
