--- a/src/analysis.rs
+++ b/src/analysis.rs
@@ -30,7 +30,7 @@
 /// ```
 #[must_use]
 pub fn analyze(messages: &[extended::Message], references: &prepared::References) -> Analysis {
-    if messages.iter().all(bookkeeping) {
+    if messages.iter().all(is_bookkeeping) {
         return Analysis::Bookkeeping;
     }
     let plans = || {
@@ -47,12 +47,12 @@
         return Analysis::Refuse(error);
     }
     if plans().any(|plan| matches!(plan, classify::Plan::Local(_))) {
-        return local(messages, references);
+        return analyze_local(messages, references);
     }
-    Analysis::Run(verdict(messages, references))
+    Analysis::Run(joint_verdict(messages, references))
 }
 
-fn bookkeeping(message: &extended::Message) -> bool {
+fn is_bookkeeping(message: &extended::Message) -> bool {
     matches!(
         message,
         extended::Message::Sync | extended::Message::Close(extended::Target::Statement(_))
@@ -60,15 +60,15 @@
 }
 
 /// A batch runs in one place, so the proxy answers either all of it or nothing.
-fn local(messages: &[extended::Message], references: &prepared::References) -> Analysis {
-    let pure = messages.iter().zip(references).all(|(message, reference)| {
+fn analyze_local(messages: &[extended::Message], references: &prepared::References) -> Analysis {
+    let all_local = messages.iter().zip(references).all(|(message, reference)| {
         match reference.as_ref().map(|statement| &*statement.plan) {
             Some(classify::Plan::Local(commands)) => commands.len() == 1,
             Some(_) => false,
-            None => bookkeeping(message),
+            None => is_bookkeeping(message),
         }
     });
-    if pure {
+    if all_local {
         return Analysis::Local;
     }
     Analysis::Refuse(refusal::Error::new(
@@ -78,24 +78,27 @@
 }
 
 /// A batch that executes nothing cannot change anything, whatever it prepares.
-fn verdict(messages: &[extended::Message], references: &prepared::References) -> classify::Verdict {
+fn joint_verdict(
+    messages: &[extended::Message],
+    references: &prepared::References,
+) -> classify::Verdict {
     let verdicts: Vec<_> = messages
         .iter()
         .zip(references)
         .filter(|(message, _)| matches!(message, extended::Message::Execute { .. }))
-        .map(|(_, reference)| executed(reference.as_ref()))
+        .map(|(_, reference)| execution_verdict(reference.as_ref()))
         .collect();
     if verdicts.is_empty() {
-        return classify::Verdict::plain(class::Class::Read);
+        return classify::Verdict::of_class(class::Class::Read);
     }
     classify::Verdict::join(verdicts)
 }
 
-fn executed(reference: Option<&sync::Arc<prepared::Statement>>) -> classify::Verdict {
+fn execution_verdict(reference: Option<&sync::Arc<prepared::Statement>>) -> classify::Verdict {
     match reference.map(|statement| &*statement.plan) {
         Some(classify::Plan::Run(verdict)) => verdict.clone(),
-        Some(classify::Plan::Empty) => classify::Verdict::plain(class::Class::Read),
-        _ => classify::Verdict::plain(class::Class::Write),
+        Some(classify::Plan::Empty) => classify::Verdict::of_class(class::Class::Read),
+        _ => classify::Verdict::of_class(class::Class::Write),
     }
 }
 
@@ -106,25 +109,25 @@
 /// ```
 #[must_use]
 pub fn ends_transaction(messages: &[extended::Message], references: &prepared::References) -> bool {
-    let all = messages
+    let all_end = messages
         .iter()
         .zip(references)
         .all(|(message, reference)| match reference {
-            Some(statement) => ends(&statement.plan),
-            None => bookkeeping(message),
+            Some(statement) => plan_ends_transaction(&statement.plan),
+            None => is_bookkeeping(message),
         });
-    all && references.iter().any(Option::is_some)
+    all_end && references.iter().any(Option::is_some)
 }
 
 /// Whether a plan is a single statement that ends a transaction.
 ///
 /// ```
 /// use mangotray::{classify, analysis};
-/// assert!(analysis::ends(&classify::plan("ROLLBACK")));
-/// assert!(!analysis::ends(&classify::plan("COMMIT; BEGIN")));
+/// assert!(analysis::plan_ends_transaction(&classify::plan("ROLLBACK")));
+/// assert!(!analysis::plan_ends_transaction(&classify::plan("COMMIT; BEGIN")));
 /// ```
 #[must_use]
-pub fn ends(plan: &classify::Plan) -> bool {
+pub fn plan_ends_transaction(plan: &classify::Plan) -> bool {
     match plan {
         classify::Plan::Run(verdict) => {
             matches!(verdict.class, class::Class::Commit | class::Class::Rollback)
--- a/src/analysis/tests.rs
+++ b/src/analysis/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn what_is_executed_counts_and_not_what_is_prepared() {
+fn class_follows_executed_and_not_prepared_statements() {
     assert_eq!(class(&[prepare("DELETE FROM seats")]), Class::Read);
     assert_eq!(class(&run("DELETE FROM seats")), Class::Write);
     assert_eq!(class(&run("SELECT 1")), Class::Read);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn portal_of_an_earlier_batch_is_a_write() {
+fn executing_a_portal_of_an_earlier_batch_is_a_write() {
     let execute = Message::Execute {
         portal: "cursor".into(),
         max_rows: 10,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_batch_is_answered_in_one_place() {
+fn batch_that_mixes_local_and_upstream_statements_is_refused() {
     let local = run("SHOW mangotray.token");
     assert_eq!(analyze(&local), Analysis::Local);
     assert_matches!(
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -89,7 +89,7 @@
         let settings = &self.runner.settings;
         if settings.token != token {
             frames.push(answer::parameter_status(
-                local::TOKEN,
+                local::TOKEN_SETTING,
                 &settings.token_text(),
             ));
         }
@@ -169,7 +169,7 @@
 
     /// Answers a query in a transaction that has already been rolled back at the database.
     fn query_after_loss(&mut self, plan: &classify::Plan) -> Vec<frame::Frame> {
-        if !analysis::ends(plan) {
+        if !analysis::plan_ends_transaction(plan) {
             return vec![failed_transaction().frame()];
         }
         self.runner.reset();
--- a/src/classify.rs
+++ b/src/classify.rs
@@ -27,12 +27,12 @@
     /// Tables that it reads; empty when unknown or none.
     pub tables: Vec<CompactString>,
     /// More than one statement.
-    pub multi: bool,
+    pub multiple_statements: bool,
     /// Transaction control stands together with other statements, so that losing the
     /// answer leaves open whether a commit in the middle has happened.
     pub mixed: bool,
     /// Asks for state of the connection, which only a transaction keeps.
-    pub bound: bool,
+    pub needs_connection_state: bool,
 }
 
 impl Verdict {
@@ -40,16 +40,16 @@
     ///
     /// ```
     /// use mangotray::{class, classify};
-    /// assert!(classify::Verdict::plain(class::Class::Write).tables.is_empty());
+    /// assert!(classify::Verdict::of_class(class::Class::Write).tables.is_empty());
     /// ```
     #[must_use]
-    pub const fn plain(class: class::Class) -> Self {
+    pub const fn of_class(class: class::Class) -> Self {
         Self {
             class,
             tables: Vec::new(),
-            multi: false,
+            multiple_statements: false,
             mixed: false,
-            bound: false,
+            needs_connection_state: false,
         }
     }
 
@@ -57,8 +57,8 @@
     ///
     /// ```
     /// use mangotray::{class, classify};
-    /// let read = classify::Verdict::plain(class::Class::Read);
-    /// let write = classify::Verdict::plain(class::Class::Write);
+    /// let read = classify::Verdict::of_class(class::Class::Read);
+    /// let write = classify::Verdict::of_class(class::Class::Write);
     /// let both = classify::Verdict::join(vec![read, write]);
     /// assert_eq!(both.class, class::Class::Write);
     /// ```
@@ -69,9 +69,11 @@
         }
         let mixed = verdicts
             .iter()
-            .any(|verdict| verdict.mixed || control(verdict.class));
+            .any(|verdict| verdict.mixed || is_transaction_control(verdict.class));
         let class = joint_class(&verdicts);
-        let bound = verdicts.iter().any(|verdict| verdict.bound);
+        let needs_connection_state = verdicts
+            .iter()
+            .any(|verdict| verdict.needs_connection_state);
         let mut tables: Vec<_> = verdicts
             .into_iter()
             .flat_map(|verdict| verdict.tables)
@@ -81,28 +83,28 @@
         Self {
             class,
             tables,
-            multi: true,
+            multiple_statements: true,
             mixed,
-            bound,
+            needs_connection_state,
         }
     }
 }
 
-fn control(class: class::Class) -> bool {
+fn is_transaction_control(class: class::Class) -> bool {
     !matches!(class, class::Class::Read | class::Class::Write)
 }
 
 /// A batch that opens a transaction and leaves it open has to hold its connection as
 /// `Begin`; any other mixture with transaction control counts as a write.
 fn joint_class(verdicts: &[Verdict]) -> class::Class {
-    let opens = verdicts
+    let starts_transaction = verdicts
         .first()
         .is_some_and(|first| matches!(first.class, class::Class::Begin | class::Class::BeginRead));
-    if opens
+    if starts_transaction
         && verdicts
             .iter()
             .skip(1)
-            .all(|verdict| !control(verdict.class))
+            .all(|verdict| !is_transaction_control(verdict.class))
     {
         return class::Class::Begin;
     }
@@ -142,8 +144,8 @@
 /// The refusal to send to the caller, when transaction pooling cannot carry the text.
 pub fn classify(text: &str) -> Result<Verdict, refusal::Error> {
     match sql::split(text) {
-        Ok(statements) => judge(&statements),
-        Err(sql::Opaque) => Ok(Verdict::plain(class::Class::Write)),
+        Ok(statements) => classify_statements(&statements),
+        Err(sql::Opaque) => Ok(Verdict::of_class(class::Class::Write)),
     }
 }
 
@@ -157,39 +159,45 @@
 #[must_use]
 pub fn plan(text: &str) -> Plan {
     let Ok(statements) = sql::split(text) else {
-        return Plan::Run(Verdict::plain(class::Class::Write));
+        return Plan::Run(Verdict::of_class(class::Class::Write));
     };
     if statements.is_empty() {
         return Plan::Empty;
     }
-    if let Some(commands) = statements.iter().map(local::Command::read).collect() {
+    if let Some(commands) = statements
+        .iter()
+        .map(local::Command::from_statement)
+        .collect()
+    {
         return Plan::Local(commands);
     }
-    match judge(&statements) {
+    match classify_statements(&statements) {
         Ok(verdict) => Plan::Run(verdict),
         Err(error) => Plan::Refuse(error),
     }
 }
 
-fn judge(statements: &[sql::Statement]) -> Result<Verdict, refusal::Error> {
+fn classify_statements(statements: &[sql::Statement]) -> Result<Verdict, refusal::Error> {
     let verdicts = statements
         .iter()
-        .map(statement)
+        .map(classify_statement)
         .collect::<Result<Vec<_>, _>>()?;
     Ok(Verdict::join(verdicts))
 }
 
-fn statement(statement: &sql::Statement) -> Result<Verdict, refusal::Error> {
+fn classify_statement(statement: &sql::Statement) -> Result<Verdict, refusal::Error> {
     let words = statement.words();
     if let Some(what) = unsupported::find(statement, &words) {
-        return Err(refuse(&what));
+        return Err(unsupported_error(&what));
     }
-    let bound = statement
+    let needs_connection_state = statement
         .calls()
-        .any(|index| function::bound(&statement.callee(index)));
-    let class = transaction(&words);
+        .any(|index| function::needs_connection(&statement.callee(index)));
+    let class = transaction_class(&words);
     let parsed = match class {
-        None if !bound && harmless(statement, &words) => statement.parse(),
+        None if !needs_connection_state && has_only_read_tokens(statement, &words) => {
+            statement.parse()
+        }
         _ => None,
     };
     let read = parsed.filter(is_query);
@@ -199,12 +207,12 @@
             None => class::Class::Write,
         }),
         tables: read.as_ref().map(relation::tables).unwrap_or_default(),
-        bound,
-        ..Verdict::plain(class::Class::Write)
+        needs_connection_state,
+        ..Verdict::of_class(class::Class::Write)
     })
 }
 
-fn refuse(what: &str) -> refusal::Error {
+fn unsupported_error(what: &str) -> refusal::Error {
     refusal::Error::new(
         refusal::NOT_SUPPORTED,
         format_compact!("{what} is not supported through the proxy (not run)"),
@@ -213,10 +221,12 @@
 }
 
 /// Class of a statement that opens or ends a transaction.
-fn transaction(words: &[String]) -> Option<class::Class> {
+fn transaction_class(words: &[String]) -> Option<class::Class> {
     match words.first()?.as_str() {
-        "begin" => Some(opening(words)),
-        "start" if words.get(1).is_some_and(|word| word == "transaction") => Some(opening(words)),
+        "begin" => Some(begin_class(words)),
+        "start" if words.get(1).is_some_and(|word| word == "transaction") => {
+            Some(begin_class(words))
+        }
         "commit" | "end" => Some(class::Class::Commit),
         "abort" => Some(class::Class::Rollback),
         "rollback" if !words.iter().any(|word| word == "to") => Some(class::Class::Rollback),
@@ -225,14 +235,14 @@
 }
 
 /// A replica cannot serve a serializable transaction, so that one is left to the primary.
-fn opening(words: &[String]) -> class::Class {
-    let mode = |access: &str| {
+fn begin_class(words: &[String]) -> class::Class {
+    let has_mode = |access: &str| {
         words
             .windows(2)
             .any(|pair| pair[0] == "read" && pair[1] == access)
     };
     let serializable = words.iter().any(|word| word == "serializable");
-    if mode("only") && !mode("write") && !serializable {
+    if has_mode("only") && !has_mode("write") && !serializable {
         class::Class::BeginRead
     } else {
         class::Class::Begin
@@ -240,32 +250,40 @@
 }
 
 /// Words that a query may hold only if it writes, locks or creates.
-const EFFECTS: &[&str] = &[
+const EFFECT_WORDS: &[&str] = &[
     "insert", "update", "delete", "merge", "into", "truncate", "share",
 ];
 
 /// First words of statements that can be proven to read only.
-const QUERIES: &[&str] = &["select", "values", "with", "explain", "show"];
+const QUERY_FIRST_WORDS: &[&str] = &["select", "values", "with", "explain", "show"];
 
 /// Whether the tokens hold nothing that could write.
-fn harmless(statement: &sql::Statement, words: &[String]) -> bool {
-    let opens = match words.first() {
+fn has_only_read_tokens(statement: &sql::Statement, words: &[String]) -> bool {
+    let starts_query = match words.first() {
         Some(first) if first.is_empty() => {
             statement.tokens().first() == Some(&tokenizer::Token::LParen)
         }
-        Some(first) => QUERIES.contains(&first.as_str()),
+        Some(first) => QUERY_FIRST_WORDS.contains(&first.as_str()),
         None => false,
     };
     let analyze = words
         .iter()
         .any(|word| word == "analyze" || word == "analyse");
-    let ascii = statement.tokens().iter().all(plain);
-    let effects = words.iter().any(|word| EFFECTS.contains(&word.as_str()));
-    opens && !analyze && ascii && !effects && statement.calls().all(|index| pure(statement, index))
+    let unambiguous = statement.tokens().iter().all(is_unambiguous);
+    let has_effect_word = words
+        .iter()
+        .any(|word| EFFECT_WORDS.contains(&word.as_str()));
+    starts_query
+        && !analyze
+        && unambiguous
+        && !has_effect_word
+        && statement
+            .calls()
+            .all(|index| is_read_only_call(statement, index))
 }
 
 /// Tokens that this tokenizer and the database surely read alike.
-fn plain(token: &tokenizer::Token) -> bool {
+fn is_unambiguous(token: &tokenizer::Token) -> bool {
     match token {
         tokenizer::Token::Word(word) => word.quote_style.is_some() || word.value.is_ascii(),
         tokenizer::Token::CustomBinaryOperator(_) | tokenizer::Token::Char(_) => false,
@@ -273,22 +291,23 @@
     }
 }
 
-fn pure(statement: &sql::Statement, index: usize) -> bool {
+fn is_read_only_call(statement: &sql::Statement, index: usize) -> bool {
     let before = index.checked_sub(1);
     let previous = before.map(|index| &statement.tokens()[index]);
     if previous == Some(&tokenizer::Token::Period) {
-        return catalog(statement, index) && function::pure(&statement.callee(index));
+        return is_in_pg_catalog(statement, index)
+            && function::is_allowed_in_reads(&statement.callee(index));
     }
     // What follows these words is a name with a list of columns, never a call.
-    let declares = before.is_some_and(|index| {
+    let is_definition = before.is_some_and(|index| {
         matches!(statement.word(index).as_str(), "as" | "recursive")
             || (index == 0 && statement.word(index) == "with")
     });
-    declares || function::pure(&statement.callee(index))
+    is_definition || function::is_allowed_in_reads(&statement.callee(index))
 }
 
 /// Whether the name at `index` is qualified by `pg_catalog` and nothing else.
-fn catalog(statement: &sql::Statement, index: usize) -> bool {
+fn is_in_pg_catalog(statement: &sql::Statement, index: usize) -> bool {
     let schema = index.checked_sub(2).and_then(|at| statement.name(at));
     let longer = index
         .checked_sub(3)
--- a/src/classify/tests.rs
+++ b/src/classify/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn proven_reads() {
+fn queries_without_effects_are_reads() {
     let reads = [
         "SELECT 1",
         "select count(*), max(day) from shows where lower(name) = 'a' and id in (1, 2)",
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn everything_else_is_a_write() {
+fn unproven_statements_are_writes() {
     let writes = [
         "INSERT INTO seats VALUES (1)",
         "UPDATE seats SET taken = true",
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn what_the_tokenizer_and_the_database_read_differently_is_a_write() {
+fn text_that_the_database_may_tokenize_differently_is_a_write() {
     // Symptom: a statement that writes is run twice. Events: a text hides it behind a
     // comment that ends earlier at the database than in this tokenizer; the text is
     // taken for a read and repeated after a lost connection. Cause, were it so:
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn transactions() {
+fn transaction_statements_have_their_class() {
     let cases = [
         ("BEGIN", Class::Begin),
         ("begin work;", Class::Begin),
@@ -140,7 +140,7 @@
     for (text, expected, mixed) in cases {
         let verdict = classify(text).unwrap();
         assert_eq!((verdict.class, verdict.mixed), (expected, mixed), "{text}");
-        assert!(verdict.multi);
+        assert!(verdict.multiple_statements);
     }
 }
 
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn settings_in_force_are_answered_by_the_proxy() {
+fn fixed_settings_are_answered_by_the_proxy() {
     let texts = [
         "SET client_encoding TO 'UTF8'",
         "SET NAMES 'utf8'",
@@ -237,13 +237,13 @@
 
 #[test]
 fn connection_state_needs_a_transaction() {
-    assert!(classify("SELECT lastval()").unwrap().bound);
-    assert!(!classify("SELECT now()").unwrap().bound);
-    assert!(Verdict::plain(Class::Write).tables.is_empty());
+    assert!(classify("SELECT lastval()").unwrap().needs_connection_state);
+    assert!(!classify("SELECT now()").unwrap().needs_connection_state);
+    assert!(Verdict::of_class(Class::Write).tables.is_empty());
 }
 
 /// Pieces of SQL, strung together at random.
-fn piece() -> impl Strategy<Value = String> {
+fn fragment() -> impl Strategy<Value = String> {
     const WORDS: &[&str] = &[
         "SELECT",
         "FROM",
@@ -300,7 +300,7 @@
 }
 
 /// A query around an effect: as it stands, in an expression of a WITH, or among others.
-fn effective() -> impl Strategy<Value = String> {
+fn effect_in_query() -> impl Strategy<Value = String> {
     let read = proptest::sample::select(
         &[
             "SELECT 1",
@@ -323,14 +323,14 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn never_panics(text in ".{0,200}", pieces in prop::collection::vec(piece(), 0..40)) {
+    fn never_panics(text in ".{0,200}", fragments in prop::collection::vec(fragment(), 0..40)) {
         let _ = plan(&text);
-        let _ = plan(&pieces.join(" "));
-        let _ = plan(&pieces.concat());
+        let _ = plan(&fragments.join(" "));
+        let _ = plan(&fragments.concat());
     }
 
     #[test]
-    fn effects_are_never_reads(text in effective(), upper in any::<bool>()) {
+    fn statements_with_effects_are_never_reads(text in effect_in_query(), upper in any::<bool>()) {
         let text = if upper { text } else { text.to_lowercase() };
         prop_assert_eq!(classify(&text).unwrap().class, Class::Write);
     }
--- a/src/command.rs
+++ b/src/command.rs
@@ -113,7 +113,7 @@
         Err(faults) => Ok(Err(console.invalid(&name, &faults)?)),
         Ok(declaration) => {
             for warning in &declaration.warnings {
-                console.warning(&warning.located(&name))?;
+                console.warning(&warning.text_with_file(&name))?;
             }
             let catalog = declaration.catalog;
             Ok(Ok(Source { text, catalog }))
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -85,7 +85,9 @@
 const fn why(verdict: &classify::Verdict) -> &'static str {
     match verdict.class {
         class::Class::Read => "proven to read only; may be sent again after a failure",
-        class::Class::Write if verdict.bound => "depends on the state of one connection",
+        class::Class::Write if verdict.needs_connection_state => {
+            "depends on the state of one connection"
+        }
         class::Class::Write => "not proven to read only; never sent twice",
         class::Class::Begin => "opens a transaction that may write",
         class::Class::BeginRead => "opens a transaction declared read-only",
--- a/src/console.rs
+++ b/src/console.rs
@@ -78,7 +78,7 @@
     /// ```
     pub fn invalid(&mut self, file: &str, faults: &[fault::Fault]) -> io::Result<exit::Code> {
         for fault in faults {
-            self.error(&fault.located(file))?;
+            self.error(&fault.text_with_file(file))?;
         }
         Ok(exit::Code::InvalidFile)
     }
--- a/src/fault.rs
+++ b/src/fault.rs
@@ -36,10 +36,10 @@
     ///
     /// ```
     /// let fault = mangotray::fault::Fault::new(Some(3), "[log] format", "unknown format");
-    /// assert_eq!(fault.located("vm.ini"), "vm.ini:3: [log] format: unknown format");
+    /// assert_eq!(fault.text_with_file("vm.ini"), "vm.ini:3: [log] format: unknown format");
     /// ```
     #[must_use]
-    pub fn located(&self, file: &str) -> String {
+    pub fn text_with_file(&self, file: &str) -> String {
         match self.line {
             Some(line) => format!("{file}:{line}: {}", self.text()),
             None => format!("command line: {}", self.text()),
--- a/src/function.rs
+++ b/src/function.rs
@@ -6,7 +6,7 @@
 /// Left out on purpose: whatever writes (`nextval`, `setval`), answers for one
 /// instance or connection (`pg_is_in_recovery`, `pg_backend_pid`) or waits
 /// (`pg_sleep`).
-const PURE: &[&str] = &[
+const ALLOWED_IN_READS: &[&str] = &[
     "abs",
     "acos",
     "age",
@@ -320,7 +320,7 @@
 ];
 
 /// Functions whose effect or answer belongs to a session and outlives a transaction.
-const SESSION: &[&str] = &[
+const SESSION_FUNCTIONS: &[&str] = &[
     "pg_advisory_lock",
     "pg_advisory_lock_shared",
     "pg_advisory_unlock",
@@ -333,38 +333,38 @@
 ];
 
 /// Functions that answer for the connection, right only within one transaction.
-const BOUND: &[&str] = &["currval", "lastval", "pg_backend_pid"];
+const CONNECTION_FUNCTIONS: &[&str] = &["currval", "lastval", "pg_backend_pid"];
 
 /// Whether a name before an opening parenthesis is known to write nothing.
 ///
 /// ```
 /// use mangotray::function;
-/// assert!(function::pure("count"));
-/// assert!(!function::pure("nextval"));
+/// assert!(function::is_allowed_in_reads("count"));
+/// assert!(!function::is_allowed_in_reads("nextval"));
 /// ```
 #[must_use]
-pub fn pure(name: &str) -> bool {
-    PURE.binary_search(&name).is_ok()
+pub fn is_allowed_in_reads(name: &str) -> bool {
+    ALLOWED_IN_READS.binary_search(&name).is_ok()
 }
 
 /// Whether a function cannot be carried over pooled connections at all.
 ///
 /// ```
-/// assert!(mangotray::function::session("pg_advisory_lock"));
+/// assert!(mangotray::function::needs_session("pg_advisory_lock"));
 /// ```
 #[must_use]
-pub fn session(name: &str) -> bool {
-    SESSION.contains(&name)
+pub fn needs_session(name: &str) -> bool {
+    SESSION_FUNCTIONS.contains(&name)
 }
 
 /// Whether a function is right only where one connection is held.
 ///
 /// ```
-/// assert!(mangotray::function::bound("lastval"));
+/// assert!(mangotray::function::needs_connection("lastval"));
 /// ```
 #[must_use]
-pub fn bound(name: &str) -> bool {
-    BOUND.contains(&name)
+pub fn needs_connection(name: &str) -> bool {
+    CONNECTION_FUNCTIONS.contains(&name)
 }
 
 #[cfg(test)]
--- a/src/function/tests.rs
+++ b/src/function/tests.rs
@@ -1,12 +1,22 @@
 //! The lists are searched by bisection, so their order matters.
 
 #[test]
-fn pure_list_is_sorted_and_has_no_duplicates() {
-    assert!(super::PURE.windows(2).all(|pair| pair[0] < pair[1]));
+fn names_allowed_in_reads_are_sorted_and_unique() {
+    assert!(
+        super::ALLOWED_IN_READS
+            .windows(2)
+            .all(|pair| pair[0] < pair[1])
+    );
 }
 
 #[test]
-fn no_function_is_both_pure_and_tied_to_a_connection() {
-    let tied = super::SESSION.iter().chain(super::BOUND);
-    assert!(tied.copied().all(|name| !super::pure(name)));
+fn no_function_of_a_session_or_connection_is_allowed_in_reads() {
+    let refused = super::SESSION_FUNCTIONS
+        .iter()
+        .chain(super::CONNECTION_FUNCTIONS);
+    assert!(
+        refused
+            .copied()
+            .all(|name| !super::is_allowed_in_reads(name))
+    );
 }
--- a/src/link.rs
+++ b/src/link.rs
@@ -260,7 +260,7 @@
     message
         .parameters
         .insert("database".into(), database.into());
-    let in_force = local::IN_FORCE.iter();
+    let in_force = local::FIXED_SETTINGS.iter();
     let in_force = in_force.map(|(name, value)| ((*name).into(), (*value).into()));
     message.parameters.extend(in_force);
     let mut buffer = bytes::BytesMut::new();
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -213,7 +213,7 @@
         .chunks_exact(2)
         .map(|pair| (pair[0], pair[1]))
         .collect();
-    for (name, value) in local::IN_FORCE {
+    for (name, value) in local::FIXED_SETTINGS {
         assert!(
             asked.contains(&(name.as_bytes(), value.as_bytes())),
             "{name}"
--- a/src/local.rs
+++ b/src/local.rs
@@ -12,22 +12,22 @@
 use crate::stamp;
 
 /// Name of the caller's token.
-pub const TOKEN: &str = "mangotray.token";
+pub const TOKEN_SETTING: &str = "mangotray.token";
 /// Name of the deadline of requests.
-pub const DEADLINE: &str = "mangotray.deadline";
+pub const DEADLINE_SETTING: &str = "mangotray.deadline";
 /// Name of the summary of the last request's outcome.
-pub const LAST_OUTCOME: &str = "mangotray.last_outcome";
+pub const LAST_OUTCOME_SETTING: &str = "mangotray.last_outcome";
 /// Name of the caller's own label.
-pub const APPLICATION: &str = "application_name";
+pub const APPLICATION_SETTING: &str = "application_name";
 
 /// Characters of the label that are kept.
-const APPLICATION_LIMIT: usize = 64;
+const APPLICATION_CHARS_LIMIT: usize = 64;
 
 /// Settings that hold on every upstream connection, as told to each caller.
 ///
 /// A caller may ask for these very values and no others: on pooled connections
 /// another value would leak into other sessions.
-pub const IN_FORCE: &[(&str, &str)] = &[
+pub const FIXED_SETTINGS: &[(&str, &str)] = &[
     ("client_encoding", "UTF8"),
     ("DateStyle", "ISO, MDY"),
     ("IntervalStyle", "postgres"),
@@ -64,21 +64,23 @@
     /// ```
     /// use mangotray::{local, sql};
     /// let statements = sql::split("SET mangotray.token TO '3/77'").unwrap();
-    /// let command = local::Command::read(&statements[0]);
+    /// let command = local::Command::from_statement(&statements[0]);
     /// assert_eq!(command, Some(local::Command::Set("mangotray.token".into(), Some("3/77".into()))));
-    /// assert_eq!(local::Command::read(&sql::split("SELECT 1").unwrap()[0]), None);
+    /// assert_eq!(local::Command::from_statement(&sql::split("SELECT 1").unwrap()[0]), None);
     /// ```
     #[must_use]
-    pub fn read(statement: &sql::Statement) -> Option<Self> {
+    pub fn from_statement(statement: &sql::Statement) -> Option<Self> {
         match statement.word(0).as_str() {
-            "set" => set(statement),
+            "set" => set_command(statement),
             "reset" => {
-                let (name, next) = setting(statement, 1)?;
-                (own(&name) && next == statement.tokens().len()).then_some(Self::Set(name, None))
+                let (name, next) = setting_name(statement, 1)?;
+                (is_kept_by_proxy(&name) && next == statement.tokens().len())
+                    .then_some(Self::Set(name, None))
             }
             "show" => {
-                let (name, next) = setting(statement, 1)?;
-                (own(&name) && next == statement.tokens().len()).then_some(Self::Show(name))
+                let (name, next) = setting_name(statement, 1)?;
+                (is_kept_by_proxy(&name) && next == statement.tokens().len())
+                    .then_some(Self::Show(name))
             }
             _ => None,
         }
@@ -86,12 +88,12 @@
 }
 
 /// Whether the proxy keeps this setting for the session.
-fn own(name: &str) -> bool {
-    name.starts_with("mangotray.") || name == APPLICATION
+fn is_kept_by_proxy(name: &str) -> bool {
+    name.starts_with("mangotray.") || name == APPLICATION_SETTING
 }
 
 /// A setting's name from `index` on, and the index after it.
-fn setting(statement: &sql::Statement, index: usize) -> Option<(CompactString, usize)> {
+fn setting_name(statement: &sql::Statement, index: usize) -> Option<(CompactString, usize)> {
     let first = statement.name(index)?;
     if statement.tokens().get(index + 1) != Some(&tokenizer::Token::Period) {
         return Some((first.to_ascii_lowercase().into(), index + 1));
@@ -101,27 +103,28 @@
     Some((name, index + 3))
 }
 
-fn set(statement: &sql::Statement) -> Option<Command> {
+fn set_command(statement: &sql::Statement) -> Option<Command> {
     let start = if statement.word(1) == "session" { 2 } else { 1 };
     let (name, value_at) = match (statement.word(start).as_str(), statement.word(start + 1)) {
         ("names", _) => ("client_encoding".into(), start + 1),
         ("time", next) if next == "zone" => ("timezone".into(), start + 2),
         _ => {
-            let (name, next) = setting(statement, start)?;
-            assignment(statement, next).then_some((name, next + 1))?
+            let (name, next) = setting_name(statement, start)?;
+            is_assignment(statement, next).then_some((name, next + 1))?
         }
     };
     let default = statement.word(value_at) == "default";
-    let value = value(statement, value_at).map(|value| (!default).then_some(value))?;
-    (own(&name) || in_force(&name, value.as_deref())).then_some(Command::Set(name, value))
+    let value = value_from(statement, value_at).map(|value| (!default).then_some(value))?;
+    (is_kept_by_proxy(&name) || is_fixed_value(&name, value.as_deref()))
+        .then_some(Command::Set(name, value))
 }
 
-fn assignment(statement: &sql::Statement, index: usize) -> bool {
+fn is_assignment(statement: &sql::Statement, index: usize) -> bool {
     statement.word(index) == "to" || statement.tokens().get(index) == Some(&tokenizer::Token::Eq)
 }
 
 /// The rest of the statement as one value; `DEFAULT` is left unquoted as it stands.
-fn value(statement: &sql::Statement, index: usize) -> Option<CompactString> {
+fn value_from(statement: &sql::Statement, index: usize) -> Option<CompactString> {
     let rest = statement.tokens().get(index..)?;
     let parts = rest
         .iter()
@@ -141,40 +144,40 @@
 ///
 /// ```
 /// use mangotray::local;
-/// assert!(local::in_force("client_encoding", Some("utf-8")));
-/// assert!(!local::in_force("timezone", Some("Asia/Kathmandu")));
+/// assert!(local::is_fixed_value("client_encoding", Some("utf-8")));
+/// assert!(!local::is_fixed_value("timezone", Some("Asia/Kathmandu")));
 /// ```
 #[must_use]
-pub fn in_force(name: &str, value: Option<&str>) -> bool {
+pub fn is_fixed_value(name: &str, value: Option<&str>) -> bool {
     let Some(value) = value else {
-        return IN_FORCE
+        return FIXED_SETTINGS
             .iter()
-            .any(|(known, _)| known.eq_ignore_ascii_case(name));
+            .any(|(fixed_name, _)| fixed_name.eq_ignore_ascii_case(name));
     };
     if name.eq_ignore_ascii_case("extra_float_digits") {
         // All values above zero mean the shortest exact form, which is the default.
         return matches!(value, "1" | "2" | "3");
     }
-    IN_FORCE
+    FIXED_SETTINGS
         .iter()
-        .filter(|(known, _)| known.eq_ignore_ascii_case(name))
-        .any(|(known, wanted)| same(known, value, wanted))
+        .filter(|(fixed_name, _)| fixed_name.eq_ignore_ascii_case(name))
+        .any(|(fixed_name, fixed)| is_same_value(fixed_name, value, fixed))
 }
 
-fn same(name: &str, value: &str, wanted: &str) -> bool {
-    let plain = |text: &str| {
+fn is_same_value(name: &str, value: &str, fixed: &str) -> bool {
+    let normalize = |text: &str| {
         text.chars()
             .filter(char::is_ascii_alphanumeric)
             .map(|char| char.to_ascii_lowercase())
             .collect::<String>()
     };
-    let value = plain(value);
+    let value = normalize(value);
     match name {
         "client_encoding" => value == "utf8" || value == "unicode",
-        "DateStyle" => value == "iso" || value == plain(wanted),
+        "DateStyle" => value == "iso" || value == normalize(fixed),
         "TimeZone" => value == "utc" || value == "etcutc",
         "standard_conforming_strings" => matches!(value.as_str(), "on" | "true" | "1" | "yes"),
-        _ => value == plain(wanted),
+        _ => value == normalize(fixed),
     }
 }
 
@@ -184,7 +187,7 @@
     /// Stamp of the last write seen by this session or told by the caller.
     pub token: Option<stamp::Stamp>,
     /// Whether the caller itself has set the token, and so carries it between proxies.
-    pub carried: bool,
+    pub token_from_caller: bool,
     /// Deadline of requests, when the caller chose one.
     pub deadline: Option<time::Duration>,
     /// The caller's label.
@@ -199,7 +202,7 @@
     /// ```
     /// use mangotray::local;
     /// let mut settings = local::Settings::default();
-    /// let set = local::Command::Set(local::DEADLINE.into(), Some("500ms".into()));
+    /// let set = local::Command::Set(local::DEADLINE_SETTING.into(), Some("500ms".into()));
     /// assert_eq!(settings.run(&set), Ok(local::Answer::Done("SET")));
     /// assert_eq!(settings.deadline, Some(std::time::Duration::from_millis(500)));
     /// ```
@@ -231,37 +234,37 @@
     pub fn set(&mut self, name: &str, value: Option<&str>) -> Result<(), refusal::Error> {
         let value = value.filter(|text| !text.is_empty());
         match name {
-            TOKEN => {
-                self.token = value.map(token).transpose()?;
-                self.carried = self.token.is_some();
+            TOKEN_SETTING => {
+                self.token = value.map(parse_token).transpose()?;
+                self.token_from_caller = self.token.is_some();
             }
-            DEADLINE => self.deadline = value.map(deadline).transpose()?,
-            APPLICATION => {
+            DEADLINE_SETTING => self.deadline = value.map(parse_deadline).transpose()?,
+            APPLICATION_SETTING => {
                 let label = value.unwrap_or_default();
-                self.application = label.chars().take(APPLICATION_LIMIT).collect();
+                self.application = label.chars().take(APPLICATION_CHARS_LIMIT).collect();
             }
-            LAST_OUTCOME => {
+            LAST_OUTCOME_SETTING => {
                 return Err(refusal::Error::new(
                     refusal::CANNOT_CHANGE,
                     format_compact!("parameter \"{name}\" cannot be changed"),
                 ));
             }
-            _ if in_force(name, value) => {}
-            _ => return Err(unknown(name)),
+            _ if is_fixed_value(name, value) => {}
+            _ => return Err(unknown_setting(name)),
         }
         Ok(())
     }
 
     fn show(&self, name: &str) -> Result<CompactString, refusal::Error> {
         match name {
-            TOKEN => Ok(self.token_text()),
-            DEADLINE => Ok(self
+            TOKEN_SETTING => Ok(self.token_text()),
+            DEADLINE_SETTING => Ok(self
                 .deadline
                 .map(|deadline| format_compact!("{}ms", deadline.as_millis()))
                 .unwrap_or_default()),
-            LAST_OUTCOME => Ok(self.outcome.clone()),
-            APPLICATION => Ok(self.application.clone()),
-            _ => Err(unknown(name)),
+            LAST_OUTCOME_SETTING => Ok(self.outcome.clone()),
+            APPLICATION_SETTING => Ok(self.application.clone()),
+            _ => Err(unknown_setting(name)),
         }
     }
 
@@ -272,14 +275,14 @@
     /// ```
     /// use mangotray::{local, stamp};
     /// let mut settings = local::Settings::default();
-    /// settings.raise(stamp::Stamp::new(3, 9));
-    /// assert_eq!(settings.bound(), None);
-    /// settings.set(local::TOKEN, Some("3/9")).unwrap();
-    /// assert_eq!(settings.bound(), Some(stamp::Stamp::new(3, 9)));
+    /// settings.raise_token(stamp::Stamp::new(3, 9));
+    /// assert_eq!(settings.caller_token(), None);
+    /// settings.set(local::TOKEN_SETTING, Some("3/9")).unwrap();
+    /// assert_eq!(settings.caller_token(), Some(stamp::Stamp::new(3, 9)));
     /// ```
     #[must_use]
-    pub fn bound(&self) -> Option<stamp::Stamp> {
-        self.token.filter(|_| self.carried)
+    pub fn caller_token(&self) -> Option<stamp::Stamp> {
+        self.token.filter(|_| self.token_from_caller)
     }
 
     /// The token as told to the caller; empty when there is none.
@@ -299,41 +302,43 @@
     /// ```
     /// use mangotray::{local, stamp};
     /// let mut settings = local::Settings::default();
-    /// settings.raise(stamp::Stamp::new(3, 9));
-    /// settings.raise(stamp::Stamp::new(3, 2));
+    /// settings.raise_token(stamp::Stamp::new(3, 9));
+    /// settings.raise_token(stamp::Stamp::new(3, 2));
     /// assert_eq!(settings.token_text(), "3/9");
     /// ```
-    pub fn raise(&mut self, stamp: stamp::Stamp) {
+    pub fn raise_token(&mut self, stamp: stamp::Stamp) {
         self.token = self.token.max(Some(stamp));
     }
 }
 
-fn token(text: &str) -> Result<stamp::Stamp, refusal::Error> {
+fn parse_token(text: &str) -> Result<stamp::Stamp, refusal::Error> {
     text.parse()
-        .map_err(|_| invalid(TOKEN, text).hint("A token has the form TERM/POSITION."))
+        .map_err(|_| invalid_value(TOKEN_SETTING, text).hint("A token has the form TERM/POSITION."))
 }
 
-fn deadline(text: &str) -> Result<time::Duration, refusal::Error> {
+fn parse_deadline(text: &str) -> Result<time::Duration, refusal::Error> {
     let duration = match text.parse::<u64>() {
         Ok(millis) => Some(time::Duration::from_millis(millis)),
         Err(_) => humantime::parse_duration(text).ok(),
     };
     duration
-        .filter(|duration| !duration.is_zero() && *duration <= LONGEST_DEADLINE)
-        .ok_or_else(|| invalid(DEADLINE, text).hint("Give a time such as 500ms, at most 1h."))
+        .filter(|duration| !duration.is_zero() && *duration <= DEADLINE_LIMIT)
+        .ok_or_else(|| {
+            invalid_value(DEADLINE_SETTING, text).hint("Give a time such as 500ms, at most 1h.")
+        })
 }
 
 /// Longest deadline that a caller may ask for.
-pub const LONGEST_DEADLINE: time::Duration = time::Duration::from_hours(1);
+pub const DEADLINE_LIMIT: time::Duration = time::Duration::from_hours(1);
 
-fn invalid(name: &str, value: &str) -> refusal::Error {
+fn invalid_value(name: &str, value: &str) -> refusal::Error {
     refusal::Error::new(
         refusal::INVALID_PARAMETER,
         format_compact!("invalid value for parameter \"{name}\": \"{value}\""),
     )
 }
 
-fn unknown(name: &str) -> refusal::Error {
+fn unknown_setting(name: &str) -> refusal::Error {
     refusal::Error::new(
         refusal::UNKNOWN_PARAMETER,
         format_compact!("unrecognized configuration parameter \"{name}\""),
--- a/src/local/tests.rs
+++ b/src/local/tests.rs
@@ -7,12 +7,12 @@
 
 fn run(settings: &mut Settings, text: &str) -> Result<Answer, &'static str> {
     let statement = &sql::split(text).unwrap()[0];
-    let command = Command::read(statement).expect(text);
+    let command = Command::from_statement(statement).expect(text);
     settings.run(&command).map_err(|error| error.code)
 }
 
 #[test]
-fn what_was_set_is_shown() {
+fn show_returns_the_value_that_was_set() {
     let cases = [
         (
             "SET mangotray.token = '3/77'",
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn only_values_in_force_are_accepted() {
+fn only_fixed_values_are_accepted() {
     let accepted = [
         ("client_encoding", "UTF-8"),
         ("DATESTYLE", "iso"),
@@ -86,7 +86,7 @@
         ("standard_conforming_strings", "on"),
     ];
     for (name, value) in accepted {
-        assert!(super::in_force(name, Some(value)), "{name} {value}");
+        assert!(super::is_fixed_value(name, Some(value)), "{name} {value}");
     }
     let refused = [
         ("client_encoding", "latin1"),
@@ -97,12 +97,12 @@
         ("search_path", "public"),
     ];
     for (name, value) in refused {
-        assert!(!super::in_force(name, Some(value)), "{name} {value}");
+        assert!(!super::is_fixed_value(name, Some(value)), "{name} {value}");
     }
 }
 
 #[test]
-fn statements_for_the_database_are_left_to_it() {
+fn statements_for_the_database_are_not_answered_by_the_proxy() {
     for text in [
         "SET LOCAL mangotray.token = '1/1'",
         "SHOW mangotray.token, a",
@@ -110,6 +110,6 @@
         "SHOW",
     ] {
         let statement = &sql::split(text).unwrap()[0];
-        assert_eq!(Command::read(statement), None, "{text}");
+        assert_eq!(Command::from_statement(statement), None, "{text}");
     }
 }
--- a/src/loss.rs
+++ b/src/loss.rs
@@ -42,7 +42,7 @@
     ///
     /// ```
     /// use mangotray::{class, classify, loss, transaction};
-    /// let read = classify::Verdict::plain(class::Class::Read);
+    /// let read = classify::Verdict::of_class(class::Class::Read);
     /// assert_eq!(loss::Loss::Canceled.outcome_label(&read, transaction::State::Idle), "not-run");
     /// ```
     #[must_use]
@@ -62,7 +62,7 @@
     ///
     /// ```
     /// use mangotray::{class, classify, loss, transaction};
-    /// let write = classify::Verdict::plain(class::Class::Write);
+    /// let write = classify::Verdict::of_class(class::Class::Write);
     /// let error = loss::Loss::Canceled.error(&write, transaction::State::Idle);
     /// assert_eq!(error.code, "08007");
     /// ```
--- a/src/loss/tests.rs
+++ b/src/loss/tests.rs
@@ -15,7 +15,7 @@
         (Class::Rollback, State::Open, "57014"),
     ];
     for (class, state, code) in cases {
-        let error = Loss::Canceled.error(&Verdict::plain(class), state);
+        let error = Loss::Canceled.error(&Verdict::of_class(class), state);
         assert_eq!(error.code, code, "{class:?} {state:?}");
     }
 }
--- a/src/runner.rs
+++ b/src/runner.rs
@@ -89,7 +89,10 @@
         verdict: &classify::Verdict,
         frames: Vec<frame::Frame>,
     ) -> Result<reply::Reply, Ending> {
-        if verdict.bound && !verdict.multi && self.state == transaction::State::Idle {
+        if verdict.needs_connection_state
+            && !verdict.multiple_statements
+            && self.state == transaction::State::Idle
+        {
             return Err(Ending::Error(transaction_required()));
         }
         let batch = self.build_batch(verdict, frames);
@@ -121,7 +124,7 @@
             class: verdict.class,
             mixed: verdict.mixed,
             tables: verdict.tables.clone(),
-            token: self.settings.bound(),
+            token: self.settings.caller_token(),
             own: self.settings.token,
             arrived,
             deadline: arrived + deadline.saturating_sub(return_margin(deadline)),
@@ -145,7 +148,7 @@
         self.settings.outcome = "outcome=done".into();
         self.state = reply.transaction;
         if let Some(stamp) = reply.stamp {
-            self.settings.raise(stamp);
+            self.settings.raise_token(stamp);
         }
     }
 
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -271,10 +271,13 @@
         ("in_hot_standby", "off"),
         ("default_transaction_read_only", "off"),
         ("session_authorization", parameters.user.as_str()),
-        (local::APPLICATION, parameters.settings.application.as_str()),
-        (local::TOKEN, token.as_str()),
+        (
+            local::APPLICATION_SETTING,
+            parameters.settings.application.as_str(),
+        ),
+        (local::TOKEN_SETTING, token.as_str()),
     ];
-    let statuses = local::IN_FORCE.iter().copied().chain(own);
+    let statuses = local::FIXED_SETTINGS.iter().copied().chain(own);
     frames.extend(statuses.map(|(name, value)| answer::parameter_status(name, value)));
     let secret = startup::SecretKey::I32(handle.secret());
     frames.push(frame::Frame::encode(&startup::BackendKeyData::new(
--- a/src/unsupported.rs
+++ b/src/unsupported.rs
@@ -104,7 +104,7 @@
 fn call(statement: &sql::Statement) -> Option<String> {
     statement.calls().find_map(|index| {
         let name = statement.callee(index);
-        let unsupported = function::session(&name)
+        let unsupported = function::needs_session(&name)
             || (name == "set_config" && !transaction_scoped(statement, index));
         unsupported.then(|| format!("function {name}"))
     })
