--- a/src/analysis.rs
+++ b/src/analysis.rs
@@ -1,4 +1,4 @@
-//! Decides what a batch of the extended protocol needs as a whole.
+//! Decides how a batch of the extended protocol is handled as a whole.
 
 use std::sync;
 
@@ -8,20 +8,23 @@
 use crate::prepared;
 use crate::refusal;
 
-/// What is to be done with a batch.
+/// How a batch is handled.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Analysis {
-    /// It touches nothing but the session's own prepared statements.
+    /// The batch consists of Sync and Close messages for statements only; the proxy answers it.
     Bookkeeping,
-    /// The proxy answers all of it.
+    /// The proxy answers the whole batch itself.
     Local,
-    /// A lane runs it.
+    /// An upstream runs the batch.
     Run(classify::Verdict),
-    /// It cannot be carried over pooled connections.
+    /// The batch is not supported over pooled connections.
     Refuse(refusal::Error),
 }
 
-/// Analyzes a batch.
+/// Decides how a batch is handled.
+///
+/// `references` holds the prepared statement of each message, as resolved by
+/// [`prepared::Statements::resolve`].
 ///
 /// ```
 /// use mangotray::{extended, analysis};
@@ -59,7 +62,8 @@
     )
 }
 
-/// A batch runs in one place, so the proxy answers either all of it or nothing.
+/// Accepts a batch only if the proxy can answer all of it: a batch is not split between the
+/// proxy and an upstream.
 fn analyze_local(messages: &[extended::Message], references: &prepared::References) -> Analysis {
     let all_local = messages.iter().zip(references).all(|(message, reference)| {
         match reference.as_ref().map(|statement| &*statement.plan) {
@@ -73,11 +77,12 @@
     }
     Analysis::Refuse(refusal::Error::new(
         refusal::NOT_SUPPORTED,
-        "a setting of the proxy and other statements in one batch are not supported (not run)",
+        "a batch with both settings of the proxy and other statements is not supported (not run)",
     ))
 }
 
-/// A batch that executes nothing cannot change anything, whatever it prepares.
+/// Joins the verdicts of the executed statements. A batch that executes none changes no data,
+/// whatever it prepares, and is a read.
 fn joint_verdict(
     messages: &[extended::Message],
     references: &prepared::References,
@@ -94,6 +99,8 @@
     classify::Verdict::join(verdicts)
 }
 
+/// Verdict on one Execute message; a write if its statement is unknown, as for a portal of an
+/// earlier batch.
 fn execution_verdict(reference: Option<&sync::Arc<prepared::Statement>>) -> classify::Verdict {
     match reference.map(|statement| &*statement.plan) {
         Some(classify::Plan::Run(verdict)) => verdict.clone(),
@@ -102,7 +109,7 @@
     }
 }
 
-/// Whether all that a batch refers to are statements that end a transaction.
+/// Whether every statement of a batch ends a transaction, and there is at least one.
 ///
 /// ```
 /// assert!(!mangotray::analysis::ends_transaction(&[], &vec![]));
--- a/src/class.rs
+++ b/src/class.rs
@@ -1,12 +1,12 @@
-//! What a batch of statements needs from the database group.
+//! Classes of statements by what they need from the database group.
 
-/// Class of a whole batch; the strongest need of its statements.
+/// Class of a statement or of a whole batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Proven to read only; may run on a replica and may be sent twice.
+    /// Proven to only read; may run on a replica and may be sent again after a failure.
     Read,
-    /// Everything that is not proven to read only; never sent twice.
+    /// Not proven to only read; never sent twice.
     Write,
     /// Opens a transaction that may write.
     Begin,
--- a/src/classify.rs
+++ b/src/classify.rs
@@ -1,10 +1,9 @@
-//! Decides from SQL text alone what a caller's statements need.
+//! Classifies a caller's statements from their SQL text alone.
 //!
-//! A statement is a read only when that is proven: it has the shape of a query, holds
-//! none of the words that write or lock, and calls only built-in functions that are
-//! known to be free of effects. Everything else is a write. What is not looked into:
-//! operators, casts, views and attribute notation that an operator of the database has
-//! defined with side effects of their own.
+//! A statement counts as a read only if that is proven: it parses as a query, contains none of
+//! the words that write or lock, and calls only built-in functions that are known to have no
+//! side effects. Every other statement is a write. User-defined operators, casts, views and
+//! functions called in attribute notation (`row.function`) are not checked for side effects.
 
 use compact_str::CompactString;
 use compact_str::format_compact;
@@ -19,24 +18,25 @@
 use crate::sql;
 use crate::unsupported;
 
-/// What one text of statements needs.
+/// Classification of one SQL text or of a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Strongest need of its statements.
+    /// Joint class of the statements.
     pub class: class::Class,
-    /// Tables that it reads; empty when unknown or none.
+    /// Tables that the statements read; empty if unknown or none.
     pub tables: Vec<CompactString>,
-    /// More than one statement.
+    /// Whether there is more than one statement.
     pub multiple_statements: bool,
-    /// Transaction control stands together with other statements, so that losing the
-    /// answer leaves open whether a commit in the middle has happened.
+    /// Whether transaction control is mixed with other statements. If the answer is lost, it is
+    /// then unknown whether a commit in the middle has happened.
     pub mixed: bool,
-    /// Asks for state of the connection, which only a transaction keeps.
+    /// Whether a statement reads state of the connection. A session keeps its connection only
+    /// within a transaction.
     pub needs_connection_state: bool,
 }
 
 impl Verdict {
-    /// Verdict on a statement of which only the class is known.
+    /// Builds a verdict with a class and no other properties.
     ///
     /// ```
     /// use mangotray::{class, classify};
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Joint verdict on statements that run one after the other in one batch.
+    /// Joins the verdicts on statements that run in order in one batch.
     ///
     /// ```
     /// use mangotray::{class, classify};
@@ -94,8 +94,8 @@
     !matches!(class, class::Class::Read | class::Class::Write)
 }
 
-/// A batch that opens a transaction and leaves it open has to hold its connection as
-/// `Begin`; any other mixture with transaction control counts as a write.
+/// Joins the classes of a batch. A batch that opens a transaction and leaves it open is a `Begin`,
+/// so that the session keeps the connection; any other mix with transaction control is a write.
 fn joint_class(verdicts: &[Verdict]) -> class::Class {
     let starts_transaction = verdicts
         .first()
@@ -117,20 +117,20 @@
     class::Class::Write
 }
 
-/// What is to be done with a text.
+/// How an SQL text is handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Nothing: the text holds no statement.
+    /// The text contains no statement.
     Empty,
-    /// The proxy answers for itself.
+    /// The proxy answers these commands itself.
     Local(Vec<local::Command>),
-    /// A lane runs it.
+    /// An upstream runs the text.
     Run(Verdict),
-    /// It cannot be carried over pooled connections.
+    /// The text is not supported over pooled connections.
     Refuse(refusal::Error),
 }
 
-/// Classifies a text that is to run on an upstream.
+/// Classifies a text that runs on an upstream.
 ///
 /// ```
 /// use mangotray::{class, classify};
@@ -141,7 +141,7 @@
 /// ```
 ///
 /// # Errors
-/// The refusal to send to the caller, when transaction pooling cannot carry the text.
+/// The refusal for the caller, if transaction pooling does not support the text.
 pub fn classify(text: &str) -> Result<Verdict, refusal::Error> {
     match sql::split(text) {
         Ok(statements) => classify_statements(&statements),
@@ -149,7 +149,7 @@
     }
 }
 
-/// Decides what is to be done with a text.
+/// Decides how an SQL text is handled.
 ///
 /// ```
 /// use mangotray::classify;
@@ -220,7 +220,7 @@
     .hint("Connections to the database are shared between transactions and keep no session state.")
 }
 
-/// Class of a statement that opens or ends a transaction.
+/// Class of a statement that opens or ends a transaction; `None` for any other.
 fn transaction_class(words: &[String]) -> Option<class::Class> {
     match words.first()?.as_str() {
         "begin" => Some(begin_class(words)),
@@ -234,7 +234,8 @@
     }
 }
 
-/// A replica cannot serve a serializable transaction, so that one is left to the primary.
+/// Class of a statement that opens a transaction. A replica cannot run a serializable
+/// transaction, so even a read-only one is a `Begin` and runs on the primary.
 fn begin_class(words: &[String]) -> class::Class {
     let has_mode = |access: &str| {
         words
@@ -249,15 +250,16 @@
     }
 }
 
-/// Words that a query may hold only if it writes, locks or creates.
+/// Unquoted words that mark a query as one that writes, locks rows or creates a table. A column
+/// of such a name also makes a query a write, which is safe.
 const EFFECT_WORDS: &[&str] = &[
     "insert", "update", "delete", "merge", "into", "truncate", "share",
 ];
 
-/// First words of statements that can be proven to read only.
+/// First words of statements that can be proven to only read.
 const QUERY_FIRST_WORDS: &[&str] = &["select", "values", "with", "explain", "show"];
 
-/// Whether the tokens hold nothing that could write.
+/// Whether no token of a query could write.
 fn has_only_read_tokens(statement: &sql::Statement, words: &[String]) -> bool {
     let starts_query = match words.first() {
         Some(first) if first.is_empty() => {
@@ -282,7 +284,7 @@
             .all(|index| is_read_only_call(statement, index))
 }
 
-/// Tokens that this tokenizer and the database surely read alike.
+/// Whether the tokenizer and the database are certain to split this token alike.
 fn is_unambiguous(token: &tokenizer::Token) -> bool {
     match token {
         tokenizer::Token::Word(word) => word.quote_style.is_some() || word.value.is_ascii(),
@@ -291,6 +293,8 @@
     }
 }
 
+/// Whether the name at `index`, which precedes a parenthesis, calls a function that is allowed in
+/// reads, or calls none.
 fn is_read_only_call(statement: &sql::Statement, index: usize) -> bool {
     let before = index.checked_sub(1);
     let previous = before.map(|index| &statement.tokens()[index]);
@@ -298,7 +302,7 @@
         return is_in_pg_catalog(statement, index)
             && function::is_allowed_in_reads(&statement.callee(index));
     }
-    // What follows these words is a name with a list of columns, never a call.
+    // A name after one of these words has a list of columns and is no function call.
     let is_definition = before.is_some_and(|index| {
         matches!(statement.word(index).as_str(), "as" | "recursive")
             || (index == 0 && statement.word(index) == "with")
@@ -306,7 +310,7 @@
     is_definition || function::is_allowed_in_reads(&statement.callee(index))
 }
 
-/// Whether the name at `index` is qualified by `pg_catalog` and nothing else.
+/// Whether the name at `index` is qualified by the schema `pg_catalog` alone.
 fn is_in_pg_catalog(statement: &sql::Statement, index: usize) -> bool {
     let schema = index.checked_sub(2).and_then(|at| statement.name(at));
     let longer = index
@@ -315,12 +319,12 @@
     schema.as_deref() == Some("pg_catalog") && !longer
 }
 
-/// Whether the parser agrees that the statement is a query.
+/// Whether a parsed statement is a query that any instance may answer.
 fn is_query(statement: &ast::Statement) -> bool {
     match statement {
         ast::Statement::Query(_) => true,
         ast::Statement::Explain { statement, .. } => is_query(statement),
-        // An instance answers for itself whether it takes writes.
+        // The settings *_read_only differ between the primary and its replicas.
         ast::Statement::ShowVariable { variable } => !variable
             .iter()
             .any(|part| part.value.to_ascii_lowercase().ends_with("read_only")),
--- a/src/classify/tests.rs
+++ b/src/classify/tests.rs
@@ -85,10 +85,9 @@
 
 #[test]
 fn text_that_the_database_may_tokenize_differently_is_a_write() {
-    // Symptom: a statement that writes is run twice. Events: a text hides it behind a
-    // comment that ends earlier at the database than in this tokenizer; the text is
-    // taken for a read and repeated after a lost connection. Cause, were it so:
-    // different rules for the ends of comments and for white space.
+    // Guards against a write that runs twice. If the tokenizer and the database differ on where
+    // a comment ends or on white space, a write that the tokenizer takes for part of a comment
+    // is classified as a read and is sent again after a lost connection.
     let texts = [
         "SELECT 1 --\rDELETE FROM seats",
         "SELECT 1 --\r; DELETE FROM seats",
@@ -242,7 +241,7 @@
     assert!(Verdict::of_class(Class::Write).tables.is_empty());
 }
 
-/// Pieces of SQL, strung together at random.
+/// Fragments of SQL that are joined at random.
 fn fragment() -> impl Strategy<Value = String> {
     const WORDS: &[&str] = &[
         "SELECT",
@@ -299,7 +298,7 @@
     )
 }
 
-/// A query around an effect: as it stands, in an expression of a WITH, or among others.
+/// A statement with an effect: alone, within WITH, before or after a query, or in EXPLAIN ANALYZE.
 fn effect_in_query() -> impl Strategy<Value = String> {
     let read = proptest::sample::select(
         &[
--- a/src/fault.rs
+++ b/src/fault.rs
@@ -1,23 +1,23 @@
-//! One mistake in an INI file, worded for the person who wrote it.
+//! Errors and warnings about an INI file, for the person who wrote it.
 
 use std::fmt;
 
 use compact_str::CompactString;
 
-/// A mistake or a warning with its place in the file.
+/// An error or a warning with its line in the file.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Line counted from 1; `None` for a value given on the command line.
+    /// Line number, counted from 1; `None` for a value given on the command line.
     pub line: Option<usize>,
-    /// Section and key, as far as they are known; empty for a line that cannot be read.
+    /// Section and key as far as known; empty for a line that cannot be parsed.
     pub key: CompactString,
-    /// What is wrong and what is expected instead.
+    /// Describes the error and the expected value.
     pub reason: CompactString,
 }
 
 impl Fault {
-    /// Builds a fault from its parts.
+    /// Builds a fault.
     ///
     /// ```
     /// let fault = mangotray::fault::Fault::new(Some(3), "[log] format", "unknown format");
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Words the fault with the file's name, in the form that editors can jump to.
+    /// Formats the fault as `FILE:LINE: TEXT`, which editors recognize as a location.
     ///
     /// ```
     /// let fault = mangotray::fault::Fault::new(Some(3), "[log] format", "unknown format");
--- a/src/function.rs
+++ b/src/function.rs
@@ -1,11 +1,10 @@
-//! Built-in functions that neither write nor depend on the connection.
+//! Built-in functions by whether they may run in a read and need a session or a connection.
 
-/// Sorted names of functions, special forms and types that may stand before an
-/// opening parenthesis in a statement that is proven to read only.
+/// Names of functions, keywords and types that may precede an opening parenthesis in a proven
+/// read. Sorted, for binary search.
 ///
-/// Left out on purpose: whatever writes (`nextval`, `setval`), answers for one
-/// instance or connection (`pg_is_in_recovery`, `pg_backend_pid`) or waits
-/// (`pg_sleep`).
+/// Functions that write (`nextval`, `setval`), whose result depends on the instance or connection
+/// (`pg_is_in_recovery`, `pg_backend_pid`) or that wait (`pg_sleep`) must not be added.
 const ALLOWED_IN_READS: &[&str] = &[
     "abs",
     "acos",
@@ -319,7 +318,7 @@
     "zone",
 ];
 
-/// Functions whose effect or answer belongs to a session and outlives a transaction.
+/// Functions whose effect or result belongs to a session and outlives a transaction.
 const SESSION_FUNCTIONS: &[&str] = &[
     "pg_advisory_lock",
     "pg_advisory_lock_shared",
@@ -332,10 +331,10 @@
     "pg_try_advisory_lock_shared",
 ];
 
-/// Functions that answer for the connection, right only within one transaction.
+/// Functions that return state of the connection; the result is correct only within a transaction.
 const CONNECTION_FUNCTIONS: &[&str] = &["currval", "lastval", "pg_backend_pid"];
 
-/// Whether a name before an opening parenthesis is known to write nothing.
+/// Whether a name may precede an opening parenthesis in a proven read.
 ///
 /// ```
 /// use mangotray::function;
@@ -347,7 +346,7 @@
     ALLOWED_IN_READS.binary_search(&name).is_ok()
 }
 
-/// Whether a function cannot be carried over pooled connections at all.
+/// Whether a function needs a session of its own, so pooled connections cannot support it.
 ///
 /// ```
 /// assert!(mangotray::function::needs_session("pg_advisory_lock"));
@@ -357,7 +356,7 @@
     SESSION_FUNCTIONS.contains(&name)
 }
 
-/// Whether a function is right only where one connection is held.
+/// Whether the result of a function is correct only on the connection of the session's transaction.
 ///
 /// ```
 /// assert!(mangotray::function::needs_connection("lastval"));
--- a/src/function/tests.rs
+++ b/src/function/tests.rs
@@ -1,4 +1,4 @@
-//! The lists are searched by bisection, so their order matters.
+//! Checks the lists of function names; binary search needs a sorted list.
 
 #[test]
 fn names_allowed_in_reads_are_sorted_and_unique() {
--- a/src/local.rs
+++ b/src/local.rs
@@ -1,4 +1,4 @@
-//! Settings of a session that the proxy answers for itself.
+//! Statements on settings that the proxy answers itself, and the settings of a session.
 
 use std::time;
 
@@ -11,22 +11,22 @@
 use crate::sql;
 use crate::stamp;
 
-/// Name of the caller's token.
+/// Setting that holds the caller's token.
 pub const TOKEN_SETTING: &str = "mangotray.token";
-/// Name of the deadline of requests.
+/// Setting that holds the deadline of each request.
 pub const DEADLINE_SETTING: &str = "mangotray.deadline";
-/// Name of the summary of the last request's outcome.
+/// Read-only setting with a summary of the last request's outcome.
 pub const LAST_OUTCOME_SETTING: &str = "mangotray.last_outcome";
-/// Name of the caller's own label.
+/// Setting that holds the caller's label.
 pub const APPLICATION_SETTING: &str = "application_name";
 
-/// Characters of the label that are kept.
+/// Length of the label in characters; the rest is cut off.
 const APPLICATION_CHARS_LIMIT: usize = 64;
 
-/// Settings that hold on every upstream connection, as told to each caller.
+/// Settings with the same fixed value on every upstream connection, as reported to each caller.
 ///
-/// A caller may ask for these very values and no others: on pooled connections
-/// another value would leak into other sessions.
+/// A caller may set them to this value only: on pooled connections another value would leak into
+/// other sessions.
 pub const FIXED_SETTINGS: &[(&str, &str)] = &[
     ("client_encoding", "UTF8"),
     ("DateStyle", "ISO, MDY"),
@@ -35,7 +35,7 @@
     ("TimeZone", "UTC"),
 ];
 
-/// A statement that needs no upstream.
+/// A statement that the proxy answers without an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Changes a setting; `None` restores its default.
@@ -44,22 +44,22 @@
     Show(CompactString),
 }
 
-/// What a command is answered with.
+/// Answer to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// No rows, and this command tag.
+    /// No rows; the command tag.
     Done(&'static str),
     /// One row with one text column.
     Row {
         /// Name of the column.
         name: CompactString,
-        /// Its value.
+        /// Value of the column.
         value: CompactString,
     },
 }
 
 impl Command {
-    /// Recognizes a statement that the proxy answers for itself.
+    /// Recognizes a statement that the proxy answers itself; `None` for any other.
     ///
     /// ```
     /// use mangotray::{local, sql};
@@ -87,12 +87,12 @@
     }
 }
 
-/// Whether the proxy keeps this setting for the session.
+/// Whether the proxy stores this setting for the session.
 fn is_kept_by_proxy(name: &str) -> bool {
     name.starts_with("mangotray.") || name == APPLICATION_SETTING
 }
 
-/// A setting's name from `index` on, and the index after it.
+/// Lower-case name of the setting that starts at `index`, and the index after it.
 fn setting_name(statement: &sql::Statement, index: usize) -> Option<(CompactString, usize)> {
     let first = statement.name(index)?;
     if statement.tokens().get(index + 1) != Some(&tokenizer::Token::Period) {
@@ -123,7 +123,7 @@
     statement.word(index) == "to" || statement.tokens().get(index) == Some(&tokenizer::Token::Eq)
 }
 
-/// The rest of the statement as one value; `DEFAULT` is left unquoted as it stands.
+/// The tokens from `index` on as one value; `DEFAULT` is not treated specially.
 fn value_from(statement: &sql::Statement, index: usize) -> Option<CompactString> {
     let rest = statement.tokens().get(index..)?;
     let parts = rest
@@ -140,7 +140,7 @@
     (!parts.is_empty()).then(|| parts.join(", ").into())
 }
 
-/// Whether a setting already has this value on every upstream connection.
+/// Whether a setting has this value on every upstream connection; `None` is the default.
 ///
 /// ```
 /// use mangotray::local;
@@ -155,7 +155,7 @@
             .any(|(fixed_name, _)| fixed_name.eq_ignore_ascii_case(name));
     };
     if name.eq_ignore_ascii_case("extra_float_digits") {
-        // All values above zero mean the shortest exact form, which is the default.
+        // All positive values select the shortest exact output, which is the default.
         return matches!(value, "1" | "2" | "3");
     }
     FIXED_SETTINGS
@@ -184,11 +184,11 @@
 /// The settings of one session.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settings {
-    /// Stamp of the last write seen by this session or told by the caller.
+    /// Stamp of the latest write that the session has observed or that the caller has set.
     pub token: Option<stamp::Stamp>,
-    /// Whether the caller itself has set the token, and so carries it between proxies.
+    /// Whether the caller has set the token itself, so that it covers writes through other proxies.
     pub token_from_caller: bool,
-    /// Deadline of requests, when the caller chose one.
+    /// Deadline of each request, if the caller set one.
     pub deadline: Option<time::Duration>,
     /// The caller's label.
     pub application: CompactString,
@@ -208,7 +208,7 @@
     /// ```
     ///
     /// # Errors
-    /// When the setting is unknown, read-only, or the value is malformed.
+    /// If the setting is unknown or read-only, or the value is malformed.
     pub fn run(&mut self, command: &Command) -> Result<Answer, refusal::Error> {
         match command {
             Command::Set(name, value) => {
@@ -268,9 +268,9 @@
         }
     }
 
-    /// Stamp that a read must include and that proves enough by itself. A token that
-    /// the session has raised on its own does not: the caller may have written through
-    /// another proxy since, which this session knows nothing of.
+    /// The token, if the caller has set it. A read that includes it is fresh enough without a
+    /// further check. A token from the session's own writes alone is not sufficient: the caller
+    /// may have written through another proxy since, which this session does not know of.
     ///
     /// ```
     /// use mangotray::{local, stamp};
@@ -285,7 +285,7 @@
         self.token.filter(|_| self.token_from_caller)
     }
 
-    /// The token as told to the caller; empty when there is none.
+    /// The token as reported to the caller; empty if there is none.
     ///
     /// ```
     /// assert_eq!(mangotray::local::Settings::default().token_text(), "");
@@ -297,7 +297,7 @@
             .unwrap_or_default()
     }
 
-    /// Raises the token to a stamp that an answer reported; it never falls.
+    /// Raises the token to the stamp of an answer. A lower stamp leaves it unchanged.
     ///
     /// ```
     /// use mangotray::{local, stamp};
@@ -324,11 +324,11 @@
     duration
         .filter(|duration| !duration.is_zero() && *duration <= DEADLINE_LIMIT)
         .ok_or_else(|| {
-            invalid_value(DEADLINE_SETTING, text).hint("Give a time such as 500ms, at most 1h.")
+            invalid_value(DEADLINE_SETTING, text).hint("Use a duration such as 500ms, at most 1h.")
         })
 }
 
-/// Longest deadline that a caller may ask for.
+/// Longest deadline that a caller may set.
 pub const DEADLINE_LIMIT: time::Duration = time::Duration::from_hours(1);
 
 fn invalid_value(name: &str, value: &str) -> refusal::Error {
