--- a/src/caller.rs
+++ b/src/caller.rs
@@ -150,7 +150,7 @@
 
     async fn run_query(&mut self, text: &str, frame: frame::Frame) -> Vec<frame::Frame> {
         let unnamed = prepared::Effect::Remove(CompactString::default());
-        self.statements.settle([unnamed]);
+        self.statements.apply([unnamed]);
         let plan = self.context.plans.plan(text);
         if self.runner.is_transaction_lost() {
             return self.query_after_loss(&plan);
@@ -194,7 +194,7 @@
     }
 
     async fn run_extended(&mut self, messages: &[extended::Message]) -> Vec<frame::Frame> {
-        if let Err(error) = self.statements.check(messages) {
+        if let Err(error) = self.statements.check_limits(messages) {
             return self.refuse(&error);
         }
         let references = self.statements.resolve(messages, &self.context.plans);
@@ -223,9 +223,9 @@
         let rewrite = self.statements.rewrite(messages, references);
         match self.runner.run(verdict, rewrite.frames()).await {
             Ok(reply) => {
-                let relay = rewrite.relay(reply.frames);
-                self.statements.settle(relay.effects);
-                relay.frames
+                let answer = rewrite.filter_answer(reply.frames);
+                self.statements.apply(answer.effects);
+                answer.frames
             }
             Err(runner::Ending::Error(error)) => vec![error.frame()],
             Err(runner::Ending::RolledBack) => self.extended_after_loss(messages, references),
@@ -243,7 +243,7 @@
             ended = true;
             Ok(local::Answer::Done(ROLLBACK))
         });
-        self.statements.settle(effects);
+        self.statements.apply(effects);
         if ended {
             self.runner.reset();
         }
@@ -263,7 +263,7 @@
             failed |= result.is_err();
             result
         });
-        self.statements.settle(effects);
+        self.statements.apply(effects);
         if failed {
             self.runner.fail();
         }
--- a/src/classify.rs
+++ b/src/classify.rs
@@ -145,7 +145,7 @@
 pub fn classify(text: &str) -> Result<Verdict, refusal::Error> {
     match sql::split(text) {
         Ok(statements) => classify_statements(&statements),
-        Err(sql::Opaque) => Ok(Verdict::of_class(class::Class::Write)),
+        Err(sql::Error) => Ok(Verdict::of_class(class::Class::Write)),
     }
 }
 
@@ -191,8 +191,8 @@
         return Err(unsupported_error(&what));
     }
     let needs_connection_state = statement
-        .calls()
-        .any(|index| function::needs_connection(&statement.callee(index)));
+        .call_indices()
+        .any(|index| function::needs_connection(&statement.function_name(index)));
     let class = transaction_class(&words);
     let parsed = match class {
         None if !needs_connection_state && has_only_read_tokens(statement, &words) => {
@@ -280,7 +280,7 @@
         && unambiguous
         && !has_effect_word
         && statement
-            .calls()
+            .call_indices()
             .all(|index| is_read_only_call(statement, index))
 }
 
@@ -300,14 +300,14 @@
     let previous = before.map(|index| &statement.tokens()[index]);
     if previous == Some(&tokenizer::Token::Period) {
         return is_in_pg_catalog(statement, index)
-            && function::is_allowed_in_reads(&statement.callee(index));
+            && function::is_allowed_in_reads(&statement.function_name(index));
     }
     // A name after one of these words has a list of columns and is no function call.
     let is_definition = before.is_some_and(|index| {
         matches!(statement.word(index).as_str(), "as" | "recursive")
             || (index == 0 && statement.word(index) == "with")
     });
-    is_definition || function::is_allowed_in_reads(&statement.callee(index))
+    is_definition || function::is_allowed_in_reads(&statement.function_name(index))
 }
 
 /// Whether the name at `index` is qualified by the schema `pg_catalog` alone.
--- a/src/declaration.rs
+++ b/src/declaration.rs
@@ -181,7 +181,7 @@
         .ok()
 }
 
-fn instances(text: &str) -> value::Parsed<Vec<database::Instance>> {
+fn instances(text: &str) -> value::Result<Vec<database::Instance>> {
     let mut instances = value::list(instance)(text)?;
     if instances.len() != INSTANCES {
         return Err(format_compact!(
@@ -194,7 +194,7 @@
     Ok(instances)
 }
 
-fn instance(text: &str) -> value::Parsed<database::Instance> {
+fn instance(text: &str) -> value::Result<database::Instance> {
     let parts = text
         .split_once('@')
         .and_then(|(name, rest)| Some((name, rest.split_once(':')?)));
@@ -268,7 +268,7 @@
 
 /// Tables are named as statements name them without quotes, so that `Shows` and
 /// `public.shows` mean the table that the parser of statements calls `shows`.
-fn table(text: &str) -> value::Parsed<CompactString> {
+fn table(text: &str) -> value::Result<CompactString> {
     let name = value::name(text)?.to_ascii_lowercase();
     Ok(name.strip_prefix(DEFAULT_SCHEMA).unwrap_or(&name).into())
 }
@@ -286,7 +286,7 @@
     vms
 }
 
-fn vms(text: &str) -> value::Parsed<Vec<CompactString>> {
+fn vms(text: &str) -> value::Result<Vec<CompactString>> {
     if text == ALL_VMS {
         return Ok(Vec::new());
     }
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -192,7 +192,7 @@
 
 fn full(what: &str, limit: usize) -> refusal::Error {
     refusal::Error::fatal(
-        refusal::TOO_MANY,
+        refusal::TOO_MANY_CONNECTIONS,
         format_compact!("too many {what}; the limit is {limit}"),
     )
     .hint("Close connections that are no longer needed, or connect to another proxy.")
--- a/src/local.rs
+++ b/src/local.rs
@@ -245,7 +245,7 @@
             }
             LAST_OUTCOME_SETTING => {
                 return Err(refusal::Error::new(
-                    refusal::CANNOT_CHANGE,
+                    refusal::UNCHANGEABLE_PARAMETER,
                     format_compact!("parameter \"{name}\" cannot be changed"),
                 ));
             }
--- a/src/loss.rs
+++ b/src/loss.rs
@@ -85,7 +85,7 @@
             Self::Canceled => refusal::Error {
                 detail: Some("outcome=not-run reason=canceled".into()),
                 ..refusal::Error::new(
-                    refusal::CANCELED,
+                    refusal::QUERY_CANCELED,
                     "canceling statement due to user request (not run)",
                 )
             },
--- a/src/prepared.rs
+++ b/src/prepared.rs
@@ -33,7 +33,7 @@
     /// Parameter types, as encoded.
     pub types: bytes::Bytes,
     /// Its name on upstream connections, the same in every session.
-    pub upstream: CompactString,
+    pub upstream_name: CompactString,
     /// What the text needs.
     pub plan: sync::Arc<classify::Plan>,
 }
@@ -49,18 +49,18 @@
     ///     parameter_types: bytes::Bytes::from_static(&[0, 0]),
     /// };
     /// let statement = prepared::Statement::new(&parse, &plans::Cache::default());
-    /// assert!(statement.upstream.starts_with("mangotray_"));
+    /// assert!(statement.upstream_name.starts_with("mangotray_"));
     /// ```
     #[must_use]
-    pub fn new(parse: &extended::Parse, verdicts: &plans::Cache) -> Self {
+    pub fn new(parse: &extended::Parse, cache: &plans::Cache) -> Self {
         let mut hasher = collections::hash_map::DefaultHasher::new();
         parse.query.hash(&mut hasher);
         parse.parameter_types.hash(&mut hasher);
         Self {
             query: parse.query.clone(),
             types: parse.parameter_types.clone(),
-            upstream: format_compact!("mangotray_{:016x}", hasher.finish()),
-            plan: verdicts.plan(&parse.query),
+            upstream_name: format_compact!("mangotray_{:016x}", hasher.finish()),
+            plan: cache.plan(&parse.query),
         }
     }
 }
@@ -80,8 +80,8 @@
 /// The prepared statements of one session, by the caller's names.
 #[derive(Clone, Debug, Default)]
 pub struct Statements {
-    names: collections::HashMap<CompactString, sync::Arc<Statement>>,
-    bytes: usize,
+    by_name: collections::HashMap<CompactString, sync::Arc<Statement>>,
+    text_bytes: usize,
 }
 
 impl Statements {
@@ -94,7 +94,7 @@
     /// The statement behind a caller's name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&sync::Arc<Statement>> {
-        self.names.get(name)
+        self.by_name.get(name)
     }
 
     /// Finds what each message of a batch refers to, portals included.
@@ -110,20 +110,20 @@
     /// assert_eq!(statements.resolve(&[bind], &plans::Cache::default()), [None]);
     /// ```
     #[must_use]
-    pub fn resolve(&self, messages: &[extended::Message], verdicts: &plans::Cache) -> References {
+    pub fn resolve(&self, messages: &[extended::Message], cache: &plans::Cache) -> References {
         let mut names = collections::HashMap::<_, Option<sync::Arc<Statement>>>::new();
         let mut portals = collections::HashMap::<_, Option<sync::Arc<Statement>>>::new();
         let find = |names: &collections::HashMap<_, _>, name: &CompactString| {
             names
                 .get(name)
                 .cloned()
-                .unwrap_or_else(|| self.names.get(name).cloned())
+                .unwrap_or_else(|| self.by_name.get(name).cloned())
         };
         messages
             .iter()
             .map(|message| match message {
                 extended::Message::Parse(parse) => {
-                    let statement = Some(sync::Arc::new(Statement::new(parse, verdicts)));
+                    let statement = Some(sync::Arc::new(Statement::new(parse, cache)));
                     names.insert(parse.name.clone(), statement.clone());
                     statement
                 }
@@ -177,27 +177,27 @@
     /// ```
     /// use mangotray::prepared;
     /// let mut statements = prepared::Statements::new();
-    /// statements.settle([prepared::Effect::Remove("s1".into())]);
+    /// statements.apply([prepared::Effect::Remove("s1".into())]);
     /// assert!(statements.get("s1").is_none());
     /// ```
-    pub fn settle(&mut self, effects: impl IntoIterator<Item = Effect>) {
+    pub fn apply(&mut self, effects: impl IntoIterator<Item = Effect>) {
         for effect in effects {
             match effect {
                 Effect::Store(name, statement) => {
-                    self.bytes += statement.query.len();
-                    let old = self.names.insert(name, statement);
-                    self.release(old);
+                    self.text_bytes += statement.query.len();
+                    let replaced = self.by_name.insert(name, statement);
+                    self.subtract_text(replaced);
                 }
                 Effect::Remove(name) => {
-                    let old = self.names.remove(&name);
-                    self.release(old);
+                    let replaced = self.by_name.remove(&name);
+                    self.subtract_text(replaced);
                 }
             }
         }
     }
 
-    fn release(&mut self, old: Option<sync::Arc<Statement>>) {
-        self.bytes -= old.map_or(0, |statement| statement.query.len());
+    fn subtract_text(&mut self, statement: Option<sync::Arc<Statement>>) {
+        self.text_bytes -= statement.map_or(0, |statement| statement.query.len());
     }
 
     /// Whether the session keeps as many statements as it may. What goes wrong without
@@ -206,22 +206,23 @@
     ///
     /// # Errors
     /// The refusal to send instead of running the batch.
-    pub fn check(&self, messages: &[extended::Message]) -> Result<(), refusal::Error> {
-        let named = messages.iter().filter_map(|message| match message {
+    pub fn check_limits(&self, messages: &[extended::Message]) -> Result<(), refusal::Error> {
+        let text_lengths = messages.iter().filter_map(|message| match message {
             extended::Message::Parse(parse) => Some(parse.query.len()),
             _ => None,
         });
-        let (count, bytes) = named.fold((0, 0), |(count, bytes), len| (count + 1, bytes + len));
-        let few = self.names.len() + count <= STATEMENT_LIMIT || count == 0;
-        if few && self.bytes + bytes <= TEXT_LIMIT {
+        let (count, bytes) =
+            text_lengths.fold((0, 0), |(count, bytes), len| (count + 1, bytes + len));
+        let within_count = self.by_name.len() + count <= STATEMENT_LIMIT || count == 0;
+        if within_count && self.text_bytes + bytes <= TEXT_LIMIT {
             return Ok(());
         }
         Err(refusal::Error::new(
             refusal::TOO_MANY_STATEMENTS,
             format_compact!(
                 "the session keeps {} prepared statements of {} bytes (not run)",
-                self.names.len(),
-                self.bytes
+                self.by_name.len(),
+                self.text_bytes
             ),
         )
         .hint("Close prepared statements that are no longer needed."))
--- a/src/prepared/tests.rs
+++ b/src/prepared/tests.rs
@@ -14,13 +14,13 @@
 
 fn store(statements: &mut Statements, parse: &extended::Parse) {
     let statement = Statement::new(parse, &plans::Cache::default());
-    statements.settle([Effect::Store(parse.name.clone(), statement.into())]);
+    statements.apply([Effect::Store(parse.name.clone(), statement.into())]);
 }
 
 #[test]
-fn upstream_names_tell_texts_and_types_apart() {
+fn upstream_name_depends_on_text_and_types() {
     let cache = plans::Cache::default();
-    let name = |parse| Statement::new(&parse, &cache).upstream;
+    let name = |parse| Statement::new(&parse, &cache).upstream_name;
     let first = name(parse("a", "SELECT $1", &[0, 0]));
     assert_eq!(first, name(parse("b", "SELECT $1", &[0, 0])));
     assert_ne!(first, name(parse("a", "SELECT $2", &[0, 0])));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_a_session_keeps_is_bounded_and_can_be_freed() {
+fn number_of_statements_is_limited_and_closing_one_frees_its_place() {
     let mut statements = Statements::new();
     for number in 0..super::STATEMENT_LIMIT {
         store(
@@ -37,21 +37,21 @@
         );
     }
     let next = [extended::Message::Parse(parse("next", "SELECT 1", &[0, 0]))];
-    assert_eq!(statements.check(&next).unwrap_err().code, "53400");
-    assert!(statements.check(&[extended::Message::Sync]).is_ok());
-    statements.settle([Effect::Remove("s7".into())]);
-    assert!(statements.check(&next).is_ok());
+    assert_eq!(statements.check_limits(&next).unwrap_err().code, "53400");
+    assert!(statements.check_limits(&[extended::Message::Sync]).is_ok());
+    statements.apply([Effect::Remove("s7".into())]);
+    assert!(statements.check_limits(&next).is_ok());
 }
 
 #[test]
-fn long_texts_count_by_their_bytes() {
+fn bytes_of_statement_texts_are_limited() {
     let mut statements = Statements::new();
     let long = "a".repeat(super::TEXT_LIMIT / 2);
     for name in ["a", "a", "a", "b"] {
         store(&mut statements, &parse(name, &long, &[0, 0]));
     }
     let next = [extended::Message::Parse(parse("c", "b", &[0, 0]))];
-    assert_eq!(statements.check(&next).unwrap_err().code, "53400");
-    statements.settle([Effect::Remove("a".into()), Effect::Remove("a".into())]);
-    assert!(statements.check(&next).is_ok());
+    assert_eq!(statements.check_limits(&next).unwrap_err().code, "53400");
+    statements.apply([Effect::Remove("a".into()), Effect::Remove("a".into())]);
+    assert!(statements.check_limits(&next).is_ok());
 }
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -24,29 +24,29 @@
 /// `in_failed_sql_transaction`.
 pub const FAILED_TRANSACTION: Code = "25P02";
 /// `idle_in_transaction_session_timeout`.
-pub const IDLE_TRANSACTION: Code = "25P03";
+pub const IDLE_TRANSACTION_TIMEOUT: Code = "25P03";
 /// `invalid_authorization_specification`.
-pub const NO_USER: Code = "28000";
+pub const INVALID_AUTHORIZATION: Code = "28000";
 /// `syntax_error`.
-pub const SYNTAX: Code = "42601";
+pub const SYNTAX_ERROR: Code = "42601";
 /// `invalid_catalog_name`.
 pub const UNKNOWN_DATABASE: Code = "3D000";
 /// `undefined_object`, for a setting that does not exist.
 pub const UNKNOWN_PARAMETER: Code = "42704";
 /// `cant_change_runtime_param`.
-pub const CANNOT_CHANGE: Code = "55P02";
+pub const UNCHANGEABLE_PARAMETER: Code = "55P02";
 /// `configuration_limit_exceeded`.
 pub const TOO_MANY_STATEMENTS: Code = "53400";
 /// `serialization_failure`.
 pub const SERIALIZATION_FAILURE: Code = "40001";
 /// `too_many_connections`.
-pub const TOO_MANY: Code = "53300";
+pub const TOO_MANY_CONNECTIONS: Code = "53300";
 /// `program_limit_exceeded`.
 pub const LIMIT_EXCEEDED: Code = "54000";
 /// `query_canceled`.
-pub const CANCELED: Code = "57014";
+pub const QUERY_CANCELED: Code = "57014";
 /// `admin_shutdown`.
-pub const SHUTDOWN: Code = "57P01";
+pub const ADMIN_SHUTDOWN: Code = "57P01";
 /// `cannot_connect_now`.
 pub const CANNOT_CONNECT: Code = "57P03";
 
@@ -97,7 +97,7 @@
     ///
     /// ```
     /// use mangotray::refusal;
-    /// let error = refusal::Error::fatal(refusal::SHUTDOWN, "shutting down");
+    /// let error = refusal::Error::fatal(refusal::ADMIN_SHUTDOWN, "shutting down");
     /// assert_eq!(error.severity, refusal::Severity::Fatal);
     /// ```
     #[must_use]
@@ -112,7 +112,7 @@
     ///
     /// ```
     /// use mangotray::refusal;
-    /// let error = refusal::Error::new(refusal::TOO_MANY, "full").hint("try again");
+    /// let error = refusal::Error::new(refusal::TOO_MANY_CONNECTIONS, "full").hint("try again");
     /// assert_eq!(error.hint.as_deref(), Some("try again"));
     /// ```
     #[must_use]
@@ -125,7 +125,7 @@
     ///
     /// ```
     /// use mangotray::refusal;
-    /// let frame = refusal::Error::new(refusal::CANCELED, "canceled").frame();
+    /// let frame = refusal::Error::new(refusal::QUERY_CANCELED, "canceled").frame();
     /// assert!(frame.body.windows(5).any(|code| code == b"57014"));
     /// ```
     #[must_use]
@@ -138,35 +138,35 @@
             (b'S', severity.to_owned()),
             (b'V', severity.to_owned()),
             (b'C', self.code.to_owned()),
-            (b'M', field(&self.message)),
+            (b'M', field_text(&self.message)),
         ];
-        fields.extend(self.detail.iter().map(|detail| (b'D', field(detail))));
-        fields.extend(self.hint.iter().map(|hint| (b'H', field(hint))));
+        fields.extend(self.detail.iter().map(|detail| (b'D', field_text(detail))));
+        fields.extend(self.hint.iter().map(|hint| (b'H', field_text(hint))));
         frame::Frame::encode(&response::ErrorResponse::new(fields))
     }
 }
 
 /// Longest text of one field; error messages have to stay under 30 kB in all.
-const FIELD_LIMIT: usize = 2_000;
+const FIELD_CHARS_LIMIT: usize = 2_000;
 
 /// A NUL inside a field would end it early and turn the rest into fields of its own.
-fn field(text: &str) -> String {
+fn field_text(text: &str) -> String {
     text.chars()
         .filter(|char| *char != '\0')
-        .take(FIELD_LIMIT)
+        .take(FIELD_CHARS_LIMIT)
         .collect()
 }
 
 /// The SQLSTATE for a request that did not run.
-const fn code(reason: reason::Reason) -> Code {
+const fn not_run_code(reason: reason::Reason) -> Code {
     match reason {
         reason::Reason::NoPrimary
         | reason::Reason::NoInstance
         | reason::Reason::NoMajority
         | reason::Reason::NoServer => CANNOT_CONNECT,
-        reason::Reason::Draining => SHUTDOWN,
-        reason::Reason::Overload => TOO_MANY,
-        reason::Reason::Deadline => CANCELED,
+        reason::Reason::Draining => ADMIN_SHUTDOWN,
+        reason::Reason::Overload => TOO_MANY_CONNECTIONS,
+        reason::Reason::Deadline => QUERY_CANCELED,
         reason::Reason::ConnectionLost | reason::Reason::Unconfirmed => SERIALIZATION_FAILURE,
         reason::Reason::Unsupported => NOT_SUPPORTED,
         reason::Reason::TooLarge => LIMIT_EXCEEDED,
@@ -239,13 +239,13 @@
             detail,
             retry,
         } => (
-            code(*reason),
-            format_compact!("{} (not run)", words(*reason, detail)),
+            not_run_code(*reason),
+            format_compact!("{} (not run)", message_text(*reason, detail)),
             retry_hint(*retry),
         ),
         outcome::Outcome::Unknown { reason, detail } => (
             RESOLUTION_UNKNOWN,
-            format_compact!("{} (outcome unknown)", words(*reason, detail)),
+            format_compact!("{} (outcome unknown)", message_text(*reason, detail)),
             "The request may have run. Read back what it was to change before repeating it.".into(),
         ),
     };
@@ -258,7 +258,7 @@
     }
 }
 
-fn words(reason: reason::Reason, detail: &str) -> CompactString {
+fn message_text(reason: reason::Reason, detail: &str) -> CompactString {
     if detail.is_empty() {
         return name(reason).replace('-', " ").into();
     }
--- a/src/refusal/tests.rs
+++ b/src/refusal/tests.rs
@@ -18,7 +18,7 @@
 ];
 
 #[test]
-fn each_reason_has_its_code_and_its_name() {
+fn each_reason_has_its_code_and_name() {
     for (reason, code) in ALL {
         let error = super::error(&outcome::Outcome::NotRun {
             reason,
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn unknown_is_one_code_whatever_the_reason() {
+fn unknown_outcome_has_one_code_for_all_reasons() {
     for (reason, _) in ALL {
         let detail = "why".into();
         let error = super::error(&outcome::Outcome::Unknown { reason, detail });
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn hint_tells_the_time_in_milliseconds() {
+fn hint_gives_the_delay_in_milliseconds() {
     let error = super::error(&outcome::Outcome::NotRun {
         reason: Reason::NoPrimary,
         detail: "".into(),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_zero_byte_does_not_split_a_field() {
-    let frame = super::Error::new(super::SYNTAX, "a\0Cfake").frame();
+fn nul_character_does_not_split_a_field() {
+    let frame = super::Error::new(super::SYNTAX_ERROR, "a\0Cfake").frame();
     assert!(frame.body.windows(7).any(|part| part == b"MaCfake"));
 }
--- a/src/relation.rs
+++ b/src/relation.rs
@@ -20,8 +20,8 @@
 #[must_use]
 pub fn tables(statement: &ast::Statement) -> Vec<CompactString> {
     let mut found = match statement {
-        ast::Statement::Query(query) => of_query(query),
-        other => named(other),
+        ast::Statement::Query(query) => query_tables(query),
+        other => visited_tables(other),
     };
     found.remove("");
     found.into_iter().collect()
@@ -30,43 +30,43 @@
 type Names = collections::BTreeSet<CompactString>;
 
 /// An expression sees the ones before it, and itself only when the list is recursive.
-fn of_query(query: &ast::Query) -> Names {
+fn query_tables(query: &ast::Query) -> Names {
     let mut defined = Names::new();
     let mut found = Names::new();
     let Some(with) = &query.with else {
-        return named(query);
+        return visited_tables(query);
     };
     if with.recursive {
-        defined.extend(with.cte_tables.iter().map(|cte| fold(&cte.alias.name)));
+        defined.extend(with.cte_tables.iter().map(|cte| folded(&cte.alias.name)));
     }
     for cte in &with.cte_tables {
-        found.extend(named(&cte.query).difference(&defined).cloned());
-        defined.insert(fold(&cte.alias.name));
+        found.extend(visited_tables(&cte.query).difference(&defined).cloned());
+        defined.insert(folded(&cte.alias.name));
     }
     let rest = ast::Query {
         with: None,
         ..query.clone()
     };
-    found.extend(named(&rest).difference(&defined).cloned());
+    found.extend(visited_tables(&rest).difference(&defined).cloned());
     found
 }
 
-fn named<V: Visit>(node: &V) -> Names {
+fn visited_tables<V: Visit>(node: &V) -> Names {
     let mut names = Names::new();
     let _ = ast::visit_relations(node, |relation| {
-        names.insert(name(relation));
+        names.insert(table_name(relation));
         ops::ControlFlow::<()>::Continue(())
     });
     names
 }
 
-fn name(relation: &ast::ObjectName) -> CompactString {
+fn table_name(relation: &ast::ObjectName) -> CompactString {
     let parts: Vec<_> = relation
         .0
         .iter()
         .map(|part| {
             part.as_ident()
-                .map_or_else(|| part.to_string().into(), fold)
+                .map_or_else(|| part.to_string().into(), folded)
         })
         .collect();
     match parts.as_slice() {
@@ -75,7 +75,7 @@
     }
 }
 
-fn fold(name: &ast::Ident) -> CompactString {
+fn folded(name: &ast::Ident) -> CompactString {
     match name.quote_style {
         Some(_) => name.value.as_str().into(),
         None => name.value.to_ascii_lowercase().into(),
--- a/src/rewrite.rs
+++ b/src/rewrite.rs
@@ -13,17 +13,17 @@
 /// a statement the caller never prepared are sent with it, so that the database itself
 /// answers the error, at its place and with its effect on the transaction. Left as
 /// they are they could meet a statement that another session has left behind.
-const NOWHERE: &str = "mangotray_none";
+const UNKNOWN_STATEMENT: &str = "mangotray_none";
 
 /// One message that is sent on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Step {
     message: extended::Message,
     /// Not sent by the caller, who must not see its answer.
-    hidden: bool,
+    added_by_proxy: bool,
     effect: Option<prepared::Effect>,
     /// The caller's name for the statement, for the text of errors.
-    name: CompactString,
+    caller_name: CompactString,
 }
 
 /// A batch on its way to an upstream.
@@ -38,16 +38,16 @@
     statements: &'a prepared::Statements,
     rewrite: Rewrite,
     /// Caller's names defined or dropped within the batch.
-    names: collections::HashMap<CompactString, Option<sync::Arc<prepared::Statement>>>,
+    batch_names: collections::HashMap<CompactString, Option<sync::Arc<prepared::Statement>>>,
     /// Statements that are prepared on the connection at this place of the batch.
-    present: collections::BTreeMap<CompactString, sync::Arc<prepared::Statement>>,
+    on_connection: collections::BTreeMap<CompactString, sync::Arc<prepared::Statement>>,
     /// Portals that may outlive the batch, and must not go with their statements.
-    keeps_portals: bool,
+    portals_may_outlive_batch: bool,
 }
 
 /// What is left for the caller of an upstream's answer.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Relay {
+pub struct Answer {
     /// Frames for the caller.
     pub frames: Vec<frame::Frame>,
     /// Effects of the messages that have run.
@@ -59,9 +59,9 @@
         Self {
             statements,
             rewrite: Rewrite::default(),
-            names: collections::HashMap::new(),
-            present: collections::BTreeMap::new(),
-            keeps_portals: false,
+            batch_names: collections::HashMap::new(),
+            on_connection: collections::BTreeMap::new(),
+            portals_may_outlive_batch: false,
         }
     }
 
@@ -76,33 +76,33 @@
         reference: Option<&sync::Arc<prepared::Statement>>,
     ) {
         match (message, reference) {
-            (extended::Message::Parse(parse), Some(statement)) => self.parse(parse, statement),
+            (extended::Message::Parse(parse), Some(statement)) => self.push_parse(parse, statement),
             (extended::Message::Bind(bind), _) => {
-                self.keeps_portals |= !bind.portal.is_empty();
-                let statement = self.refer(&bind.statement, reference);
+                self.portals_may_outlive_batch |= !bind.portal.is_empty();
+                let statement = self.ensure_prepared(&bind.statement, reference);
                 let rewritten = extended::Bind {
                     statement,
                     ..bind.clone()
                 };
-                self.visible(extended::Message::Bind(rewritten), None, &bind.statement);
+                self.push_callers(extended::Message::Bind(rewritten), None, &bind.statement);
             }
             (extended::Message::Describe(extended::Target::Statement(name)), _) => {
-                let target = extended::Target::Statement(self.refer(name, reference));
-                self.visible(extended::Message::Describe(target), None, name);
+                let target = extended::Target::Statement(self.ensure_prepared(name, reference));
+                self.push_callers(extended::Message::Describe(target), None, name);
             }
             (extended::Message::Close(extended::Target::Statement(name)), _) => {
-                self.close(name, message);
+                self.push_close(name, message);
             }
-            (extended::Message::Sync, _) => self.end(),
+            (extended::Message::Sync, _) => self.push_sync(),
             (extended::Message::Execute { max_rows, .. }, _) => {
-                self.keeps_portals |= *max_rows > 0;
-                self.visible(message.clone(), None, "");
+                self.portals_may_outlive_batch |= *max_rows > 0;
+                self.push_callers(message.clone(), None, "");
             }
-            _ => self.visible(message.clone(), None, ""),
+            _ => self.push_callers(message.clone(), None, ""),
         }
     }
 
-    fn visible(
+    fn push_callers(
         &mut self,
         message: extended::Message,
         effect: Option<prepared::Effect>,
@@ -110,106 +110,110 @@
     ) {
         self.rewrite.steps.push(Step {
             message,
-            hidden: false,
+            added_by_proxy: false,
             effect,
-            name: name.into(),
+            caller_name: name.into(),
         });
     }
 
-    fn hidden(&mut self, message: extended::Message) {
+    fn push_added(&mut self, message: extended::Message) {
         self.rewrite.steps.push(Step {
             message,
-            hidden: true,
+            added_by_proxy: true,
             effect: None,
-            name: CompactString::default(),
+            caller_name: CompactString::default(),
         });
     }
 
-    fn known(&self, name: &str) -> Option<sync::Arc<prepared::Statement>> {
-        self.names
+    fn find_statement(&self, name: &str) -> Option<sync::Arc<prepared::Statement>> {
+        self.batch_names
             .get(name)
             .cloned()
             .unwrap_or_else(|| self.statements.get(name).cloned())
     }
 
-    fn parse(&mut self, parse: &extended::Parse, statement: &sync::Arc<prepared::Statement>) {
+    fn push_parse(&mut self, parse: &extended::Parse, statement: &sync::Arc<prepared::Statement>) {
         let effect = Some(prepared::Effect::Store(
             parse.name.clone(),
             statement.clone(),
         ));
-        let taken = self.known(&parse.name).filter(|_| !parse.name.is_empty());
-        let upstream = match &taken {
+        let old = self
+            .find_statement(&parse.name)
+            .filter(|_| !parse.name.is_empty());
+        let upstream = match &old {
             // The name is taken; the database is led to say so itself.
-            Some(old) => self.refer(&parse.name, Some(old)),
-            None => alias(&parse.name, statement),
+            Some(statement) => self.ensure_prepared(&parse.name, Some(statement)),
+            None => upstream_name(&parse.name, statement),
         };
-        if taken.is_none() {
-            self.drop_present(&upstream, &parse.name);
-            self.names
+        if old.is_none() {
+            self.close_leftover(&upstream, &parse.name);
+            self.batch_names
                 .insert(parse.name.clone(), Some(statement.clone()));
-            self.present.insert(upstream.clone(), statement.clone());
+            self.on_connection
+                .insert(upstream.clone(), statement.clone());
         }
         let rewritten = extended::Parse {
             name: upstream,
             ..parse.clone()
         };
-        self.visible(extended::Message::Parse(rewritten), effect, &parse.name);
+        self.push_callers(extended::Message::Parse(rewritten), effect, &parse.name);
     }
 
     /// A connection may still hold a statement of that name from an earlier batch.
-    fn drop_present(&mut self, upstream: &CompactString, name: &str) {
+    fn close_leftover(&mut self, upstream: &CompactString, name: &str) {
         if !name.is_empty() {
             let target = extended::Target::Statement(upstream.clone());
-            self.hidden(extended::Message::Close(target));
+            self.push_added(extended::Message::Close(target));
         }
     }
 
     /// Makes sure that a statement is prepared and gives its name on the connection.
-    fn refer(
+    fn ensure_prepared(
         &mut self,
         name: &CompactString,
         reference: Option<&sync::Arc<prepared::Statement>>,
     ) -> CompactString {
         let Some(statement) = reference else {
-            return NOWHERE.into();
+            return UNKNOWN_STATEMENT.into();
         };
-        let upstream = alias(name, statement);
-        if self.present.get(&upstream) != Some(statement) {
-            self.drop_present(&upstream, name);
-            self.hidden(extended::Message::Parse(extended::Parse {
+        let upstream = upstream_name(name, statement);
+        if self.on_connection.get(&upstream) != Some(statement) {
+            self.close_leftover(&upstream, name);
+            self.push_added(extended::Message::Parse(extended::Parse {
                 name: upstream.clone(),
                 query: statement.query.clone(),
                 parameter_types: statement.types.clone(),
             }));
-            self.present.insert(upstream.clone(), statement.clone());
+            self.on_connection
+                .insert(upstream.clone(), statement.clone());
         }
         upstream
     }
 
-    fn close(&mut self, name: &CompactString, message: &extended::Message) {
-        let upstream = match self.known(name) {
+    fn push_close(&mut self, name: &CompactString, message: &extended::Message) {
+        let upstream = match self.find_statement(name) {
             Some(_) if name.is_empty() => CompactString::default(),
-            Some(statement) => statement.upstream.clone(),
-            None => NOWHERE.into(),
+            Some(statement) => statement.upstream_name.clone(),
+            None => UNKNOWN_STATEMENT.into(),
         };
-        self.present.remove(&upstream);
-        self.names.insert(name.clone(), None);
+        self.on_connection.remove(&upstream);
+        self.batch_names.insert(name.clone(), None);
         let target = extended::Target::Statement(upstream);
         let effect = prepared::effect(message, None);
-        self.visible(extended::Message::Close(target), effect, name);
+        self.push_callers(extended::Message::Close(target), effect, name);
     }
 
     /// Leaves no statement behind: over the days a pooled connection would collect
     /// those of all callers.
-    fn end(&mut self) {
-        let present = std::mem::take(&mut self.present);
-        let named = present.into_keys().filter(|name| !name.is_empty());
-        if !self.keeps_portals {
+    fn push_sync(&mut self) {
+        let on_connection = std::mem::take(&mut self.on_connection);
+        let named = on_connection.into_keys().filter(|name| !name.is_empty());
+        if !self.portals_may_outlive_batch {
             for name in named {
-                self.hidden(extended::Message::Close(extended::Target::Statement(name)));
+                self.push_added(extended::Message::Close(extended::Target::Statement(name)));
             }
         }
-        self.visible(extended::Message::Sync, None, "");
+        self.push_callers(extended::Message::Sync, None, "");
     }
 }
 
@@ -226,9 +230,9 @@
     /// Removes the answers that the caller did not ask for. After an error the database
     /// skips to the Sync, so all that follows the error belongs to it.
     #[must_use]
-    pub fn relay(&self, frames: Vec<frame::Frame>) -> Relay {
+    pub fn filter_answer(&self, frames: Vec<frame::Frame>) -> Answer {
         let mut steps = self.steps.iter().peekable();
-        let mut relay = Relay {
+        let mut answer = Answer {
             frames: Vec::with_capacity(frames.len()),
             effects: Vec::new(),
         };
@@ -236,28 +240,28 @@
         for frame in frames {
             failed |= frame.tag == b'E';
             let Some(step) = steps.peek().copied() else {
-                relay.frames.push(frame);
+                answer.frames.push(frame);
                 continue;
             };
-            if failed || asynchronous(frame.tag) {
-                relay.frames.push(step.restore(frame));
+            if failed || is_asynchronous(frame.tag) {
+                answer.frames.push(step.with_caller_name(frame));
                 continue;
             }
-            if ends(&step.message, frame.tag) {
+            if ends_answer(&step.message, frame.tag) {
                 steps.next();
-                relay.effects.extend(step.effect.clone());
+                answer.effects.extend(step.effect.clone());
             }
-            if !step.hidden {
-                relay.frames.push(frame);
+            if !step.added_by_proxy {
+                answer.frames.push(frame);
             }
         }
-        relay
+        answer
     }
 }
 
 impl Step {
     /// Puts the caller's name into an error.
-    fn restore(&self, frame: frame::Frame) -> frame::Frame {
+    fn with_caller_name(&self, frame: frame::Frame) -> frame::Frame {
         let upstream = match &self.message {
             extended::Message::Parse(parse) => &parse.name,
             extended::Message::Bind(bind) => &bind.statement,
@@ -267,37 +271,40 @@
         let text = std::str::from_utf8(&frame.body);
         let Some(text) = text
             .ok()
-            .filter(|_| frame.tag == b'E' && *upstream != self.name)
+            .filter(|_| frame.tag == b'E' && *upstream != self.caller_name)
         else {
             return frame;
         };
-        let told = format!("prepared statement \"{upstream}\"");
-        let meant = match self.name.as_str() {
+        let upstream_text = format!("prepared statement \"{upstream}\"");
+        let caller_text = match self.caller_name.as_str() {
             "" => "unnamed prepared statement".to_owned(),
             name => format!("prepared statement \"{name}\""),
         };
         frame::Frame {
             tag: frame.tag,
-            body: text.replace(&told, &meant).into_bytes().into(),
+            body: text
+                .replace(&upstream_text, &caller_text)
+                .into_bytes()
+                .into(),
         }
     }
 }
 
 /// Name of a statement on the connection; the unnamed one keeps its name.
-fn alias(name: &str, statement: &prepared::Statement) -> CompactString {
+fn upstream_name(name: &str, statement: &prepared::Statement) -> CompactString {
     match name {
         "" => CompactString::default(),
-        _ => statement.upstream.clone(),
+        _ => statement.upstream_name.clone(),
     }
 }
 
 /// Frames that may come at any place of an answer.
-const fn asynchronous(tag: u8) -> bool {
+const fn is_asynchronous(tag: u8) -> bool {
     matches!(tag, b'N' | b'S' | b'A')
 }
 
 /// Whether a frame is the last of the answer to a message.
-const fn ends(message: &extended::Message, tag: u8) -> bool {
+const fn ends_answer(message: &extended::Message, tag: u8) -> bool {
     match message {
         extended::Message::Parse(_) => tag == b'1',
         extended::Message::Bind(_) => tag == b'2',
--- a/src/rewrite/tests.rs
+++ b/src/rewrite/tests.rs
@@ -61,7 +61,7 @@
         let mut answer = Vec::new();
         for frame in frames {
             let message = Message::decode(frame).unwrap();
-            match self.step(&message) {
+            match self.answer_message(&message) {
                 Ok(frames) => answer.extend(frames),
                 Err(text) => {
                     answer.push(reply(b'E', &text));
@@ -72,7 +72,7 @@
         answer
     }
 
-    fn step(&mut self, message: &Message) -> Result<Vec<frame::Frame>, String> {
+    fn answer_message(&mut self, message: &Message) -> Result<Vec<frame::Frame>, String> {
         match message {
             Message::Parse(parse) if parse.query.contains("broken") => Err("syntax error".into()),
             Message::Parse(Parse { name, .. })
@@ -126,9 +126,9 @@
     let references = statements.resolve(messages, &plans::Cache::default());
     let rewrite = statements.rewrite(messages, &references);
     let answer = connection.run(&rewrite.frames());
-    let relay = rewrite.relay(answer);
-    statements.settle(relay.effects);
-    relay.frames
+    let answer = rewrite.filter_answer(answer);
+    statements.apply(answer.effects);
+    answer.frames
 }
 
 fn tags(frames: &[frame::Frame]) -> String {
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn sessions_with_the_same_name_do_not_meet() {
+fn sessions_with_the_same_statement_name_are_isolated() {
     // Symptom: a caller gets the answer to another caller's statement. Events: two
     // sessions prepare different texts under one name and share a connection. Cause,
     // were it so: the caller's own names on shared connections.
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn unnamed_statement_of_another_session_is_never_met() {
+fn unnamed_statement_of_another_session_is_never_used() {
     // Symptom and cause as above, by way of the unnamed statement, which is the one
     // that stays behind on a connection.
     let mut connection = Database::default();
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn errors_keep_their_place_and_the_callers_names() {
+fn errors_come_in_order_and_with_the_callers_names() {
     let mut session = Statements::new();
     let mut connection = Database::default();
     let answer = send(
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn name_that_is_taken_is_refused_and_keeps_its_statement() {
+fn parse_under_a_used_name_fails_and_keeps_the_old_statement() {
     let mut session = Statements::new();
     let mut connection = Database::default();
     send(
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn only_what_ran_is_remembered() {
+fn only_parses_that_have_run_are_stored() {
     let mut session = Statements::new();
     let mut connection = Database::default();
     send(
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn closed_statement_is_gone_and_its_twin_stays() {
+fn close_removes_one_of_two_statements_with_the_same_text() {
     let mut session = Statements::new();
     let mut connection = Database::default();
     let answer = send(
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn nothing_named_stays_on_the_connection() {
+fn no_named_statement_is_left_on_the_connection() {
     // Symptom: instances run out of memory over days. Events: callers prepare ever new
     // texts on connections that live long. Cause, were it so: statements that are
     // never closed, as the session that knows them is long gone.
@@ -336,12 +336,12 @@
 /// A session's batches against one connection of its own, in lock step with the same
 /// batches through the proxy over connections that change and that others use.
 #[test]
-fn shared_connections_answer_like_an_own_one() {
+fn shared_connections_answer_like_a_dedicated_one() {
     let mut random = fastrand::Rng::with_seed(7);
     let names = ["", "a", "b", "c"];
     let texts = ["SELECT 1", "SELECT 2", "broken"];
     for _ in 0..2_000 {
-        let mut own = Database::default();
+        let mut dedicated = Database::default();
         let mut session = Statements::new();
         let mut shared = [Database::default(), Database::default()];
         let mut other = Statements::new();
@@ -360,15 +360,15 @@
                 .collect();
             batch.push(Message::Sync);
             let frames: Vec<_> = batch.iter().map(Message::encode).collect();
-            let expected = own.run(&frames);
+            let expected = dedicated.run(&frames);
             let connection = &mut shared[random.usize(..2)];
             let answer = send(&mut session, connection, &batch);
             assert_eq!(answer, expected, "{batch:?}");
-            let noise = [
+            let other_batch = [
                 parse(names[random.usize(..4)], texts[random.usize(..2)]),
                 Message::Sync,
             ];
-            send(&mut other, &mut shared[random.usize(..2)], &noise);
+            send(&mut other, &mut shared[random.usize(..2)], &other_batch);
         }
     }
 }
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -144,7 +144,7 @@
     );
     let callers = section.optional("callers", value::count, faults);
     let callers = callers.unwrap_or(settings::CALLERS);
-    let mut number = |key, parse: fn(&str) -> value::Parsed<usize>, default| {
+    let mut number = |key, parse: fn(&str) -> value::Result<usize>, default| {
         section.optional(key, parse, faults).unwrap_or(default)
     };
     let callers_per_address = number("callers_per_address", value::count, callers);
@@ -185,7 +185,7 @@
     }
 }
 
-fn format(text: &str) -> value::Parsed<settings::Format> {
+fn format(text: &str) -> value::Result<settings::Format> {
     match text {
         "text" => Ok(settings::Format::Text),
         "json" => Ok(settings::Format::Json),
@@ -193,6 +193,6 @@
     }
 }
 
-fn timeout() -> impl Fn(&str) -> value::Parsed<time::Duration> {
+fn timeout() -> impl Fn(&str) -> value::Result<time::Duration> {
     value::within(LEAST_TIMEOUT, MOST_TIMEOUT)
 }
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -12,7 +12,7 @@
 
 /// Why a text could not be split.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opaque;
+pub struct Error;
 
 /// Splits a text into its non-empty statements.
 ///
@@ -24,14 +24,14 @@
 /// # Errors
 /// When the text has no valid tokens, or holds characters that the tokenizer and
 /// the database read differently.
-pub fn split(text: &str) -> Result<Vec<Statement>, Opaque> {
-    if ambiguous(text) {
-        return Err(Opaque);
+pub fn split(text: &str) -> Result<Vec<Statement>, Error> {
+    if is_ambiguous(text) {
+        return Err(Error);
     }
     let dialect = dialect::PostgreSqlDialect {};
     let tokens = tokenizer::Tokenizer::new(&dialect, text)
         .tokenize()
-        .map_err(|_| Opaque)?;
+        .map_err(|_| Error)?;
     let significant: Vec<_> = tokens
         .into_iter()
         .filter(|token| {
@@ -41,36 +41,36 @@
             )
         })
         .collect();
-    if significant.iter().any(hides_comment) {
-        return Err(Opaque);
+    if significant.iter().any(may_contain_comment) {
+        return Err(Error);
     }
-    Ok(cut(significant))
+    Ok(split_at_semicolons(significant))
 }
 
 /// The database ends a line comment at a bare carriage return and takes white
 /// space beyond ASCII for letters; a tokenizer that does otherwise would see a
 /// harmless text where the database sees a second statement.
-fn ambiguous(text: &str) -> bool {
+fn is_ambiguous(text: &str) -> bool {
     let bare_return = text
         .as_bytes()
         .iter()
         .zip(text.as_bytes().iter().skip(1).chain(&[0]))
         .any(|(byte, next)| *byte == b'\r' && *next != b'\n');
-    let odd_space = text
+    let unusual_space = text
         .chars()
         .any(|char| char == '\u{b}' || (!char.is_ascii() && char.is_whitespace()));
-    bare_return || odd_space
+    bare_return || unusual_space
 }
 
 /// The database starts a comment inside a run of operator characters.
-fn hides_comment(token: &tokenizer::Token) -> bool {
+fn may_contain_comment(token: &tokenizer::Token) -> bool {
     match token {
         tokenizer::Token::CustomBinaryOperator(text) => text.contains("--") || text.contains("/*"),
         _ => false,
     }
 }
 
-fn cut(tokens: Vec<tokenizer::Token>) -> Vec<Statement> {
+fn split_at_semicolons(tokens: Vec<tokenizer::Token>) -> Vec<Statement> {
     let mut statements = Vec::new();
     let mut current = Vec::new();
     let mut depth = 0_usize;
@@ -80,8 +80,8 @@
             tokenizer::Token::RParen => depth = depth.saturating_sub(1),
             _ => {}
         }
-        let ends = token == tokenizer::Token::SemiColon && depth == 0;
-        if ends && !in_body(&current) {
+        let at_end = token == tokenizer::Token::SemiColon && depth == 0;
+        if at_end && !in_function_body(&current) {
             statements.push(Statement {
                 tokens: std::mem::take(&mut current),
             });
@@ -95,7 +95,7 @@
 }
 
 /// A function body written as `BEGIN ATOMIC ... END` holds semicolons of its own.
-fn in_body(tokens: &[tokenizer::Token]) -> bool {
+fn in_function_body(tokens: &[tokenizer::Token]) -> bool {
     word(tokens.first()).is_some_and(|first| first == "create")
         && tokens.windows(2).any(|pair| {
             word(pair.first()).as_deref() == Some("begin")
@@ -145,7 +145,9 @@
     /// ```
     #[must_use]
     pub fn words(&self) -> Vec<String> {
-        (0..self.tokens.len()).map(|i| self.word(i)).collect()
+        (0..self.tokens.len())
+            .map(|index| self.word(index))
+            .collect()
     }
 
     /// Name at `index`, folded as the database folds it; quoted names keep their case.
@@ -167,14 +169,14 @@
     ///
     /// ```
     /// let statements = mangotray::sql::split("SELECT count (*)").unwrap();
-    /// assert!(statements[0].calls().eq([1]));
+    /// assert!(statements[0].call_indices().eq([1]));
     /// ```
-    pub fn calls(&self) -> impl Iterator<Item = usize> {
+    pub fn call_indices(&self) -> impl Iterator<Item = usize> {
         let pairs = self.tokens.windows(2).enumerate();
         pairs.filter_map(|(index, pair)| {
-            let call =
+            let is_call =
                 matches!(pair[0], tokenizer::Token::Word(_)) && pair[1] == tokenizer::Token::LParen;
-            call.then_some(index)
+            is_call.then_some(index)
         })
     }
 
@@ -182,10 +184,10 @@
     ///
     /// ```
     /// let statements = mangotray::sql::split("SELECT Count(*)").unwrap();
-    /// assert_eq!(statements[0].callee(1), "count");
+    /// assert_eq!(statements[0].function_name(1), "count");
     /// ```
     #[must_use]
-    pub fn callee(&self, index: usize) -> String {
+    pub fn function_name(&self, index: usize) -> String {
         self.name(index).unwrap_or_default()
     }
 
--- a/src/sql/tests.rs
+++ b/src/sql/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn semicolons_end_statements_only_where_the_database_says_so() {
+fn semicolons_end_statements_only_where_the_database_ends_them() {
     assert_eq!(count(""), 0);
     assert_eq!(count(";; /* ; */ -- ;\n"), 0);
     assert_eq!(count("SELECT ';'; SELECT $a$;$a$; SELECT \";\""), 3);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn comment_inside_an_operator_is_not_guessed_at() {
+fn comment_start_inside_an_operator_is_an_error() {
     assert!(split("SELECT 1 ~-- ' \n 2; DELETE FROM seats; -- '").is_err());
     assert!(split("SELECT 1 ~/* ' */ 2").is_err());
 }
--- a/src/startup.rs
+++ b/src/startup.rs
@@ -129,9 +129,12 @@
     mut pairs: collections::BTreeMap<String, String>,
     negotiation: Option<(i32, Vec<String>)>,
 ) -> Result<Parameters, refusal::Error> {
-    let user = pairs
-        .remove("user")
-        .ok_or_else(|| refusal::Error::fatal(refusal::NO_USER, "no user name in startup packet"))?;
+    let user = pairs.remove("user").ok_or_else(|| {
+        refusal::Error::fatal(
+            refusal::INVALID_AUTHORIZATION,
+            "no user name in startup packet",
+        )
+    })?;
     let database = pairs.remove("database").unwrap_or_else(|| user.clone());
     let options = pairs.remove("options").unwrap_or_default();
     let mut settings = local::Settings::default();
--- a/src/unsupported.rs
+++ b/src/unsupported.rs
@@ -21,49 +21,55 @@
 pub fn find(statement: &sql::Statement, words: &[String]) -> Option<String> {
     let first = words.first()?.as_str();
     let second = words.get(1).map_or("", String::as_str);
-    let whole = match first {
+    let feature = match first {
         "listen" | "unlisten" | "notify" | "discard" | "execute" | "deallocate" | "copy"
         | "load" | "reset" => Some(first.to_uppercase()),
         "prepare" if second == "transaction" => Some("PREPARE TRANSACTION".into()),
         "prepare" => Some("PREPARE".into()),
-        "set" => set(words),
-        "commit" | "end" | "rollback" | "abort" => end(words),
-        "create" if temporary(words) => Some("a temporary object".into()),
-        "declare" if holds(words) => Some("DECLARE CURSOR WITH HOLD".into()),
+        "set" => unsupported_set(words),
+        "commit" | "end" | "rollback" | "abort" => unsupported_end(words),
+        "create" if creates_temporary(words) => Some("a temporary object".into()),
+        "declare" if declares_with_hold(words) => Some("DECLARE CURSOR WITH HOLD".into()),
         _ if into_temporary(words) => Some("a temporary table".into()),
         _ => None,
     };
-    whole.or_else(|| call(statement))
+    feature.or_else(|| unsupported_call(statement))
 }
 
 /// `SET LOCAL` and `SET TRANSACTION` end with the transaction; all else outlives it.
 /// The access mode is refused as well: it would turn a transaction that runs as
 /// read-only into one whose commit has to be confirmed.
-fn set(words: &[String]) -> Option<String> {
-    let scoped = words
+fn unsupported_set(words: &[String]) -> Option<String> {
+    let ends_with_transaction = words
         .get(1)
         .is_some_and(|word| word == "local" || word == "transaction");
-    let access = words.iter().any(|word| word.ends_with("_read_only"))
+    let sets_access_mode = words.iter().any(|word| word.ends_with("_read_only"))
         || words
             .windows(2)
             .any(|pair| pair[0] == "read" && pair[1] == "write");
-    let own = words.iter().any(|word| word == "mangotray");
-    match (scoped, access || own) {
-        (false, _) => Some(format!("SET {}outside a transaction's scope", name(words))),
+    let sets_proxy_setting = words.iter().any(|word| word == "mangotray");
+    match (
+        ends_with_transaction,
+        sets_access_mode || sets_proxy_setting,
+    ) {
+        (false, _) => Some(format!(
+            "SET {}outside a transaction's scope",
+            setting_prefix(words)
+        )),
         (true, true) => Some("SET LOCAL of this setting".into()),
         (true, false) => None,
     }
 }
 
 /// The setting's name and a blank, as far as words tell it.
-fn name(words: &[String]) -> String {
+fn setting_prefix(words: &[String]) -> String {
     let mut words = words.iter().skip(1).filter(|word| *word != "session");
     words
         .next()
         .map_or(String::new(), |name| format!("{name} "))
 }
 
-fn end(words: &[String]) -> Option<String> {
+fn unsupported_end(words: &[String]) -> Option<String> {
     if words.get(1).is_some_and(|word| word == "prepared") {
         return Some("a prepared transaction".into());
     }
@@ -73,23 +79,23 @@
     chain.then(|| "AND CHAIN".into())
 }
 
-fn temporary(words: &[String]) -> bool {
+fn creates_temporary(words: &[String]) -> bool {
     words
         .iter()
         .take(5)
         .any(|word| matches!(word.as_str(), "temp" | "temporary" | "pg_temp"))
 }
 
-fn holds(words: &[String]) -> bool {
+fn declares_with_hold(words: &[String]) -> bool {
     words
         .windows(2)
         .any(|pair| pair[0] == "with" && pair[1] == "hold")
 }
 
 fn into_temporary(words: &[String]) -> bool {
-    words.windows(3).any(|three| {
-        three[0] == "into"
-            && (is_temporary(&three[1]) || (is_scope(&three[1]) && is_temporary(&three[2])))
+    words.windows(3).any(|triple| {
+        triple[0] == "into"
+            && (is_temporary(&triple[1]) || (is_scope(&triple[1]) && is_temporary(&triple[2])))
     })
 }
 
@@ -101,35 +107,35 @@
     matches!(word, "local" | "global")
 }
 
-fn call(statement: &sql::Statement) -> Option<String> {
-    statement.calls().find_map(|index| {
-        let name = statement.callee(index);
+fn unsupported_call(statement: &sql::Statement) -> Option<String> {
+    statement.call_indices().find_map(|index| {
+        let name = statement.function_name(index);
         let unsupported = function::needs_session(&name)
             || (name == "set_config" && !transaction_scoped(statement, index));
         unsupported.then(|| format!("function {name}"))
     })
 }
 
-/// Whether `set_config('name', ..., true)` changes a harmless setting for one transaction.
+/// Whether `set_config('name', ..., true)` changes an allowed setting for one transaction.
 fn transaction_scoped(statement: &sql::Statement, index: usize) -> bool {
     let tokens = statement.tokens();
-    let harmless = match tokens.get(index + 2) {
+    let allowed = match tokens.get(index + 2) {
         Some(tokenizer::Token::SingleQuotedString(name)) => {
             let name = name.to_ascii_lowercase();
             !name.ends_with("_read_only") && !name.starts_with("mangotray.")
         }
         _ => false,
     };
-    let Some(close) = closing(tokens, index + 1) else {
+    let Some(close) = closing_index(tokens, index + 1) else {
         return false;
     };
-    harmless
+    allowed
         && statement.word(close - 1) == "true"
         && tokens.get(close - 2) == Some(&tokenizer::Token::Comma)
 }
 
 /// Index of the parenthesis that closes the one at `open`.
-fn closing(tokens: &[tokenizer::Token], open: usize) -> Option<usize> {
+fn closing_index(tokens: &[tokenizer::Token], open: usize) -> Option<usize> {
     let mut depth = 0_usize;
     tokens
         .iter()
--- a/src/value.rs
+++ b/src/value.rs
@@ -7,11 +7,11 @@
 use compact_str::ToCompactString;
 use compact_str::format_compact;
 
-const NAME_LENGTH: usize = 63;
-const UNITS: [(&str, usize); 3] = [("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
+const NAME_LENGTH_LIMIT: usize = 63;
+const SIZE_UNITS: [(&str, usize); 3] = [("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
 /// Outcome of parsing one value; the error says what is expected.
-pub type Parsed<T> = Result<T, CompactString>;
+pub type Result<T> = std::result::Result<T, CompactString>;
 
 /// Parses a name: 1 to 63 ASCII letters, digits, `.`, `_` and `-`.
 ///
@@ -22,11 +22,11 @@
 /// assert!(mangotray::value::name("patan-hall").is_ok());
 /// assert!(mangotray::value::name("patan hall").is_err());
 /// ```
-pub fn name(text: &str) -> Parsed<CompactString> {
-    let allowed = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
-    if text.is_empty() || text.len() > NAME_LENGTH || !text.chars().all(allowed) {
+pub fn name(text: &str) -> Result<CompactString> {
+    let allowed = |char: char| char.is_ascii_alphanumeric() || "._-".contains(char);
+    if text.is_empty() || text.len() > NAME_LENGTH_LIMIT || !text.chars().all(allowed) {
         return Err(format_compact!(
-            "{text:?} is no name: 1 to {NAME_LENGTH} letters, digits, `.`, `_` or `-`"
+            "{text:?} is no name: 1 to {NAME_LENGTH_LIMIT} letters, digits, `.`, `_` or `-`"
         ));
     }
     Ok(text.into())
@@ -41,7 +41,7 @@
 /// assert!(mangotray::value::address("[::1]:5432").is_ok());
 /// assert!(mangotray::value::address("localhost:5432").is_err());
 /// ```
-pub fn address(text: &str) -> Parsed<net::SocketAddr> {
+pub fn address(text: &str) -> Result<net::SocketAddr> {
     text.parse()
         .map_err(|_| format_compact!("{text:?} is no address: IP:PORT with a numeric IP"))
 }
@@ -55,7 +55,7 @@
 /// assert!(mangotray::value::reachable("127.0.0.1:1").is_ok());
 /// assert!(mangotray::value::reachable("0.0.0.0:1").is_err());
 /// ```
-pub fn reachable(text: &str) -> Parsed<net::SocketAddr> {
+pub fn reachable(text: &str) -> Result<net::SocketAddr> {
     let address = address(text)?;
     if address.ip().is_unspecified() {
         return Err(format_compact!(
@@ -73,7 +73,7 @@
 /// ```
 /// assert!(mangotray::value::remote("127.0.0.1:0").is_err());
 /// ```
-pub fn remote(text: &str) -> Parsed<net::SocketAddr> {
+pub fn remote(text: &str) -> Result<net::SocketAddr> {
     let address = reachable(text)?;
     if address.port() == 0 {
         return Err(format_compact!("{text:?} needs a port from 1 to 65535"));
@@ -90,7 +90,7 @@
 /// assert_eq!(mangotray::value::count("20"), Ok(20));
 /// assert!(mangotray::value::count("0").is_err());
 /// ```
-pub fn count(text: &str) -> Parsed<usize> {
+pub fn count(text: &str) -> Result<usize> {
     text.parse()
         .ok()
         .filter(|number| *number > 0)
@@ -106,8 +106,8 @@
 /// assert_eq!(mangotray::value::bytes("64KiB"), Ok(65536));
 /// assert!(mangotray::value::bytes("64 kilo").is_err());
 /// ```
-pub fn bytes(text: &str) -> Parsed<usize> {
-    let (digits, unit) = UNITS
+pub fn bytes(text: &str) -> Result<usize> {
+    let (digits, unit) = SIZE_UNITS
         .iter()
         .find_map(|(name, unit)| Some((text.strip_suffix(name)?, *unit)))
         .unwrap_or((text, 1));
@@ -129,7 +129,7 @@
 /// assert_eq!(mangotray::value::duration("1m 30s"), Ok(Duration::from_secs(90)));
 /// assert!(mangotray::value::duration("30").is_err());
 /// ```
-pub fn duration(text: &str) -> Parsed<time::Duration> {
+pub fn duration(text: &str) -> Result<time::Duration> {
     humantime::parse_duration(text).map_err(|_| {
         format_compact!("{text:?} is no time: a number with a unit, as in 250ms or 5s")
     })
@@ -146,17 +146,14 @@
 /// assert!(parse("5s").is_ok());
 /// assert!(parse("5h").is_err());
 /// ```
-pub fn within(
-    least: time::Duration,
-    most: time::Duration,
-) -> impl Fn(&str) -> Parsed<time::Duration> {
+pub fn within(min: time::Duration, max: time::Duration) -> impl Fn(&str) -> Result<time::Duration> {
     move |text| {
         let value = duration(text)?;
-        if value < least || value > most {
+        if value < min || value > max {
             return Err(format_compact!(
                 "{text} is out of bounds: {} to {}",
-                humantime::format_duration(least),
-                humantime::format_duration(most)
+                humantime::format_duration(min),
+                humantime::format_duration(max)
             ));
         }
         Ok(value)
@@ -173,7 +170,7 @@
 /// assert_eq!(value::list(value::count)("1, 2"), Ok(vec![1, 2]));
 /// assert!(value::list(value::count)("1,,2").is_err());
 /// ```
-pub fn list<T>(parse: impl Fn(&str) -> Parsed<T>) -> impl Fn(&str) -> Parsed<Vec<T>> {
+pub fn list<T>(parse: impl Fn(&str) -> Result<T>) -> impl Fn(&str) -> Result<Vec<T>> {
     move |text| text.split(',').map(|item| parse(item.trim())).collect()
 }
 
@@ -186,7 +183,7 @@
 /// assert!(mangotray::value::filter("info,mangotray=debug").is_ok());
 /// assert!(mangotray::value::filter("mangotray=loud").is_err());
 /// ```
-pub fn filter(text: &str) -> Parsed<CompactString> {
+pub fn filter(text: &str) -> Result<CompactString> {
     tracing_subscriber::EnvFilter::builder()
         .parse(text)
         .map(|_| CompactString::from(text))
--- a/src/writer.rs
+++ b/src/writer.rs
@@ -79,7 +79,7 @@
 #[must_use]
 pub fn shutdown() -> refusal::Error {
     refusal::Error::fatal(
-        refusal::SHUTDOWN,
+        refusal::ADMIN_SHUTDOWN,
         "terminating connection: the proxy is shutting down",
     )
     .hint("Connect again.")
@@ -93,7 +93,7 @@
 #[must_use]
 pub fn idle_transaction() -> refusal::Error {
     refusal::Error::fatal(
-        refusal::IDLE_TRANSACTION,
+        refusal::IDLE_TRANSACTION_TIMEOUT,
         "terminating connection due to idle-in-transaction timeout",
     )
 }
