--- a/src/prepared.rs
+++ b/src/prepared.rs
@@ -1,9 +1,9 @@
-//! Callers' prepared statements over connections that are shared between them.
+//! Prepared statements of callers on shared upstream connections.
 //!
-//! An upstream connection serves another session with each transaction, so nothing may
-//! be expected of it. Each batch that is sent on prepares what it refers to, under
-//! names made from the statement's text, and drops it again; the messages that the
-//! caller did not send have their answers removed.
+//! An upstream connection may serve another session after each transaction, so none of its state
+//! is relied on. Each forwarded batch prepares the statements that it refers to, under names
+//! derived from their text, and closes them again. Answers to messages that the proxy has added
+//! are removed.
 
 use std::collections;
 use std::hash::Hash;
@@ -19,10 +19,10 @@
 use crate::refusal;
 use crate::rewrite;
 
-/// Prepared statements that one session may keep.
+/// Largest number of prepared statements per session.
 pub const STATEMENT_LIMIT: usize = 2_000;
 
-/// Bytes of SQL text that one session may keep in prepared statements.
+/// Largest total size of the SQL texts of a session's prepared statements, in bytes.
 pub const TEXT_LIMIT: usize = 16 * 1024 * 1024;
 
 /// One prepared statement.
@@ -30,11 +30,11 @@
 pub struct Statement {
     /// SQL text.
     pub query: sync::Arc<str>,
-    /// Parameter types, as encoded.
+    /// Parameter types as encoded in the Parse message.
     pub types: bytes::Bytes,
-    /// Its name on upstream connections, the same in every session.
+    /// Name on upstream connections, the same in every session.
     pub upstream_name: CompactString,
-    /// What the text needs.
+    /// How the text is handled.
     pub plan: sync::Arc<classify::Plan>,
 }
 
@@ -65,15 +65,15 @@
     }
 }
 
-/// The statement that each message of a batch refers to, if it is known.
+/// Statement that each message of a batch refers to; `None` if there is none or it is unknown.
 pub type References = Vec<Option<sync::Arc<Statement>>>;
 
-/// What a message of the caller does to its prepared statements once it has run.
+/// Change that a message makes to the session's prepared statements once it has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The name stands for this statement from now on.
+    /// Stores the statement under the caller's name.
     Store(CompactString, sync::Arc<Statement>),
-    /// The name stands for nothing.
+    /// Removes the statement of this name.
     Remove(CompactString),
 }
 
@@ -85,19 +85,19 @@
 }
 
 impl Statements {
-    /// No statements.
+    /// Builds an empty set of statements.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The statement behind a caller's name.
+    /// Returns the statement with a caller's name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&sync::Arc<Statement>> {
         self.by_name.get(name)
     }
 
-    /// Finds what each message of a batch refers to, portals included.
+    /// Finds the statement that each message of a batch refers to, also through portals.
     ///
     /// ```
     /// use mangotray::{extended, prepared, plans};
@@ -150,7 +150,7 @@
             .collect()
     }
 
-    /// Makes a batch self-contained, for a connection of which nothing is known.
+    /// Makes a batch self-contained, so that it can run on any upstream connection.
     ///
     /// ```
     /// use mangotray::{extended, prepared, plans};
@@ -172,7 +172,7 @@
         builder.finish()
     }
 
-    /// Takes over the effects of messages that have run.
+    /// Applies the effects of messages that have run.
     ///
     /// ```
     /// use mangotray::prepared;
@@ -200,12 +200,12 @@
         self.text_bytes -= statement.map_or(0, |statement| statement.query.len());
     }
 
-    /// Whether the session keeps as many statements as it may. What goes wrong without
-    /// this bound: one caller that never closes its statements fills the memory of a
-    /// proxy that serves many.
+    /// Checks that the session stays within its limits on statements after a batch. Without the
+    /// limits, one caller that never closes its statements could fill the memory of a proxy that
+    /// serves many.
     ///
     /// # Errors
-    /// The refusal to send instead of running the batch.
+    /// The refusal for the caller; the batch must not run.
     pub fn check_limits(&self, messages: &[extended::Message]) -> Result<(), refusal::Error> {
         let text_lengths = messages.iter().filter_map(|message| match message {
             extended::Message::Parse(parse) => Some(parse.query.len()),
@@ -229,7 +229,7 @@
     }
 }
 
-/// The effect that a message has when it runs, if any.
+/// Effect of a message on the session's prepared statements once it has run, if any.
 ///
 /// ```
 /// use mangotray::{extended, prepared};
--- a/src/reason.rs
+++ b/src/reason.rs
@@ -1,10 +1,10 @@
-//! The stable, documented set of reasons for refusals and routing decisions.
+//! Documented and stable reasons for refusals and routing decisions.
 
-/// Why a request was refused or routed as it was.
+/// Reason for a refusal or a routing decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// No primary is known at the moment.
+    /// No primary is currently known.
     NoPrimary,
     /// No instance is fresh enough within the deadline.
     NoInstance,
@@ -18,11 +18,11 @@
     Draining,
     /// The upstream connection was lost.
     ConnectionLost,
-    /// A commit ran but was not seen on a second instance in time.
+    /// A commit ran but was not confirmed by a second instance in time.
     Unconfirmed,
     /// The statement is not supported through the proxy.
     Unsupported,
-    /// The answer is larger than the proxy relays.
+    /// The answer exceeds the size limit of the proxy.
     TooLarge,
     /// No proxy that serves the group could be reached.
     NoServer,
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Turns refusals into the error messages of the wire protocol.
+//! Encodes refusals as error messages of the wire protocol.
 
 use std::time;
 
@@ -10,7 +10,7 @@
 use crate::outcome;
 use crate::reason;
 
-/// Five characters that name a condition, as the SQL standard and `PostgreSQL` define them.
+/// SQLSTATE: a code of five characters, defined by the SQL standard and `PostgreSQL`.
 pub type Code = &'static str;
 
 /// `protocol_violation`.
@@ -50,32 +50,32 @@
 /// `cannot_connect_now`.
 pub const CANNOT_CONNECT: Code = "57P03";
 
-/// How much of the session an error ends.
+/// Scope of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The request.
+    /// Ends the request.
     Error,
-    /// The whole session.
+    /// Ends the session.
     Fatal,
 }
 
-/// One error, as it is told to the caller.
+/// An error that is sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// What the error ends.
+    /// Scope of the error.
     pub severity: Severity,
     /// SQLSTATE.
     pub code: Code,
-    /// One line for people.
+    /// Message for users, in one line.
     pub message: CompactString,
-    /// More for programs and people.
+    /// Further information for users and programs.
     pub detail: Option<CompactString>,
-    /// What to do.
+    /// Advice to the user.
     pub hint: Option<CompactString>,
 }
 
 impl Error {
-    /// An error that ends the request.
+    /// Builds an error that ends the request.
     ///
     /// ```
     /// use mangotray::refusal;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// An error that ends the session.
+    /// Builds an error that ends the session.
     ///
     /// ```
     /// use mangotray::refusal;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The same error with a hint.
+    /// Adds a hint.
     ///
     /// ```
     /// use mangotray::refusal;
@@ -146,10 +146,11 @@
     }
 }
 
-/// Longest text of one field; error messages have to stay under 30 kB in all.
+/// Length limit of a field in characters; a whole error message must stay below 30 kB.
 const FIELD_CHARS_LIMIT: usize = 2_000;
 
-/// A NUL inside a field would end it early and turn the rest into fields of its own.
+/// Removes NUL characters and cuts a field at its limit. A NUL would end the field early, and its
+/// rest would be read as further fields.
 fn field_text(text: &str) -> String {
     text.chars()
         .filter(|char| *char != '\0')
@@ -157,7 +158,7 @@
         .collect()
 }
 
-/// The SQLSTATE for a request that did not run.
+/// SQLSTATE of a request that did not run.
 const fn not_run_code(reason: reason::Reason) -> Code {
     match reason {
         reason::Reason::NoPrimary
@@ -173,7 +174,7 @@
     }
 }
 
-/// Stable name of a reason, as it stands in logs and error details.
+/// Stable name of a reason in logs and error details.
 ///
 /// ```
 /// use mangotray::{reason, refusal};
@@ -196,7 +197,7 @@
     }
 }
 
-/// One line about an outcome, as `SHOW mangotray.last_outcome` answers it.
+/// One-line summary of an outcome, as returned by `SHOW mangotray.last_outcome`.
 ///
 /// ```
 /// use mangotray::{outcome, reason, refusal};
@@ -218,7 +219,7 @@
     }
 }
 
-/// The error that tells an outcome to the caller.
+/// Builds the error that reports an outcome to the caller.
 ///
 /// ```
 /// use mangotray::{outcome, reason, refusal};
--- a/src/relation.rs
+++ b/src/relation.rs
@@ -7,9 +7,9 @@
 use sqlparser::ast;
 use sqlparser::ast::Visit;
 
-/// Tables that a statement names, sorted, folded to lower case unless quoted, without
-/// the schema `public`. Names of common table expressions are left out only where they
-/// surely do not mean a table; a name too many merely denies an exemption.
+/// Names of the tables in a statement: sorted, in lower case unless quoted, without the schema
+/// `public`. The name of a common table expression is left out only if it cannot mean a table.
+/// A superfluous name does no harm: it only denies the statement an exemption.
 ///
 /// ```
 /// use mangotray::{relation, sql};
@@ -29,7 +29,8 @@
 
 type Names = collections::BTreeSet<CompactString>;
 
-/// An expression sees the ones before it, and itself only when the list is recursive.
+/// Tables of a query. A common table expression can refer to earlier ones; in a recursive list it
+/// can also refer to itself and to later ones.
 fn query_tables(query: &ast::Query) -> Names {
     let mut defined = Names::new();
     let mut found = Names::new();
--- a/src/rewrite.rs
+++ b/src/rewrite.rs
@@ -1,4 +1,4 @@
-//! A batch of the extended protocol, made self-contained, and its answer made whole again.
+//! Makes a batch of the extended protocol self-contained and adapts its answer for the caller.
 
 use std::collections;
 use std::sync;
@@ -9,24 +9,23 @@
 use crate::frame;
 use crate::prepared;
 
-/// Name that no statement on an upstream connection ever has. Messages that refer to
-/// a statement the caller never prepared are sent with it, so that the database itself
-/// answers the error, at its place and with its effect on the transaction. Left as
-/// they are they could meet a statement that another session has left behind.
+/// Name that no statement on an upstream connection has. It replaces the name of a statement that
+/// the caller has not prepared, so that the database itself returns the error, in order and with
+/// its effect on the transaction. The caller's name could match a statement of another session.
 const UNKNOWN_STATEMENT: &str = "mangotray_none";
 
-/// One message that is sent on.
+/// One message of the rewritten batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Step {
     message: extended::Message,
-    /// Not sent by the caller, who must not see its answer.
+    /// Whether the proxy has added the message; the caller must not receive its answer.
     added_by_proxy: bool,
     effect: Option<prepared::Effect>,
-    /// The caller's name for the statement, for the text of errors.
+    /// The caller's name of the statement, for error messages.
     caller_name: CompactString,
 }
 
-/// A batch on its way to an upstream.
+/// A rewritten batch for an upstream.
 #[derive(Debug, Default)]
 pub struct Rewrite {
     steps: Vec<Step>,
@@ -37,15 +36,15 @@
 pub(crate) struct Builder<'a> {
     statements: &'a prepared::Statements,
     rewrite: Rewrite,
-    /// Caller's names defined or dropped within the batch.
+    /// Caller's names that the batch defines, or closes (`None`).
     batch_names: collections::HashMap<CompactString, Option<sync::Arc<prepared::Statement>>>,
-    /// Statements that are prepared on the connection at this place of the batch.
+    /// Statements that the batch has prepared on the connection so far, by upstream name.
     on_connection: collections::BTreeMap<CompactString, sync::Arc<prepared::Statement>>,
-    /// Portals that may outlive the batch, and must not go with their statements.
+    /// Whether a portal may outlive the batch; closing its statement would close it too.
     portals_may_outlive_batch: bool,
 }
 
-/// What is left for the caller of an upstream's answer.
+/// Answer of an upstream as adapted for the caller.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Frames for the caller.
@@ -69,7 +68,7 @@
         self.rewrite
     }
 
-    /// Appends a message of the caller and whatever has to go before it.
+    /// Appends a message of the caller, after the messages that it requires.
     pub(crate) fn push(
         &mut self,
         message: &extended::Message,
@@ -141,7 +140,7 @@
             .find_statement(&parse.name)
             .filter(|_| !parse.name.is_empty());
         let upstream = match &old {
-            // The name is taken; the database is led to say so itself.
+            // The name is in use; the database itself returns the error for the duplicate.
             Some(statement) => self.ensure_prepared(&parse.name, Some(statement)),
             None => upstream_name(&parse.name, statement),
         };
@@ -159,7 +158,7 @@
         self.push_callers(extended::Message::Parse(rewritten), effect, &parse.name);
     }
 
-    /// A connection may still hold a statement of that name from an earlier batch.
+    /// Closes a statement of that name that an earlier batch may have left on the connection.
     fn close_leftover(&mut self, upstream: &CompactString, name: &str) {
         if !name.is_empty() {
             let target = extended::Target::Statement(upstream.clone());
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Makes sure that a statement is prepared and gives its name on the connection.
+    /// Ensures that a statement is prepared and returns its name on the connection.
     fn ensure_prepared(
         &mut self,
         name: &CompactString,
@@ -203,8 +202,8 @@
         self.push_callers(extended::Message::Close(target), effect, name);
     }
 
-    /// Leaves no statement behind: over the days a pooled connection would collect
-    /// those of all callers.
+    /// Closes the batch's statements before the Sync. Otherwise the statements of all callers
+    /// would accumulate on a pooled connection over days.
     fn push_sync(&mut self) {
         let on_connection = std::mem::take(&mut self.on_connection);
         let named = on_connection.into_keys().filter(|name| !name.is_empty());
@@ -218,7 +217,7 @@
 }
 
 impl Rewrite {
-    /// The frames to send on.
+    /// Frames to send to the upstream.
     #[must_use]
     pub fn frames(&self) -> Vec<frame::Frame> {
         self.steps
@@ -227,8 +226,8 @@
             .collect()
     }
 
-    /// Removes the answers that the caller did not ask for. After an error the database
-    /// skips to the Sync, so all that follows the error belongs to it.
+    /// Removes the answers to messages that the proxy has added. After an error the database skips
+    /// to the Sync, so all frames from the error on are for the caller.
     #[must_use]
     pub fn filter_answer(&self, frames: Vec<frame::Frame>) -> Answer {
         let mut steps = self.steps.iter().peekable();
@@ -260,7 +259,7 @@
 }
 
 impl Step {
-    /// Puts the caller's name into an error.
+    /// Replaces the upstream name in an error with the caller's name.
     fn with_caller_name(&self, frame: frame::Frame) -> frame::Frame {
         let upstream = match &self.message {
             extended::Message::Parse(parse) => &parse.name,
@@ -290,7 +289,7 @@
     }
 }
 
-/// Name of a statement on the connection; the unnamed one keeps its name.
+/// Name of a statement on the connection; the unnamed statement stays unnamed.
 fn upstream_name(name: &str, statement: &prepared::Statement) -> CompactString {
     match name {
         "" => CompactString::default(),
@@ -298,12 +297,12 @@
     }
 }
 
-/// Frames that may come at any place of an answer.
+/// Whether a frame may occur anywhere in an answer: a notice, parameter status or notification.
 const fn is_asynchronous(tag: u8) -> bool {
     matches!(tag, b'N' | b'S' | b'A')
 }
 
-/// Whether a frame is the last of the answer to a message.
+/// Whether a frame ends the answer to a message.
 const fn ends_answer(message: &extended::Message, tag: u8) -> bool {
     match message {
         extended::Message::Parse(_) => tag == b'1',
--- a/src/rewrite/tests.rs
+++ b/src/rewrite/tests.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// A database's side of the protocol: prepared statements by name, each message
-/// answered in turn, everything after an error skipped up to the Sync.
+/// Simulates one connection of a database: it keeps prepared statements by name, answers the
+/// messages in order and skips to the Sync after an error.
 #[derive(Default)]
 struct Database {
     statements: collections::BTreeMap<CompactString, sync::Arc<str>>,
@@ -117,7 +117,7 @@
     }
 }
 
-/// Sends a batch of a session over a connection and gives the caller's answer.
+/// Sends a batch of a session over a connection and returns the answer for the caller.
 fn send(
     statements: &mut Statements,
     connection: &mut Database,
@@ -159,9 +159,9 @@
 
 #[test]
 fn sessions_with_the_same_statement_name_are_isolated() {
-    // Symptom: a caller gets the answer to another caller's statement. Events: two
-    // sessions prepare different texts under one name and share a connection. Cause,
-    // were it so: the caller's own names on shared connections.
+    // Guards against an answer to another caller's statement. It comes about if callers' own
+    // names are used on a shared connection and two sessions prepare different texts under
+    // one name.
     let mut connection = Database::default();
     let (mut one, mut two) = (Statements::new(), Statements::new());
     send(
@@ -180,8 +180,8 @@
 
 #[test]
 fn unnamed_statement_of_another_session_is_never_used() {
-    // Symptom and cause as above, by way of the unnamed statement, which is the one
-    // that stays behind on a connection.
+    // Guards against an answer to another caller's statement through the unnamed statement,
+    // which is not closed and so stays on the connection.
     let mut connection = Database::default();
     let (mut one, mut two) = (Statements::new(), Statements::new());
     send(
@@ -305,9 +305,9 @@
 
 #[test]
 fn no_named_statement_is_left_on_the_connection() {
-    // Symptom: instances run out of memory over days. Events: callers prepare ever new
-    // texts on connections that live long. Cause, were it so: statements that are
-    // never closed, as the session that knows them is long gone.
+    // Guards against instances that run out of memory over days. It comes about if callers
+    // prepare ever new texts on long-lived connections and nobody closes the statements after
+    // their sessions have ended.
     let mut session = Statements::new();
     let mut connection = Database::default();
     for number in 0..20 {
@@ -333,8 +333,8 @@
     assert_eq!(tags(&frames), "CPBS");
 }
 
-/// A session's batches against one connection of its own, in lock step with the same
-/// batches through the proxy over connections that change and that others use.
+/// Compares the answers to a session's batches on a dedicated connection with those on changing
+/// connections that another session uses as well.
 #[test]
 fn shared_connections_answer_like_a_dedicated_one() {
     let mut random = fastrand::Rng::with_seed(7);
--- a/src/sql.rs
+++ b/src/sql.rs
@@ -1,16 +1,16 @@
-//! Splits SQL text into statements of significant tokens.
+//! Splits SQL text into statements of tokens, without white space and comments.
 
 use sqlparser::dialect;
 use sqlparser::parser;
 use sqlparser::tokenizer;
 
-/// One statement: its tokens without white space and comments.
+/// Tokens of one statement, without white space and comments.
 #[derive(Clone, Debug)]
 pub struct Statement {
     tokens: Vec<tokenizer::Token>,
 }
 
-/// Why a text could not be split.
+/// A text cannot be split into statements with certainty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Error;
 
@@ -22,8 +22,8 @@
 /// ```
 ///
 /// # Errors
-/// When the text has no valid tokens, or holds characters that the tokenizer and
-/// the database read differently.
+/// If the text contains invalid tokens, or characters that the tokenizer and the database treat
+/// differently.
 pub fn split(text: &str) -> Result<Vec<Statement>, Error> {
     if is_ambiguous(text) {
         return Err(Error);
@@ -47,9 +47,9 @@
     Ok(split_at_semicolons(significant))
 }
 
-/// The database ends a line comment at a bare carriage return and takes white
-/// space beyond ASCII for letters; a tokenizer that does otherwise would see a
-/// harmless text where the database sees a second statement.
+/// Whether a text contains white space that the database treats differently from the tokenizer.
+/// The database ends a line comment at a bare carriage return and treats non-ASCII white space as
+/// letters. The tokenizer could miss a second statement that the database runs.
 fn is_ambiguous(text: &str) -> bool {
     let bare_return = text
         .as_bytes()
@@ -62,7 +62,8 @@
     bare_return || unusual_space
 }
 
-/// The database starts a comment inside a run of operator characters.
+/// Whether an operator contains the start of a comment: the database starts a comment there, the
+/// tokenizer does not.
 fn may_contain_comment(token: &tokenizer::Token) -> bool {
     match token {
         tokenizer::Token::CustomBinaryOperator(text) => text.contains("--") || text.contains("/*"),
@@ -94,7 +95,7 @@
     statements
 }
 
-/// A function body written as `BEGIN ATOMIC ... END` holds semicolons of its own.
+/// Whether the tokens end in a function body `BEGIN ATOMIC ... END`, which contains semicolons.
 fn in_function_body(tokens: &[tokenizer::Token]) -> bool {
     word(tokens.first()).is_some_and(|first| first == "create")
         && tokens.windows(2).any(|pair| {
@@ -114,7 +115,7 @@
 }
 
 impl Statement {
-    /// The tokens.
+    /// Tokens of the statement.
     ///
     /// ```
     /// let statements = mangotray::sql::split("SELECT /* x */ 1").unwrap();
@@ -137,7 +138,7 @@
         word(self.tokens.get(index)).unwrap_or_default()
     }
 
-    /// All tokens as by [`Statement::word`].
+    /// Every token as returned by [`Statement::word`].
     ///
     /// ```
     /// let statements = mangotray::sql::split("SELECT a").unwrap();
@@ -150,7 +151,7 @@
             .collect()
     }
 
-    /// Name at `index`, folded as the database folds it; quoted names keep their case.
+    /// Name at `index`, in lower case as in the database; a quoted name keeps its case.
     ///
     /// ```
     /// let statements = mangotray::sql::split("SELECT \"A\", B").unwrap();
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Indices of all names that stand directly before an opening parenthesis.
+    /// Indices of all names directly before an opening parenthesis.
     ///
     /// ```
     /// let statements = mangotray::sql::split("SELECT count (*)").unwrap();
@@ -191,7 +192,7 @@
         self.name(index).unwrap_or_default()
     }
 
-    /// Parses the statement on its own.
+    /// Parses the statement; `None` if the parser rejects it.
     ///
     /// ```
     /// let statements = mangotray::sql::split("SELECT 1").unwrap();
--- a/src/sql/tests.rs
+++ b/src/sql/tests.rs
@@ -19,9 +19,8 @@
 
 #[test]
 fn function_body_with_semicolons_is_one_statement() {
-    // Symptom: a caller's session believes that a transaction has ended. Events: a
-    // function body is cut at its semicolons and the closing END is taken for COMMIT.
-    // Cause, were it so: a cut that does not know such bodies.
+    // Guards against a session that assumes its transaction has ended. It comes about if a
+    // function body is split at its semicolons and the final END is read as COMMIT.
     let text = "CREATE FUNCTION f() RETURNS int BEGIN ATOMIC SELECT 1; SELECT 2; END";
     assert_eq!(count(text), 1);
 }
--- a/src/unsupported.rs
+++ b/src/unsupported.rs
@@ -1,11 +1,11 @@
-//! Recognizes statements that connections shared between transactions cannot carry.
+//! Recognizes statements that transaction pooling does not support.
 
 use sqlparser::tokenizer;
 
 use crate::function;
 use crate::sql;
 
-/// Names what transaction pooling cannot carry, if the statement holds it.
+/// Names the first feature of a statement that transaction pooling does not support, if any.
 ///
 /// ```
 /// use mangotray::{sql, unsupported};
@@ -36,9 +36,9 @@
     feature.or_else(|| unsupported_call(statement))
 }
 
-/// `SET LOCAL` and `SET TRANSACTION` end with the transaction; all else outlives it.
-/// The access mode is refused as well: it would turn a transaction that runs as
-/// read-only into one whose commit has to be confirmed.
+/// Checks a `SET`. Only `SET LOCAL` and `SET TRANSACTION` end with the transaction; any other
+/// outlives it. A change of the access mode is refused as well: it would turn a transaction that
+/// runs as read-only into one whose commit must be confirmed.
 fn unsupported_set(words: &[String]) -> Option<String> {
     let ends_with_transaction = words
         .get(1)
@@ -61,7 +61,7 @@
     }
 }
 
-/// The setting's name and a blank, as far as words tell it.
+/// Name of the setting and a space; empty if there is no name.
 fn setting_prefix(words: &[String]) -> String {
     let mut words = words.iter().skip(1).filter(|word| *word != "session");
     words
@@ -116,7 +116,8 @@
     })
 }
 
-/// Whether `set_config('name', ..., true)` changes an allowed setting for one transaction.
+/// Whether `set_config('name', ..., true)` changes a setting for one transaction only, and the
+/// setting is neither an access mode nor one of the proxy.
 fn transaction_scoped(statement: &sql::Statement, index: usize) -> bool {
     let tokens = statement.tokens();
     let allowed = match tokens.get(index + 2) {
--- a/src/value.rs
+++ b/src/value.rs
@@ -1,4 +1,4 @@
-//! Parsers for single values of INI files.
+//! Parsers for values of INI files.
 
 use std::net;
 use std::time;
@@ -10,13 +10,13 @@
 const NAME_LENGTH_LIMIT: usize = 63;
 const SIZE_UNITS: [(&str, usize); 3] = [("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)];
 
-/// Outcome of parsing one value; the error says what is expected.
+/// Result of parsing a value; the error message says which form is expected.
 pub type Result<T> = std::result::Result<T, CompactString>;
 
 /// Parses a name: 1 to 63 ASCII letters, digits, `.`, `_` and `-`.
 ///
 /// # Errors
-/// Names the characters that are allowed.
+/// If the name is empty or too long or contains another character.
 ///
 /// ```
 /// assert!(mangotray::value::name("patan-hall").is_ok());
@@ -35,7 +35,7 @@
 /// Parses an address as `IP:PORT`; names are not resolved.
 ///
 /// # Errors
-/// Asks for the form.
+/// If the text has another form.
 ///
 /// ```
 /// assert!(mangotray::value::address("[::1]:5432").is_ok());
@@ -49,7 +49,7 @@
 /// Parses an address that other machines can connect to.
 ///
 /// # Errors
-/// Refuses `0.0.0.0` and `::`.
+/// As [`address`], and for `0.0.0.0` and `::`.
 ///
 /// ```
 /// assert!(mangotray::value::reachable("127.0.0.1:1").is_ok());
@@ -68,7 +68,7 @@
 /// Parses a reachable address whose port is not 0.
 ///
 /// # Errors
-/// As [`reachable`], and refuses port 0.
+/// As [`reachable`], and for port 0.
 ///
 /// ```
 /// assert!(mangotray::value::remote("127.0.0.1:0").is_err());
@@ -84,7 +84,7 @@
 /// Parses a whole number of at least 1.
 ///
 /// # Errors
-/// Asks for such a number.
+/// If the text is not such a number.
 ///
 /// ```
 /// assert_eq!(mangotray::value::count("20"), Ok(20));
@@ -100,7 +100,7 @@
 /// Parses a number of bytes: plain, or with the unit KiB, MiB or GiB.
 ///
 /// # Errors
-/// Asks for the form.
+/// If the text has another form.
 ///
 /// ```
 /// assert_eq!(mangotray::value::bytes("64KiB"), Ok(65536));
@@ -122,7 +122,7 @@
 /// Parses a time such as `250ms`, `5s` or `1m 30s`.
 ///
 /// # Errors
-/// Asks for the form.
+/// If the text has another form.
 ///
 /// ```
 /// use std::time::Duration;
@@ -138,7 +138,7 @@
 /// Parses a time within bounds, both included.
 ///
 /// # Errors
-/// As [`duration`], and names the bounds.
+/// As [`duration`], and for a time out of bounds.
 ///
 /// ```
 /// use std::time::Duration;
@@ -163,7 +163,7 @@
 /// Parses a comma-separated list with at least one item.
 ///
 /// # Errors
-/// Names the first item that cannot be parsed.
+/// The error of the first item that cannot be parsed.
 ///
 /// ```
 /// use mangotray::value;
@@ -177,7 +177,7 @@
 /// Parses a log filter in the syntax of `tracing_subscriber::EnvFilter`.
 ///
 /// # Errors
-/// Gives the filter's own words.
+/// The error message of `EnvFilter`.
 ///
 /// ```
 /// assert!(mangotray::value::filter("info,mangotray=debug").is_ok());
