--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -202,7 +202,7 @@
     let options = mangotray::platform::Options::new(platform.address());
     let store = mangotray::platform::Client::new(options, executor);
     let request = apply::Request {
-        id: apply::draw(),
+        id: apply::new_id(),
         by: "lab".into(),
         text: declare::text(catalog).into(),
         base: None,
--- a/lab/src/stage.rs
+++ b/lab/src/stage.rs
@@ -117,7 +117,7 @@
         let options = mangotray::platform::Options::new(self.platform.address());
         let store = mangotray::platform::Client::new(options, executor);
         let request = apply::Request {
-            id: apply::draw(),
+            id: apply::new_id(),
             by: "lab".into(),
             text: declare::text(&self.catalog()).into(),
             base: None,
--- a/lab/tests/platform.rs
+++ b/lab/tests/platform.rs
@@ -259,7 +259,7 @@
         |stand_in, client, _| async move {
             stand_in.lose_answers(1.0, 1);
             let request = apply::Request {
-                id: apply::draw(),
+                id: apply::new_id(),
                 by: "operator".into(),
                 text: "[group dome-sched-1]\n".into(),
                 base: None,
--- a/src/apply.rs
+++ b/src/apply.rs
@@ -17,16 +17,16 @@
 pub const KEY: &str = "config";
 
 /// Greatest length of a stored value in bytes.
-pub const VALUE_LIMIT: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Swaps tried while answers are lost and nothing shows.
-const TRIES: u32 = 4;
+const MAX_SWAP_ATTEMPTS: u32 = 4;
 
 /// Pause before the first read-back; doubles with each.
-const PAUSE: time::Duration = time::Duration::from_millis(20);
+const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(20);
 
 /// Lines shown around a difference.
-const CONTEXT: usize = 3;
+const DIFF_CONTEXT_LINES: usize = 3;
 
 /// Number of one apply, drawn by whoever applies; kept when the apply is repeated.
 pub type Id = CompactString;
@@ -63,7 +63,7 @@
 /// Wish to put a file in force.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Request {
-    /// Drawn anew for each apply (see `draw`), the same when it is repeated.
+    /// Drawn anew for each apply (see `new_id`), the same when it is repeated.
     pub id: Id,
     /// Operator who applies.
     pub by: CompactString,
@@ -113,10 +113,10 @@
 /// Draws an id for a new apply.
 ///
 /// ```
-/// assert_ne!(mangotray::apply::draw(), mangotray::apply::draw());
+/// assert_ne!(mangotray::apply::new_id(), mangotray::apply::new_id());
 /// ```
 #[must_use]
-pub fn draw() -> Id {
+pub fn new_id() -> Id {
     compact_str::format_compact!("{:016x}", fastrand::u64(..))
 }
 
@@ -139,55 +139,56 @@
 /// `NotRun` when the file surely was not put in force; `Unknown` when it may be, or may
 /// yet come to be: repeat the apply with the same id to learn which.
 pub async fn put(store: &dyn store::Store, request: &Request) -> Result<Verdict, store::Failure> {
-    let (found, version) = load(store).await?;
-    let file = match decide(found.as_ref(), request) {
-        Step::Done(verdict) => return Ok(told(request, verdict)),
+    let (in_force, version) = load(store).await?;
+    let file = match decide(in_force.as_ref(), request) {
+        Step::Done(verdict) => return Ok(log_verdict(request, verdict)),
         Step::Swap(file) => file,
     };
     let value = encode(&file);
     let length = value.len();
-    if length > VALUE_LIMIT {
+    if length > MAX_VALUE_BYTES {
         return Ok(Verdict::TooLarge { length });
     }
     // Repeats expect the same version, so that at most one of them takes effect.
-    let mut doubt = None;
-    for attempt in 0..TRIES {
+    let mut unknown_failure = None;
+    for attempt in 0..MAX_SWAP_ATTEMPTS {
         match store.swap(KEY, value.clone(), version, None).await {
             Ok(store::Swap::Stored) => {
-                return Ok(told(request, Verdict::Applied(file.revision)));
+                return Ok(log_verdict(request, Verdict::Applied(file.revision)));
             }
             Ok(store::Swap::Conflict) => {}
             Err(store::Failure::Unknown(detail)) => {
-                doubt = Some(store::Failure::Unknown(detail));
-                async_io::Timer::after(PAUSE * 2_u32.pow(attempt)).await;
+                unknown_failure = Some(store::Failure::Unknown(detail));
+                async_io::Timer::after(INITIAL_BACKOFF * 2_u32.pow(attempt)).await;
             }
-            Err(failure) => return Err(doubt.unwrap_or(failure)),
+            Err(failure) => return Err(unknown_failure.unwrap_or(failure)),
         }
-        let found = match load(store).await {
-            Ok((found, _)) => found,
-            Err(failure) => return Err(doubt.unwrap_or(failure)),
+        let in_force = match load(store).await {
+            Ok((in_force, _)) => in_force,
+            Err(failure) => return Err(unknown_failure.unwrap_or(failure)),
         };
-        if let Some(verdict) = settle(found.as_ref(), &file, doubt.is_some()) {
-            return Ok(told(request, verdict));
+        if let Some(verdict) = swap_verdict(in_force.as_ref(), &file, unknown_failure.is_some()) {
+            return Ok(log_verdict(request, verdict));
         }
     }
-    Err(doubt.unwrap_or_else(|| store::Failure::NotRun("the file's version moved".into())))
+    Err(unknown_failure
+        .unwrap_or_else(|| store::Failure::NotRun("the file's version moved".into())))
 }
 
 /// Decides what an apply does, given the file in force.
-fn decide(found: Option<&File>, request: &Request) -> Step {
-    let revision = found.map_or(0, |found| found.revision);
-    if let Some(found) = found {
-        if found.id == request.id {
+fn decide(in_force: Option<&File>, request: &Request) -> Step {
+    let revision = in_force.map_or(0, |in_force| in_force.revision);
+    if let Some(in_force) = in_force {
+        if in_force.id == request.id {
             return Step::Done(Verdict::Applied(revision));
         }
-        if found.text == request.text {
+        if in_force.text == request.text {
             return Step::Done(Verdict::Unchanged(revision));
         }
     }
-    match found {
-        Some(found) if request.base.is_some_and(|base| base != revision) => {
-            Step::Done(Verdict::Lost(winner(found, &request.text)))
+    match in_force {
+        Some(in_force) if request.base.is_some_and(|base| base != revision) => {
+            Step::Done(Verdict::Lost(winner(in_force, &request.text)))
         }
         _ => Step::Swap(File {
             revision: revision + 1,
@@ -199,31 +200,31 @@
 }
 
 /// Reads from the file in force what became of a swap; `None` if it left no trace yet.
-fn settle(found: Option<&File>, file: &File, doubt: bool) -> Option<Verdict> {
-    let found = found.filter(|found| found.revision >= file.revision)?;
-    if found.id == file.id {
-        return Some(Verdict::Applied(found.revision));
+fn swap_verdict(in_force: Option<&File>, file: &File, outcome_unknown: bool) -> Option<Verdict> {
+    let in_force = in_force.filter(|in_force| in_force.revision >= file.revision)?;
+    if in_force.id == file.id {
+        return Some(Verdict::Applied(in_force.revision));
     }
-    let winner = || winner(found, &file.text);
+    let winner = || winner(in_force, &file.text);
     // Two files never have one revision: a rival at ours proves that ours never was.
-    if doubt && found.revision > file.revision {
+    if outcome_unknown && in_force.revision > file.revision {
         return Some(Verdict::Superseded(winner()));
     }
-    if found.text == file.text {
-        return Some(Verdict::Unchanged(found.revision));
+    if in_force.text == file.text {
+        return Some(Verdict::Unchanged(in_force.revision));
     }
     Some(Verdict::Lost(winner()))
 }
 
-fn winner(found: &File, text: &str) -> Winner {
-    let diff = similar::TextDiff::from_lines(found.text.as_str(), text)
+fn winner(in_force: &File, text: &str) -> Winner {
+    let diff = similar::TextDiff::from_lines(in_force.text.as_str(), text)
         .unified_diff()
-        .context_radius(CONTEXT)
+        .context_radius(DIFF_CONTEXT_LINES)
         .header("in force", "applied")
         .to_string();
     Winner {
-        revision: found.revision,
-        by: found.by.clone(),
+        revision: in_force.revision,
+        by: in_force.by.clone(),
         diff,
     }
 }
@@ -242,7 +243,7 @@
     Ok((Some(file), entry.version))
 }
 
-fn told(request: &Request, verdict: Verdict) -> Verdict {
+fn log_verdict(request: &Request, verdict: Verdict) -> Verdict {
     let outcome = match &verdict {
         Verdict::Applied(_) => "applied",
         Verdict::Unchanged(_) => "unchanged",
--- a/src/apply/tests.rs
+++ b/src/apply/tests.rs
@@ -42,7 +42,7 @@
 // Events: two operators read revision 1 and apply different files.
 // Cause: the second write would replace a file that its operator never saw.
 #[test]
-fn the_loser_of_a_race_is_told_who_won() {
+fn the_later_of_two_racing_applies_gets_the_revision_in_force() {
     let store = fake::Fake::new(&[]);
     put(&store, "old", "a\nb\n").unwrap();
     let (one, two) = (request("one", "a\nc\n"), request("two", "a\nd\n"));
@@ -65,11 +65,11 @@
     let store = fake::Fake::new(&[]);
     put(&store, "a", "x").unwrap();
     put(&store, "b", "y").unwrap();
-    let late = apply::Request {
+    let stale = apply::Request {
         base: Some(1),
         ..request("c", "z")
     };
-    let verdict = lite::block_on(apply::put(&*store, &late)).unwrap();
+    let verdict = lite::block_on(apply::put(&*store, &stale)).unwrap();
     assert_matches!(verdict, apply::Verdict::Lost(winner) if winner.revision == 2);
     assert_eq!(current(&store).text, "y");
 }
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_rival_at_a_later_revision_leaves_a_doubt() {
+fn an_unknown_swap_is_superseded_by_a_later_revision() {
     let file = |revision, id: &str| apply::File {
         revision,
         id: id.into(),
@@ -98,20 +98,25 @@
         text: id.into(),
     };
     let ours = file(5, "ours");
-    assert_eq!(apply::settle(Some(&file(4, "old")), &ours, true), None);
-    let settle = |revision, doubt| apply::settle(Some(&file(revision, "x")), &ours, doubt);
-    assert_matches!(settle(5, true), Some(apply::Verdict::Lost(_)));
-    assert_matches!(settle(6, true), Some(apply::Verdict::Superseded(_)));
-    assert_matches!(settle(6, false), Some(apply::Verdict::Lost(_)));
+    assert_eq!(
+        apply::swap_verdict(Some(&file(4, "old")), &ours, true),
+        None
+    );
+    let verdict = |revision, outcome_unknown| {
+        apply::swap_verdict(Some(&file(revision, "x")), &ours, outcome_unknown)
+    };
+    assert_matches!(verdict(5, true), Some(apply::Verdict::Lost(_)));
+    assert_matches!(verdict(6, true), Some(apply::Verdict::Superseded(_)));
+    assert_matches!(verdict(6, false), Some(apply::Verdict::Lost(_)));
 }
 
 #[test]
 fn a_file_that_is_too_long_is_not_sent() {
     let store = fake::Fake::new(&[]);
-    let text = "x".repeat(apply::VALUE_LIMIT);
+    let text = "x".repeat(apply::MAX_VALUE_BYTES);
     assert_matches!(
         put(&store, "a", &text),
-        Ok(apply::Verdict::TooLarge { length }) if length > apply::VALUE_LIMIT
+        Ok(apply::Verdict::TooLarge { length }) if length > apply::MAX_VALUE_BYTES
     );
 }
 
--- a/src/change.rs
+++ b/src/change.rs
@@ -62,7 +62,9 @@
             Self::GroupAdded(group) => write!(f, "+ group {group}"),
             Self::GroupRemoved(group) => write!(f, "- group {group}"),
             Self::Group(group, detail) => write!(f, "~ group {group}: {detail}"),
-            Self::Serving(old, new) => write!(f, "~ serving VMs: {} -> {}", vms(old), vms(new)),
+            Self::Serving(old, new) => {
+                write!(f, "~ serving VMs: {} -> {}", vms_text(old), vms_text(new))
+            }
         }
     }
 }
@@ -81,18 +83,28 @@
             Self::Returning(name) => write!(f, "instance {name} is no longer leaving"),
             Self::Connections(old, new) => write!(f, "connections {old} -> {new}"),
             Self::Slots(old, new) => write!(f, "slots {old} -> {new}"),
-            Self::Deadline(old, new) => write!(f, "deadline {} -> {}", text(*old), text(*new)),
+            Self::Deadline(old, new) => write!(
+                f,
+                "deadline {} -> {}",
+                duration_text(*old),
+                duration_text(*new)
+            ),
             Self::Age(table, old, new) => {
-                write!(f, "age of {table} {} -> {}", age(*old), age(*new))
+                write!(f, "age of {table} {} -> {}", age_text(*old), age_text(*new))
             }
             Self::AgeTables(old, new) => {
-                write!(f, "tables read together {} -> {}", sets(old), sets(new))
+                write!(
+                    f,
+                    "tables read together {} -> {}",
+                    table_sets_text(old),
+                    table_sets_text(new)
+                )
             }
         }
     }
 }
 
-fn vms(names: &[id::Vm]) -> String {
+fn vms_text(names: &[id::Vm]) -> String {
     if names.is_empty() {
         "all".to_owned()
     } else {
@@ -100,15 +112,15 @@
     }
 }
 
-fn sets(sets: &[Vec<CompactString>]) -> String {
-    let words: Vec<_> = sets.iter().map(|set| set.join(", ")).collect();
-    format!("({})", words.join("; "))
+fn table_sets_text(sets: &[Vec<CompactString>]) -> String {
+    let lists: Vec<_> = sets.iter().map(|set| set.join(", ")).collect();
+    format!("({})", lists.join("; "))
 }
 
-fn age(limit: Option<time::Duration>) -> String {
-    limit.map_or("fresh only".to_owned(), text)
+fn age_text(limit: Option<time::Duration>) -> String {
+    limit.map_or("fresh only".to_owned(), duration_text)
 }
 
-fn text(duration: time::Duration) -> String {
+fn duration_text(duration: time::Duration) -> String {
     humantime::format_duration(duration).to_string()
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,8 +11,8 @@
 use crate::exit;
 use crate::id;
 
-const PATIENCE: time::Duration = time::Duration::from_secs(5);
-const WIDTH: usize = 100;
+const DEFAULT_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+const MESSAGE_COLUMNS: usize = 100;
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
@@ -147,7 +147,7 @@
         .help("Longest wait for one answer, as in 500ms or 5s (default 5s)")
         .argument::<String>("TIME")
         .parse(|text| humantime::parse_duration(&text))
-        .fallback(PATIENCE)
+        .fallback(DEFAULT_TIMEOUT)
 }
 
 /// The parser with its help texts.
@@ -176,7 +176,7 @@
     options
         .run_inner(bpaf::Args::current_args())
         .map_err(|failure| {
-            failure.print_message(WIDTH);
+            failure.print_message(MESSAGE_COLUMNS);
             match failure {
                 bpaf::ParseFailure::Stderr(_) => exit::Code::Usage,
                 bpaf::ParseFailure::Stdout(..) | bpaf::ParseFailure::Completion(_) => {
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -4,17 +4,17 @@
 
 use crate::cli;
 
-fn parse(words: &[&str]) -> Result<cli::Command, bpaf::ParseFailure> {
-    cli::options().run_inner(words)
+fn parse(arguments: &[&str]) -> Result<cli::Command, bpaf::ParseFailure> {
+    cli::options().run_inner(arguments)
 }
 
 #[test]
-fn the_parsers_hold_together() {
+fn the_parsers_keep_the_invariants_of_bpaf() {
     cli::options().check_invariants(true);
 }
 
 #[test]
-fn options_stand_before_or_after_the_file() {
+fn options_may_come_before_or_after_the_file() {
     let before = parse(&["diff", "--platform", "127.0.0.1:1", "a.ini"]).unwrap();
     let after = parse(&["diff", "a.ini", "--platform", "127.0.0.1:1"]).unwrap();
     assert_eq!(before, after);
@@ -23,7 +23,7 @@
 
 #[test]
 fn several_admin_addresses_are_collected() {
-    let words = [
+    let arguments = [
         "status",
         "--admin",
         "127.0.0.1:1",
@@ -31,8 +31,12 @@
         "127.0.0.1:2",
         "--json",
     ];
-    let parsed = parse(&words).unwrap();
-    assert_matches!(parsed, cli::Command::Status(s) if s.admin.len() == 2 && s.json && s.platform.is_none());
+    let parsed = parse(&arguments).unwrap();
+    assert_matches!(
+        parsed,
+        cli::Command::Status(status)
+            if status.admin.len() == 2 && status.json && status.platform.is_none()
+    );
 }
 
 #[test]
--- a/src/command.rs
+++ b/src/command.rs
@@ -55,37 +55,37 @@
 fn with_store<T>(
     address: net::SocketAddr,
     timeout: time::Duration,
-    conversation: impl AsyncFnOnce(&dyn store::Store) -> T,
+    operation: impl AsyncFnOnce(&dyn store::Store) -> T,
 ) -> T {
     let executor = sync::Arc::new(async_executor::Executor::new());
     let mut options = platform::Options::new(address);
     options.timeout = timeout;
     let client = platform::Client::new(options, &executor);
-    async_io::block_on(executor.run(conversation(&client)))
+    async_io::block_on(executor.run(operation(&client)))
 }
 
 /// Words of a failed call.
-fn reason(failure: &store::Failure) -> &str {
+fn failure_detail(failure: &store::Failure) -> &str {
     match failure {
-        store::Failure::NotRun(why) | store::Failure::Unknown(why) => why,
+        store::Failure::NotRun(detail) | store::Failure::Unknown(detail) => detail,
     }
 }
 
 /// Reports that the platform's service gave no answer.
-fn unreachable(
+fn report_unreachable(
     address: net::SocketAddr,
     failure: &store::Failure,
     console: &mut console::Console,
 ) -> eyre::Result<exit::Code> {
-    let why = reason(failure);
+    let detail = failure_detail(failure);
     console.error(&format!(
-        "platform at {address}: {why}; nothing was changed"
+        "platform at {address}: {detail}; nothing was changed"
     ))?;
     Ok(exit::Code::Unreachable)
 }
 
 /// Catalog of the file in force; empty when there is none or it is of a form unknown here.
-fn in_force(
+fn catalog_in_force(
     file: Option<&crate::apply::File>,
     console: &mut console::Console,
 ) -> eyre::Result<catalog::Catalog> {
@@ -103,7 +103,7 @@
 }
 
 /// Reads a file; its mistakes are printed and end the command.
-fn source(
+fn read_source(
     file: &path::Path,
     console: &mut console::Console,
 ) -> eyre::Result<Result<Source, exit::Code>> {
--- a/src/command/apply/tests.rs
+++ b/src/command/apply/tests.rs
@@ -21,13 +21,13 @@
     }
 }
 
-fn code(settled: &apply::Settled) -> exit::Code {
+fn code(outcome: &apply::Outcome) -> exit::Code {
     let mut console = console::Console {
         out: Box::new(io::sink()),
         err: Box::new(io::sink()),
         colour: false,
     };
-    apply::tell(&arguments(), settled, &mut console).unwrap()
+    apply::report(&arguments(), outcome, &mut console).unwrap()
 }
 
 // Symptom: an operator is told that the outcome is unknown, or that a rival has won, though
@@ -37,10 +37,10 @@
 fn an_apply_whose_answers_are_lost_is_repeated_with_its_id() {
     let store = fake::Fake::new(&[fake::Fate::Dropped; 4]);
     let request = apply::request(&arguments(), "text", 0);
-    let settled = future::block_on(apply::put(&*store, &request));
-    assert!(settled.doubt);
-    assert_matches!(settled.verdict, Ok(file::Verdict::Applied(1)));
-    assert_eq!(code(&settled), exit::Code::Success);
+    let outcome = future::block_on(apply::put(&*store, &request));
+    assert!(outcome.answer_lost);
+    assert_matches!(outcome.verdict, Ok(file::Verdict::Applied(1)));
+    assert_eq!(code(&outcome), exit::Code::Success);
 }
 
 // Symptom: a script takes an apply for refused and applies an older file, over one that is
@@ -54,17 +54,17 @@
         future::yield_now().await;
         store.state.lock().unwrap().down = true;
     };
-    let (settled, ()) = future::block_on(future::zip(apply::put(&*store, &request), outage));
-    assert_matches!(settled.verdict, Err(store::Failure::NotRun(_)));
-    assert_eq!(code(&settled), exit::Code::Unknown);
+    let (outcome, ()) = future::block_on(future::zip(apply::put(&*store, &request), outage));
+    assert_matches!(outcome.verdict, Err(store::Failure::NotRun(_)));
+    assert_eq!(code(&outcome), exit::Code::Unknown);
 }
 
 #[test]
 fn a_refused_apply_is_unreachable() {
     let store = fake::Fake::new(&[fake::Fate::Refused]);
     let request = apply::request(&arguments(), "text", 0);
-    let settled = future::block_on(apply::put(&*store, &request));
-    assert_eq!(code(&settled), exit::Code::Unreachable);
+    let outcome = future::block_on(apply::put(&*store, &request));
+    assert_eq!(code(&outcome), exit::Code::Unreachable);
 }
 
 #[test]
@@ -85,7 +85,13 @@
     ];
     for (verdict, expected) in cases {
         let verdict = Ok(verdict);
-        let doubt = false;
-        assert_eq!(code(&apply::Settled { verdict, doubt }), expected);
+        let answer_lost = false;
+        assert_eq!(
+            code(&apply::Outcome {
+                verdict,
+                answer_lost
+            }),
+            expected
+        );
     }
 }
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -9,7 +9,7 @@
     arguments: &cli::Check,
     console: &mut console::Console,
 ) -> eyre::Result<exit::Code> {
-    let catalog = match command::source(&arguments.file, console)? {
+    let catalog = match command::read_source(&arguments.file, console)? {
         Ok(source) => source.catalog,
         Err(code) => return Ok(code),
     };
--- a/src/command/diff.rs
+++ b/src/command/diff.rs
@@ -11,16 +11,16 @@
     arguments: &cli::Diff,
     console: &mut console::Console,
 ) -> eyre::Result<exit::Code> {
-    let source = match command::source(&arguments.file, console)? {
+    let source = match command::read_source(&arguments.file, console)? {
         Ok(source) => source,
         Err(code) => return Ok(code),
     };
-    let found = command::with_store(arguments.platform, arguments.timeout, apply::current);
-    let file = match found {
+    let answer = command::with_store(arguments.platform, arguments.timeout, apply::current);
+    let file = match answer {
         Ok(file) => file,
-        Err(failure) => return command::unreachable(arguments.platform, &failure, console),
+        Err(failure) => return command::report_unreachable(arguments.platform, &failure, console),
     };
-    let old = command::in_force(file.as_ref(), console)?;
+    let old = command::catalog_in_force(file.as_ref(), console)?;
     match file {
         None => writeln!(console.out, "no file is in force")?,
         Some(file) => writeln!(console.out, "revision {} by {}", file.revision, file.by)?,
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -16,7 +16,7 @@
 ) -> eyre::Result<exit::Code> {
     let catalog = match &arguments.file {
         None => None,
-        Some(file) => match command::source(file, console)? {
+        Some(file) => match command::read_source(file, console)? {
             Ok(source) => Some(source.catalog),
             Err(code) => return Ok(code),
         },
@@ -24,7 +24,7 @@
     let groups = catalog.iter().flat_map(|catalog| &catalog.groups);
     let group = groups
         .into_iter()
-        .find(|g| g.database == arguments.database);
+        .find(|group| group.database == arguments.database);
     if catalog.is_some() && group.is_none() {
         let database = &arguments.database;
         console.error(&format!(
@@ -57,13 +57,13 @@
 
 fn run_on_upstream(verdict: &classify::Verdict, group: Option<&database::Group>) -> Vec<String> {
     let mut lines = vec![
-        format!("class: {}", name(verdict.class)),
-        format!("why: {}", why(verdict)),
-        format!("runs on: {}", place(verdict.class)),
+        format!("class: {}", class_name(verdict.class)),
+        format!("why: {}", class_reason(verdict)),
+        format!("runs on: {}", execution_place(verdict.class)),
     ];
     if verdict.class == class::Class::Read {
-        lines.push(format!("tables: {}", tables(&verdict.tables)));
-        lines.extend(group.map(|group| age(group, &verdict.tables)));
+        lines.push(format!("tables: {}", table_list(&verdict.tables)));
+        lines.extend(group.map(|group| age_line(group, &verdict.tables)));
     }
     if verdict.mixed {
         lines.push("note: a lost answer leaves open whether a commit in the middle ran".into());
@@ -71,7 +71,7 @@
     lines
 }
 
-const fn name(class: class::Class) -> &'static str {
+const fn class_name(class: class::Class) -> &'static str {
     match class {
         class::Class::Read => "read",
         class::Class::Write => "write",
@@ -82,7 +82,7 @@
     }
 }
 
-const fn why(verdict: &classify::Verdict) -> &'static str {
+const fn class_reason(verdict: &classify::Verdict) -> &'static str {
     match verdict.class {
         class::Class::Read => "proven to read only; may be sent again after a failure",
         class::Class::Write if verdict.needs_connection_state => {
@@ -96,7 +96,7 @@
     }
 }
 
-const fn place(class: class::Class) -> &'static str {
+const fn execution_place(class: class::Class) -> &'static str {
     match class {
         class::Class::Read => "any instance that is fresh enough for the caller",
         class::Class::BeginRead => "one instance that is fresh enough, until the transaction ends",
@@ -105,7 +105,7 @@
     }
 }
 
-fn tables(tables: &[CompactString]) -> String {
+fn table_list(tables: &[CompactString]) -> String {
     if tables.is_empty() {
         "unknown or none".to_owned()
     } else {
@@ -113,8 +113,8 @@
     }
 }
 
-fn age(group: &database::Group, tables: &[CompactString]) -> String {
-    match group.age(tables) {
+fn age_line(group: &database::Group, tables: &[CompactString]) -> String {
+    match group.max_age(tables) {
         Some(limit) => {
             let limit = humantime::format_duration(limit);
             format!(
--- a/src/command/explain/tests.rs
+++ b/src/command/explain/tests.rs
@@ -7,23 +7,23 @@
     [age dome-1 calendar]\ntables = public.Shows, calendar\nlimit = 5s\n\
     [age dome-1 halls]\ntables = halls\nlimit = 1s\n";
 
-fn explained(sql: &str) -> String {
+fn explanation(sql: &str) -> String {
     let catalog = declaration::Declaration::parse(FILE).unwrap().catalog;
     explain::explain(sql, catalog.groups.first()).join("\n")
 }
 
 #[test]
-fn a_read_tells_its_tables_and_the_least_of_their_ages() {
-    let text = explained("SELECT * FROM shows JOIN halls ON true");
+fn a_read_lists_its_tables_and_the_smallest_of_their_age_limits() {
+    let text = explanation("SELECT * FROM shows JOIN halls ON true");
     assert!(text.contains("class: read"), "{text}");
     assert!(text.contains("tables: halls, shows"), "{text}");
     assert!(text.contains("age: may be 1s old"), "{text}");
-    let text = explained("SELECT * FROM shows, seats");
+    let text = explanation("SELECT * FROM shows, seats");
     assert!(text.contains("age: fresh only"), "{text}");
 }
 
 #[test]
-fn each_class_tells_where_it_runs() {
+fn each_class_names_the_place_of_execution() {
     let cases = [
         (
             "UPDATE seats SET taken = true",
@@ -52,7 +52,7 @@
         ),
     ];
     for (sql, class, words) in cases {
-        let text = explained(sql);
+        let text = explanation(sql);
         assert!(text.starts_with(class), "{sql}: {text}");
         assert!(text.contains(words), "{sql}: {text}");
     }
--- a/src/command/status.rs
+++ b/src/command/status.rs
@@ -18,7 +18,7 @@
 use crate::store;
 
 /// Proxies that are asked at once.
-const CONCURRENCY: usize = 64;
+const MAX_CONCURRENT_REQUESTS: usize = 64;
 
 /// A proxy to be asked; the name is unknown for an address given by hand.
 struct Target {
@@ -28,7 +28,7 @@
 
 /// What the platform listed.
 #[derive(Default)]
-struct Listed {
+struct Listing {
     targets: Vec<Target>,
     /// Why the list is missing or not whole. An operator who saw a short list without a
     /// word would take a proxy that still runs for gone.
@@ -43,12 +43,12 @@
         console.error("give --platform, --admin or both")?;
         return Ok(exit::Code::Usage);
     }
-    let Listed { targets, failures } = gather(arguments);
-    let asked = futures_util::stream::iter(targets)
+    let Listing { targets, failures } = gather(arguments);
+    let statuses = futures_util::stream::iter(targets)
         .map(|target| ask(target, arguments.timeout))
-        .buffer_unordered(CONCURRENCY)
+        .buffer_unordered(MAX_CONCURRENT_REQUESTS)
         .collect();
-    let vms = async_io::block_on(asked);
+    let vms = async_io::block_on(statuses);
     for failure in &failures {
         console.error(failure)?;
     }
@@ -58,14 +58,14 @@
         overview.problems.clear();
     }
     show(arguments, &overview, console)?;
-    Ok(code(&overview, !failures.is_empty()))
+    Ok(exit_code(&overview, !failures.is_empty()))
 }
 
-fn code(overview: &overview::Overview, failed: bool) -> exit::Code {
-    let silent = overview.vms.iter().all(|vm| vm.status.is_none());
-    if silent && (failed || !overview.vms.is_empty()) {
+fn exit_code(overview: &overview::Overview, list_failed: bool) -> exit::Code {
+    let unanswered = overview.vms.iter().all(|vm| vm.status.is_none());
+    if unanswered && (list_failed || !overview.vms.is_empty()) {
         exit::Code::Unreachable
-    } else if failed || !overview.problems.is_empty() {
+    } else if list_failed || !overview.problems.is_empty() {
         exit::Code::Degraded
     } else {
         exit::Code::Success
@@ -90,37 +90,37 @@
     Ok(())
 }
 
-fn gather(arguments: &cli::Status) -> Listed {
-    let mut listed = arguments
+fn gather(arguments: &cli::Status) -> Listing {
+    let mut listing = arguments
         .platform
         .map(|address| list(address, arguments.timeout))
         .unwrap_or_default();
     for admin in &arguments.admin {
-        if listed.targets.iter().all(|target| target.admin != *admin) {
+        if listing.targets.iter().all(|target| target.admin != *admin) {
             let (name, admin) = (None, *admin);
-            listed.targets.push(Target { name, admin });
+            listing.targets.push(Target { name, admin });
         }
     }
-    listed
+    listing
 }
 
-fn list(address: net::SocketAddr, timeout: time::Duration) -> Listed {
+fn list(address: net::SocketAddr, timeout: time::Duration) -> Listing {
     let entries = command::with_store(address, timeout, async |store| {
         store.list(enrol::KEY_PREFIX).await
     });
-    let mut listed = Listed::default();
+    let mut listing = Listing::default();
     match entries {
-        Ok(entries) => entries.iter().for_each(|entry| listed.add(entry)),
+        Ok(entries) => entries.iter().for_each(|entry| listing.add(entry)),
         Err(failure) => {
-            let why = command::reason(&failure);
-            let words = format!("platform at {address}: cannot list the proxies: {why}");
-            listed.failures.push(words);
+            let detail = command::failure_detail(&failure);
+            let message = format!("platform at {address}: cannot list the proxies: {detail}");
+            listing.failures.push(message);
         }
     }
-    listed
+    listing
 }
 
-impl Listed {
+impl Listing {
     fn add(&mut self, entry: &store::Entry) {
         match serde_json::from_slice::<enrol::Record>(&entry.value) {
             Ok(record) => self.targets.push(Target {
@@ -128,24 +128,24 @@
                 admin: record.admin,
             }),
             Err(error) => {
-                let words = format!("{}: registration cannot be read: {error}", entry.key);
-                self.failures.push(words);
+                let message = format!("{}: registration cannot be read: {error}", entry.key);
+                self.failures.push(message);
             }
         }
     }
 }
 
 async fn ask(target: Target, timeout: time::Duration) -> overview::Vm {
-    let fetched = admin::fetch(target.admin, timeout).await;
-    let given = target.name;
-    let (name, status, error) = match fetched {
+    let answer = admin::fetch(target.admin, timeout).await;
+    let listed_name = target.name;
+    let (name, status, error) = match answer {
         Ok(status) => (
-            given.unwrap_or_else(|| status.vm.clone()),
+            listed_name.unwrap_or_else(|| status.vm.clone()),
             Some(status),
             None,
         ),
         Err(error) => {
-            let name = given.unwrap_or_else(|| target.admin.to_compact_string());
+            let name = listed_name.unwrap_or_else(|| target.admin.to_compact_string());
             (name, None, Some(format_compact!("{error:#}")))
         }
     };
--- a/src/command/trace.rs
+++ b/src/command/trace.rs
@@ -10,7 +10,7 @@
 use crate::exit;
 
 /// Messages about a group, or about all of them, that explain what befell its requests.
-const CONTEXT: [&str; 10] = [
+const CONTEXT_MESSAGES: [&str; 10] = [
     "primary in doubt",
     "primary found",
     "replacing the primary",
@@ -24,11 +24,11 @@
 ];
 
 /// Fields that say nothing to a reader of one request's lines.
-const DULL: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
+const HIDDEN_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
 
 /// Seconds around a request's lines from which context is taken: longer than a statement's
 /// timeout, so that what made it fail began within it.
-const AROUND: f64 = 3.0;
+const CONTEXT_SECONDS: f64 = 3.0;
 
 pub(super) fn run(
     arguments: &cli::Trace,
@@ -36,10 +36,10 @@
 ) -> eyre::Result<exit::Code> {
     let mut text = String::new();
     for log in &arguments.logs {
-        let shown = log.display();
-        text += &fs::read_to_string(log).wrap_err(format!("cannot read {shown}"))?;
+        let name = log.display();
+        text += &fs::read_to_string(log).wrap_err(format!("cannot read {name}"))?;
     }
-    let lines = path(&text, &arguments.request);
+    let lines = timeline(&text, &arguments.request);
     if lines.is_empty() {
         let request = &arguments.request;
         console.error(&format!("no line of these logs names request {request:?}"))?;
@@ -54,7 +54,7 @@
 /// One line of a log.
 struct Line<'a> {
     node: &'a str,
-    seconds: f64,
+    seconds_of_day: f64,
     time: String,
     message: String,
     fields: serde_json::Map<String, Value>,
@@ -69,37 +69,45 @@
 ///     r#"{"timestamp":"2026-01-01T00:00:01.5Z","message":"primary in doubt","group":"g"}"#, "\n",
 ///     r#"{"timestamp":"2026-01-01T00:00:02.0Z","message":"statement failed","request":"r7","group":"g","code":"Busy"}"#,
 /// );
-/// let path = trace::path(log, "r7");
-/// assert!(path[0].contains("- primary in doubt"));
-/// assert!(path[1].contains("statement failed") && path[1].contains("code=Busy"));
+/// let timeline = trace::timeline(log, "r7");
+/// assert!(timeline[0].contains("- primary in doubt"));
+/// assert!(timeline[1].contains("statement failed") && timeline[1].contains("code=Busy"));
 /// ```
 #[must_use]
-pub fn path(text: &str, request: &str) -> Vec<String> {
+pub fn timeline(text: &str, request: &str) -> Vec<String> {
     let lines: Vec<_> = text.lines().filter_map(Line::parse).collect();
-    let own: Vec<_> = lines
+    let request_lines: Vec<_> = lines
         .iter()
-        .filter(|line| line.names("request", request))
+        .filter(|line| line.has_field("request", request))
         .collect();
-    let groups: Vec<_> = own
+    let groups: Vec<_> = request_lines
         .iter()
         .filter_map(|line| line.fields.get("group"))
         .collect();
-    let first = own
+    let first = request_lines
         .iter()
-        .map(|line| line.seconds)
+        .map(|line| line.seconds_of_day)
         .fold(f64::INFINITY, f64::min);
-    let last = own.iter().map(|line| line.seconds).fold(0.0, f64::max);
-    let near = first - AROUND..=last + AROUND;
-    let explains = |line: &&Line| {
+    let last = request_lines
+        .iter()
+        .map(|line| line.seconds_of_day)
+        .fold(0.0, f64::max);
+    let context_range = first - CONTEXT_SECONDS..=last + CONTEXT_SECONDS;
+    let is_context = |line: &&Line| {
         let group = line.fields.get("group");
-        let concerned = group.is_none_or(|group| groups.contains(&group));
-        CONTEXT.contains(&line.message.as_str()) && concerned && near.contains(&line.seconds)
+        let same_group = group.is_none_or(|group| groups.contains(&group));
+        CONTEXT_MESSAGES.contains(&line.message.as_str())
+            && same_group
+            && context_range.contains(&line.seconds_of_day)
     };
-    let context = lines.iter().filter(explains).map(|line| (line, "- "));
-    let own = own.into_iter().map(|line| (line, ""));
-    let mut all: Vec<_> = own.chain(context).collect();
-    all.sort_by(|(one, _), (other, _)| one.seconds.total_cmp(&other.seconds));
-    all.iter().map(|(line, mark)| line.show(mark)).collect()
+    let context = lines.iter().filter(is_context).map(|line| (line, "- "));
+    let request_lines = request_lines.into_iter().map(|line| (line, ""));
+    let mut entries: Vec<_> = request_lines.chain(context).collect();
+    entries.sort_by(|(one, _), (other, _)| one.seconds_of_day.total_cmp(&other.seconds_of_day));
+    entries
+        .iter()
+        .map(|(line, prefix)| line.show(prefix))
+        .collect()
 }
 
 impl<'a> Line<'a> {
@@ -112,21 +120,21 @@
         let time = fields.get("timestamp")?.as_str()?.to_owned();
         Some(Self {
             node: line[..start].split_whitespace().last().unwrap_or_default(),
-            seconds: seconds(&time)?,
+            seconds_of_day: seconds_of_day(&time)?,
             message: fields.get("message")?.as_str()?.to_owned(),
             time,
             fields,
         })
     }
 
-    fn names(&self, field: &str, value: &str) -> bool {
+    fn has_field(&self, field: &str, value: &str) -> bool {
         self.fields.get(field).and_then(Value::as_str) == Some(value)
     }
 
-    fn show(&self, mark: &str) -> String {
+    fn show(&self, prefix: &str) -> String {
         let fields = self.fields.iter();
-        let told = fields.filter(|(name, _)| !DULL.contains(&name.as_str()));
-        let told: Vec<_> = told
+        let shown = fields.filter(|(name, _)| !HIDDEN_FIELDS.contains(&name.as_str()));
+        let shown: Vec<_> = shown
             .map(|(name, value)| match value {
                 Value::String(text) => format!("{name}={text}"),
                 other => format!("{name}={other}"),
@@ -134,16 +142,16 @@
             .collect();
         let clock = self.time.split('T').nth(1).unwrap_or(&self.time);
         format!(
-            "{clock} {} {mark}{} {}",
+            "{clock} {} {prefix}{} {}",
             self.node,
             self.message,
-            told.join(" ")
+            shown.join(" ")
         )
     }
 }
 
 // Seconds since the day's midnight; a request does not outlive a day.
-fn seconds(time: &str) -> Option<f64> {
+fn seconds_of_day(time: &str) -> Option<f64> {
     let clock = time.split('T').nth(1)?.trim_end_matches('Z');
     let mut parts = clock.split(':');
     let hours: f64 = parts.next()?.parse().ok()?;
--- a/src/database.rs
+++ b/src/database.rs
@@ -39,17 +39,17 @@
     ///     [age g calendar]\ntables = shows\nlimit = 5s\n";
     /// let declaration = mangotray::declaration::Declaration::parse(text).unwrap();
     /// let group = &declaration.catalog.groups[0];
-    /// assert_eq!(group.age(&["shows".into()]), Some(Duration::from_secs(5)));
-    /// assert_eq!(group.age(&["shows".into(), "seats".into()]), None);
-    /// assert_eq!(group.age(&[]), None);
+    /// assert_eq!(group.max_age(&["shows".into()]), Some(Duration::from_secs(5)));
+    /// assert_eq!(group.max_age(&["shows".into(), "seats".into()]), None);
+    /// assert_eq!(group.max_age(&[]), None);
     /// ```
     #[must_use]
-    pub fn age(&self, tables: &[CompactString]) -> Option<time::Duration> {
-        let limits: Option<Vec<_>> = tables.iter().map(|table| self.limit(table)).collect();
+    pub fn max_age(&self, tables: &[CompactString]) -> Option<time::Duration> {
+        let limits: Option<Vec<_>> = tables.iter().map(|table| self.table_limit(table)).collect();
         limits?.into_iter().min()
     }
 
-    fn limit(&self, table: &CompactString) -> Option<time::Duration> {
+    fn table_limit(&self, table: &CompactString) -> Option<time::Duration> {
         let age = self.ages.iter().find(|age| age.tables.contains(table))?;
         Some(age.limit)
     }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -5,7 +5,7 @@
 use mangotray::command::trace;
 
 fn walk(log: &str, request: &str) -> Vec<String> {
-    let path = trace::path(log, request);
+    let path = trace::timeline(log, request);
     assert!(!path.is_empty(), "no line about {request}");
     path
 }
