--- a/src/apply.rs
+++ b/src/apply.rs
@@ -1,10 +1,10 @@
-//! Puts a whole operators' file in force by compare-and-swap.
+//! Replaces the operators' file in the store by compare-and-swap.
 //!
-//! What goes wrong: two operators apply different files at nearly the same moment, or
-//! the answer to an apply is lost after it took effect. One notices by a file that
-//! nobody remembers being replaced. Hence each apply swaps against the version that it
-//! read, the loser is told what is in force instead, and a lost answer is settled by
-//! reading back and matching the apply's own id.
+//! Two failures are guarded against: two operators apply different files at nearly the same
+//! time, so that one replaces the other's file without noticing, and the answer to a swap is
+//! lost after the swap took effect. Each swap therefore expects the version that was read
+//! before it, the operator whose swap conflicts gets the file in force and a diff, and after a
+//! lost answer the file is read back and the id of its apply compared.
 
 use std::time;
 
@@ -13,42 +13,42 @@
 use crate::id;
 use crate::store;
 
-/// Key that holds the file in force.
+/// Store key of the file in force.
 pub const KEY: &str = "config";
 
-/// Greatest length of a stored value in bytes.
+/// Largest value in bytes that the platform stores.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Swaps tried while answers are lost and nothing shows.
+/// Maximum number of swaps that one `put` sends while reading back shows no effect of them.
 const MAX_SWAP_ATTEMPTS: u32 = 4;
 
-/// Pause before the first read-back; doubles with each.
+/// Delay before the first read-back after a lost answer; doubles with each attempt.
 const INITIAL_BACKOFF: time::Duration = time::Duration::from_millis(20);
 
-/// Lines shown around a difference.
+/// Unchanged lines shown before and after each difference.
 const DIFF_CONTEXT_LINES: usize = 3;
 
-/// Number of one apply, drawn by whoever applies; kept when the apply is repeated.
+/// Random id of one apply, chosen by the client and kept when the apply is repeated.
 pub type Id = CompactString;
 
-/// An operators' file as the store holds it.
+/// An operators' file in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct File {
-    /// Grows by one with each file that is put in force.
+    /// Increases by one with each file that is put in force.
     pub revision: id::Revision,
-    /// Apply that put it in force.
+    /// Id of the apply that put it in force.
     pub id: Id,
     /// Operator who applied it.
     pub by: CompactString,
-    /// Whole text.
+    /// Text of the whole file.
     pub text: CompactString,
 }
 
 impl File {
-    /// Reads the stored form.
+    /// Decodes the stored JSON.
     ///
     /// # Errors
-    /// When it is not of this form.
+    /// When `value` is not the JSON of a file.
     ///
     /// ```
     /// let stored = br#"{"revision":1,"id":"a","by":"desk","text":"t"}"#;
@@ -60,57 +60,57 @@
     }
 }
 
-/// Wish to put a file in force.
+/// A request to put a file in force.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Request {
-    /// Drawn anew for each apply (see `new_id`), the same when it is repeated.
+    /// New for each apply (see `new_id`) and kept when the apply is repeated.
     pub id: Id,
     /// Operator who applies.
     pub by: CompactString,
-    /// Whole text, already checked.
+    /// Text of the whole file, already checked.
     pub text: CompactString,
-    /// Revision that the operator started from; any, if not given.
+    /// Revision that the file is based on; `None` accepts any.
     pub base: Option<id::Revision>,
 }
 
-/// What became of an apply.
+/// Result of an apply.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// In force by this apply.
+    /// This apply put the file in force as this revision.
     Applied(id::Revision),
-    /// The same text was in force already; there is no new revision.
+    /// The same text was already in force as this revision; no new one was made.
     Unchanged(id::Revision),
-    /// Another file was put in force first; this one never was.
+    /// Another file was put in force first; this one was never in force.
     Lost(Winner),
-    /// Another file is in force; this one may have been for a while.
+    /// Another file is in force; this one may have been in force before it.
     Superseded(Winner),
-    /// Too long to be stored.
+    /// The stored form is longer than [`MAX_VALUE_BYTES`].
     TooLarge {
         /// Length of the stored form in bytes.
         length: usize,
     },
 }
 
-/// The file that is in force instead.
+/// The file that is in force instead of the applied one.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Winner {
     /// Its revision.
     pub revision: id::Revision,
-    /// Who applied it.
+    /// Operator who applied it.
     pub by: CompactString,
     /// Unified diff from it to the file that was to be applied.
     pub diff: String,
 }
 
-/// What to do next, given what the store holds.
+/// Next step of an apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     Done(Verdict),
     Swap(File),
 }
 
-/// Draws an id for a new apply.
+/// Returns a random id for a new apply.
 ///
 /// ```
 /// assert_ne!(mangotray::apply::new_id(), mangotray::apply::new_id());
@@ -124,20 +124,20 @@
 ///
 /// # Errors
 ///
-/// `NotRun` when the store cannot be read.
+/// `NotRun` when the store cannot be read or its value cannot be decoded.
 pub async fn current(store: &dyn store::Store) -> Result<Option<File>, store::Failure> {
     Ok(load(store).await?.0)
 }
 
-/// Puts a whole file in force, or tells which one is in force instead.
+/// Puts a file in force, or returns the one that is in force instead.
 ///
-/// Repeating an apply is safe: with the same id it is recognised, with the same text
-/// it makes no new revision.
+/// Repeating an apply is safe: the same id is recognised, and the same text makes no new
+/// revision.
 ///
 /// # Errors
 ///
-/// `NotRun` when the file surely was not put in force; `Unknown` when it may be, or may
-/// yet come to be: repeat the apply with the same id to learn which.
+/// `NotRun` when the file was certainly not put in force; `Unknown` when it may be in force or
+/// may still come into force: repeat the apply with the same id to find out.
 pub async fn put(store: &dyn store::Store, request: &Request) -> Result<Verdict, store::Failure> {
     let (in_force, version) = load(store).await?;
     let file = match decide(in_force.as_ref(), request) {
@@ -149,7 +149,7 @@
     if length > MAX_VALUE_BYTES {
         return Ok(Verdict::TooLarge { length });
     }
-    // Repeats expect the same version, so that at most one of them takes effect.
+    // All attempts expect the same version, so at most one of them takes effect.
     let mut unknown_failure = None;
     for attempt in 0..MAX_SWAP_ATTEMPTS {
         match store.swap(KEY, value.clone(), version, None).await {
@@ -172,10 +172,10 @@
         }
     }
     Err(unknown_failure
-        .unwrap_or_else(|| store::Failure::NotRun("the file's version moved".into())))
+        .unwrap_or_else(|| store::Failure::NotRun("the version of the stored file changed".into())))
 }
 
-/// Decides what an apply does, given the file in force.
+/// Decides the next step of an apply from the file in force.
 fn decide(in_force: Option<&File>, request: &Request) -> Step {
     let revision = in_force.map_or(0, |in_force| in_force.revision);
     if let Some(in_force) = in_force {
@@ -199,14 +199,17 @@
     }
 }
 
-/// Reads from the file in force what became of a swap; `None` if it left no trace yet.
+/// Derives the verdict on a swap from the file in force; `None` while the swap shows no effect.
+///
+/// `outcome_unknown` says that the answer to at least one attempt was lost.
 fn swap_verdict(in_force: Option<&File>, file: &File, outcome_unknown: bool) -> Option<Verdict> {
     let in_force = in_force.filter(|in_force| in_force.revision >= file.revision)?;
     if in_force.id == file.id {
         return Some(Verdict::Applied(in_force.revision));
     }
     let winner = || winner(in_force, &file.text);
-    // Two files never have one revision: a rival at ours proves that ours never was.
+    // Two files never share a revision, so another file at the same revision proves that this
+    // one was never in force. A file at a later revision may have replaced it.
     if outcome_unknown && in_force.revision > file.revision {
         return Some(Verdict::Superseded(winner()));
     }
@@ -230,7 +233,7 @@
 }
 
 fn encode(file: &File) -> bytes::Bytes {
-    let value = serde_json::to_vec(file).expect("a file is plain text");
+    let value = serde_json::to_vec(file).expect("a file always serializes to JSON");
     value.into()
 }
 
@@ -251,7 +254,7 @@
         Verdict::Superseded(_) => "superseded",
         Verdict::TooLarge { .. } => "too-large",
     };
-    tracing::info!(id = %request.id, by = %request.by, outcome, "apply settled");
+    tracing::info!(id = %request.id, by = %request.by, outcome, "apply finished");
     verdict
 }
 
--- a/src/apply/tests.rs
+++ b/src/apply/tests.rs
@@ -38,9 +38,8 @@
     assert_eq!(put(&store, "c", "y"), Ok(apply::Verdict::Applied(2)));
 }
 
-// Symptom: an operator's file disappears without a word.
-// Events: two operators read revision 1 and apply different files.
-// Cause: the second write would replace a file that its operator never saw.
+// Two operators read revision 1 and apply different files. Without the version check the second
+// write would replace a file that its operator never saw.
 #[test]
 fn the_later_of_two_racing_applies_gets_the_revision_in_force() {
     let store = fake::Fake::new(&[]);
@@ -74,9 +73,8 @@
     assert_eq!(current(&store).text, "y");
 }
 
-// Symptom: an operator is told of a failure though the file is in force.
-// Events: the swap takes effect and its answer is lost.
-// Cause: only reading back one's own id can tell.
+// The swap takes effect and its answer is lost. Without reading back the apply's id, a failure
+// would be reported although the file is in force.
 #[test]
 fn a_lost_answer_is_settled_by_the_id() {
     let store = fake::Fake::new(&[fake::Fate::Lost]);
@@ -123,9 +121,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    // Symptom: two operators both hear that revision 2 is theirs, or a refused file is in force.
-    // Events: two applies race; answers are lost, swaps land late or never.
-    // Cause: a verdict was given without proof.
+    // Two applies race while answers are lost and swaps take effect late or never. Guards against
+    // two operators both getting `Applied` for the same revision, and against a refused file
+    // that is in force.
     #[test]
     fn verdicts_agree_with_the_store(
         fates in prop::collection::vec(prop_oneof![
--- a/src/bin/mangotrayd.rs
+++ b/src/bin/mangotrayd.rs
@@ -39,8 +39,8 @@
         return Ok(exit::Code::Success);
     }
     telemetry::log(&settings.log)?;
-    // Signals are caught before anybody can know that the process runs: one that came
-    // earlier would kill it in place of draining it, with callers already connected.
+    // The signal handlers are installed before the listeners open: otherwise an early signal
+    // would kill the process instead of draining it, with callers already connected.
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     let proxy = daemon::Daemon::start(&settings, policy::Policy::Default)?;
     writeln!(console.out, "serving callers at {}", proxy.callers())?;
--- a/src/catalog.rs
+++ b/src/catalog.rs
@@ -1,9 +1,9 @@
-//! The operators' file: everything that is declared about the system.
+//! Parsed content of the operators' file.
 
 use crate::database;
 use crate::id;
 
-/// A whole declarative file, parsed and checked.
+/// All declarations of an operators' file, parsed and checked.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Catalog {
--- a/src/change.rs
+++ b/src/change.rs
@@ -1,4 +1,4 @@
-//! One difference between two catalogs, in the operators' terms.
+//! One difference between two catalogs, in the terms of the operators' file.
 
 use std::fmt;
 use std::net;
@@ -8,51 +8,51 @@
 
 use crate::id;
 
-/// A group and what changes about it, or the set of serving VMs.
+/// A change of a group or of the set of serving VMs.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// A group is new.
+    /// A group is added.
     GroupAdded(id::Group),
-    /// A group is no longer served.
+    /// A group is removed and no longer served.
     GroupRemoved(id::Group),
-    /// A group that stays is declared otherwise.
+    /// The declaration of an existing group changes.
     Group(id::Group, Detail),
-    /// The set of VMs that serve traffic changes; empty means all live VMs.
+    /// The set of VMs that serve traffic changes, from before to after; empty means all live VMs.
     Serving(Vec<id::Vm>, Vec<id::Vm>),
 }
 
-/// What changes about a group that stays; pairs are before and after.
+/// A change in the declaration of an existing group; pairs are before and after.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Detail {
-    /// Callers connect by another database name.
+    /// The database name that callers connect to changes.
     Database(CompactString, CompactString),
-    /// An instance is new.
+    /// An instance is added.
     InstanceAdded(CompactString, id::Domain, net::SocketAddr),
-    /// An instance is gone.
+    /// An instance is removed.
     InstanceRemoved(CompactString),
-    /// An instance listens elsewhere.
+    /// The address of an instance changes.
     Address(CompactString, net::SocketAddr, net::SocketAddr),
-    /// An instance runs in another failure domain.
+    /// The failure domain of an instance changes.
     Domain(CompactString, id::Domain, id::Domain),
-    /// An instance starts to leave.
+    /// An instance is marked as leaving.
     Leaving(CompactString),
-    /// An instance that was leaving stays.
+    /// An instance is no longer marked as leaving.
     Returning(CompactString),
-    /// Instances accept another number of connections.
+    /// The number of connections that each instance accepts changes.
     Connections(usize, usize),
-    /// Instances execute another number of statements at once.
+    /// The number of statements that each instance executes at once changes.
     Slots(usize, usize),
-    /// Requests have another default deadline.
+    /// The default deadline of requests changes.
     Deadline(time::Duration, time::Duration),
-    /// Reads of a table accept data of another age; `None` means fresh data only.
+    /// The greatest data age that reads of a table accept changes; `None` means fresh data only.
     Age(
         CompactString,
         Option<time::Duration>,
         Option<time::Duration>,
     ),
-    /// The tables are put together otherwise, so a read across them is treated otherwise.
+    /// The same tables are grouped differently into `[age ...]` sections.
     AgeTables(Vec<Vec<CompactString>>, Vec<Vec<CompactString>>),
 }
 
@@ -95,7 +95,7 @@
             Self::AgeTables(old, new) => {
                 write!(
                     f,
-                    "tables read together {} -> {}",
+                    "tables of the age sections {} -> {}",
                     table_sets_text(old),
                     table_sets_text(new)
                 )
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -12,9 +12,10 @@
 use crate::id;
 
 const DEFAULT_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+/// Column at which help and usage errors are wrapped.
 const MESSAGE_COLUMNS: usize = 100;
 
-/// What an operator asks for.
+/// A command of the operators' client with its arguments.
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 #[bpaf(
     options,
@@ -27,22 +28,22 @@
     )
 )]
 pub enum Command {
-    /// Check a file and print all its mistakes
+    /// Check a file and print all its errors
     #[bpaf(command)]
     Check(#[bpaf(external(check))] Check),
     /// Show what applying a file would change
     #[bpaf(command)]
     Diff(#[bpaf(external(diff))] Diff),
-    /// Put a whole file in force
+    /// Put a file in force
     #[bpaf(command)]
     Apply(#[bpaf(external(apply))] Apply),
     /// Show the state of all proxies and groups
     #[bpaf(command)]
     Status(#[bpaf(external(status))] Status),
-    /// Tell how a statement is treated, and why
+    /// Explain how statements are classified and where they run
     #[bpaf(command)]
     Explain(#[bpaf(external(explain))] Explain),
-    /// Tell from the nodes' logs what became of one request
+    /// Show the log lines of one request, with the events that explain its outcome
     #[bpaf(command)]
     Trace(#[bpaf(external(trace))] Trace),
 }
@@ -58,7 +59,7 @@
 /// Arguments of `mangotray diff`.
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 pub struct Diff {
-    /// Where the platform's service listens.
+    /// Address of the platform's service.
     #[bpaf(external(platform))]
     pub platform: net::SocketAddr,
     /// Longest wait for one call to the platform.
@@ -72,16 +73,16 @@
 /// Arguments of `mangotray apply`.
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 pub struct Apply {
-    /// Where the platform's service listens.
+    /// Address of the platform's service.
     #[bpaf(external(platform))]
     pub platform: net::SocketAddr,
     /// Longest wait for one call to the platform.
     #[bpaf(external(timeout))]
     pub timeout: time::Duration,
-    /// Revision that the file starts from, as told by `diff`; another one in force is a conflict
+    /// Revision that the file is based on, as printed by `diff`; any other in force is a conflict
     #[bpaf(argument("REVISION"), optional)]
     pub base: Option<id::Revision>,
-    /// Who applies, for other operators to read (default $USER)
+    /// Name of the operator, shown to other operators (default $USER)
     #[bpaf(argument("NAME"), optional)]
     pub by: Option<CompactString>,
     /// Operators' file.
@@ -92,10 +93,10 @@
 /// Arguments of `mangotray status`.
 #[derive(Clone, Debug, PartialEq, Eq, Bpaf)]
 pub struct Status {
-    /// Where the platform's service listens; not needed when admin addresses are given.
+    /// Address of the platform's service; not needed when admin addresses are given.
     #[bpaf(external(platform), optional)]
     pub platform: Option<net::SocketAddr>,
-    /// Ask this admin address as well; needs no platform
+    /// Admin address of a proxy to query as well; may be used without --platform
     #[bpaf(argument("IP:PORT"))]
     pub admin: Vec<net::SocketAddr>,
     /// Longest wait for one answer.
@@ -111,10 +112,10 @@
     /// Database name that the caller connects to
     #[bpaf(argument("NAME"))]
     pub database: String,
-    /// Operators' file, to tell about reads that accept data of a stated age
+    /// Operators' file, to show the age of data that reads accept
     #[bpaf(argument("FILE"), optional)]
     pub file: Option<path::PathBuf>,
-    /// Statements as a caller sends them
+    /// Statements, as a caller would send them
     #[bpaf(positional("SQL"))]
     pub sql: String,
 }
@@ -125,7 +126,7 @@
     /// Id that the caller gave to the request
     #[bpaf(positional("REQUEST"))]
     pub request: String,
-    /// Logs of the nodes, one JSON line each; words before the JSON are kept
+    /// Log files with one JSON object a line; the last word before it is shown as the node
     #[bpaf(positional("LOG"))]
     pub logs: Vec<path::PathBuf>,
 }
@@ -144,7 +145,7 @@
 
 fn timeout() -> impl Parser<time::Duration> {
     bpaf::long("timeout")
-        .help("Longest wait for one answer, as in 500ms or 5s (default 5s)")
+        .help("Longest wait for one answer, such as 500ms or 5s (default 5s)")
         .argument::<String>("TIME")
         .parse(|text| humantime::parse_duration(&text))
         .fallback(DEFAULT_TIMEOUT)
@@ -162,10 +163,10 @@
     command()
 }
 
-/// Parses the arguments of the process; help, versions and mistakes are printed.
+/// Parses the arguments of the process; prints help, the version and usage errors.
 ///
 /// # Errors
-/// Code to exit with, when there is nothing to run.
+/// Exit code, when help or the version was printed or the arguments are wrong.
 ///
 /// ```no_run
 /// use mangotray::{cli, exit};
--- a/src/command.rs
+++ b/src/command.rs
@@ -23,13 +23,13 @@
 mod status;
 pub mod trace;
 
-/// An operators' file that was read and found valid.
+/// A valid operators' file.
 struct Source {
     text: String,
     catalog: catalog::Catalog,
 }
 
-/// Runs a command to its exit code; results and mistakes are printed on `console`.
+/// Runs a command and returns its exit code; prints results and errors on `console`.
 ///
 /// # Errors
 /// When a file cannot be read or the output cannot be written.
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs a conversation with the platform's service to its end.
+/// Runs `operation` with a client of the platform's service; `timeout` limits each call.
 fn with_store<T>(
     address: net::SocketAddr,
     timeout: time::Duration,
@@ -64,14 +64,14 @@
     async_io::block_on(executor.run(operation(&client)))
 }
 
-/// Words of a failed call.
+/// Text of a failed call.
 fn failure_detail(failure: &store::Failure) -> &str {
     match failure {
         store::Failure::NotRun(detail) | store::Failure::Unknown(detail) => detail,
     }
 }
 
-/// Reports that the platform's service gave no answer.
+/// Reports that a call to the platform's service failed without any effect.
 fn report_unreachable(
     address: net::SocketAddr,
     failure: &store::Failure,
@@ -84,7 +84,7 @@
     Ok(exit::Code::Unreachable)
 }
 
-/// Catalog of the file in force; empty when there is none or it is of a form unknown here.
+/// Catalog of the file in force; empty when there is none or this version cannot read it.
 fn catalog_in_force(
     file: Option<&crate::apply::File>,
     console: &mut console::Console,
@@ -97,12 +97,12 @@
     }
     let revision = file.revision;
     console.warning(&format!(
-        "revision {revision} cannot be read by this version; all is shown as new"
+        "this version cannot read revision {revision}; everything is shown as new"
     ))?;
     Ok(catalog::Catalog::default())
 }
 
-/// Reads a file; its mistakes are printed and end the command.
+/// Reads and checks a file; prints its errors and returns the exit code when there are any.
 fn read_source(
     file: &path::Path,
     console: &mut console::Console,
--- a/src/command/apply.rs
+++ b/src/command/apply.rs
@@ -13,17 +13,17 @@
 use crate::id;
 use crate::store;
 
-/// Times that an apply of unknown outcome is repeated, always with the same id: the store's
-/// answer may be lost after the file is in force. Without the id, a second try would
-/// look like a rival's file.
+/// Maximum number of repeats of an apply whose outcome is unknown, always with the same id: the
+/// store's answer may be lost after the file came into force, and a repeat with another id would
+/// take that file for another operator's.
 const MAX_REPEATS: usize = 3;
 
-/// Pause before a repeat.
+/// Delay before each repeat.
 const REPEAT_DELAY: time::Duration = time::Duration::from_millis(500);
 
 const UNKNOWN_OPERATOR: &str = "unknown";
 
-/// What became of an apply, and whether its answer was lost on the way.
+/// Verdict on an apply, and whether the outcome of the first attempt was unknown.
 struct Outcome {
     verdict: Result<apply::Verdict, store::Failure>,
     answer_lost: bool,
@@ -54,8 +54,8 @@
     report(arguments, &outcome, console)
 }
 
-/// The revision just read is the base unless the operator names one: a file that another
-/// operator puts in force in between is a conflict, never overwritten unseen.
+/// Builds the request. Its base is the revision just read unless the operator gives one, so
+/// that a file which another operator applies in the meantime is a conflict and is not overwritten.
 fn request(arguments: &cli::Apply, text: &str, base: id::Revision) -> apply::Request {
     let by = arguments.by.clone().unwrap_or_else(current_user);
     apply::Request {
@@ -115,7 +115,7 @@
         Ok(apply::Verdict::TooLarge { length }) => {
             let limit = apply::MAX_VALUE_BYTES;
             console.error(&format!(
-                "{file} takes {length} bytes; the platform holds {limit}"
+                "{file} takes {length} bytes when stored; the platform's limit is {limit} bytes"
             ))?;
             Ok(exit::Code::InvalidFile)
         }
@@ -132,7 +132,7 @@
     let apply::Winner { revision, by, diff } = winner;
     let superseded = matches!(outcome.verdict, Ok(apply::Verdict::Superseded(_)));
     let effect = if superseded || outcome.answer_lost {
-        "this file may have been in force for a moment"
+        "this file may have been in force briefly"
     } else {
         "nothing was changed"
     };
--- a/src/command/apply/tests.rs
+++ b/src/command/apply/tests.rs
@@ -30,9 +30,8 @@
     apply::report(&arguments(), outcome, &mut console).unwrap()
 }
 
-// Symptom: an operator is told that the outcome is unknown, or that a rival has won, though
-// the file is in force. Events: every answer of one round is lost. Cause: no repeat, or
-// one with another id.
+// Every answer to the first attempt is lost. Without a repeat with the same id the operator would
+// get an unknown outcome, or a conflict, although the file is in force.
 #[test]
 fn an_apply_whose_answers_are_lost_is_repeated_with_its_id() {
     let store = fake::Fake::new(&[fake::Fate::Dropped; 4]);
@@ -43,9 +42,9 @@
     assert_eq!(code(&outcome), exit::Code::Success);
 }
 
-// Symptom: a script takes an apply for refused and applies an older file, over one that is
-// in force. Events: the answer to the swap is lost, then the store goes down. Cause: the
-// refusal of the read that follows hides that the swap was sent.
+// The answer to the swap is lost, then the store becomes unavailable. The failed read that follows
+// must not hide that the swap was sent: a script that takes the apply for refused may apply an
+// older file over the one in force.
 #[test]
 fn an_outage_after_a_lost_answer_leaves_the_outcome_unknown() {
     let store = fake::Fake::new(&[fake::Fate::Lost]);
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -38,13 +38,13 @@
     Ok(exit::Code::Success)
 }
 
-/// Words a verdict as `what: ...` lines.
+/// Describes the classification of `sql` in lines of the form `label: text`.
 fn explain(sql: &str, group: Option<&database::Group>) -> Vec<String> {
     match classify::plan(sql) {
         classify::Plan::Empty => vec!["class: none".into(), "why: no statement".into()],
         classify::Plan::Local(_) => vec![
             "class: none".into(),
-            "why: the proxy answers for itself; no upstream is asked".into(),
+            "why: the proxy answers by itself; no upstream is used".into(),
         ],
         classify::Plan::Refuse(error) => vec![
             "class: refused".into(),
@@ -91,7 +91,9 @@
         class::Class::Write => "not proven to read only; never sent twice",
         class::Class::Begin => "opens a transaction that may write",
         class::Class::BeginRead => "opens a transaction declared read-only",
-        class::Class::Commit => "ends a transaction; confirmed once a majority has it",
+        class::Class::Commit => {
+            "ends a transaction; confirmed once a majority of the instances has it"
+        }
         class::Class::Rollback => "ends a transaction without effect",
     }
 }
@@ -118,12 +120,12 @@
         Some(limit) => {
             let limit = humantime::format_duration(limit);
             format!(
-                "age: may be {limit} old, by the declaration of {}",
+                "age: may be {limit} old, as declared for group {}",
                 group.name
             )
         }
         None => format!(
-            "age: fresh only; {} declares no age for all tables",
+            "age: fresh only; group {} does not declare an age for all of these tables",
             group.name
         ),
     }
--- a/src/command/status.rs
+++ b/src/command/status.rs
@@ -17,21 +17,21 @@
 use crate::overview;
 use crate::store;
 
-/// Proxies that are asked at once.
+/// Maximum number of proxies queried at the same time.
 const MAX_CONCURRENT_REQUESTS: usize = 64;
 
-/// A proxy to be asked; the name is unknown for an address given by hand.
+/// A proxy to query; the name is unknown for an address from the command line.
 struct Target {
     name: Option<id::Vm>,
     admin: net::SocketAddr,
 }
 
-/// What the platform listed.
+/// Proxies to query, from the platform and the command line.
 #[derive(Default)]
 struct Listing {
     targets: Vec<Target>,
-    /// Why the list is missing or not whole. An operator who saw a short list without a
-    /// word would take a proxy that still runs for gone.
+    /// Errors due to which the platform's list is missing or incomplete. Without them an operator
+    /// would conclude that a proxy missing from the list has stopped.
     failures: Vec<String>,
 }
 
@@ -40,7 +40,7 @@
     console: &mut console::Console,
 ) -> eyre::Result<exit::Code> {
     if arguments.platform.is_none() && arguments.admin.is_empty() {
-        console.error("give --platform, --admin or both")?;
+        console.error("at least one of --platform and --admin is required")?;
         return Ok(exit::Code::Usage);
     }
     let Listing { targets, failures } = gather(arguments);
@@ -54,7 +54,7 @@
     }
     let mut overview = overview::Overview::new(vms);
     if !failures.is_empty() && overview.vms.is_empty() {
-        // That nobody is registered is not known when the list could not be read.
+        // Without the list it is unknown whether any proxy is registered.
         overview.problems.clear();
     }
     show(arguments, &overview, console)?;
--- a/src/command/trace.rs
+++ b/src/command/trace.rs
@@ -9,7 +9,8 @@
 use crate::console;
 use crate::exit;
 
-/// Messages about a group, or about all of them, that explain what befell its requests.
+/// Log messages about one group or the whole node that explain the outcome of requests; they
+/// must match the messages where they are logged.
 const CONTEXT_MESSAGES: [&str; 10] = [
     "primary in doubt",
     "primary found",
@@ -23,11 +24,11 @@
     "instance is leaving",
 ];
 
-/// Fields that say nothing to a reader of one request's lines.
+/// Fields that are not listed after a line's message.
 const HIDDEN_FIELDS: [&str; 5] = ["timestamp", "level", "message", "target", "request"];
 
-/// Seconds around a request's lines from which context is taken: longer than a statement's
-/// timeout, so that what made it fail began within it.
+/// Seconds before and after a request's lines from which context is taken: longer than a
+/// statement's timeout, so that the cause of a timeout lies within them.
 const CONTEXT_SECONDS: f64 = 3.0;
 
 pub(super) fn run(
@@ -42,7 +43,9 @@
     let lines = timeline(&text, &arguments.request);
     if lines.is_empty() {
         let request = &arguments.request;
-        console.error(&format!("no line of these logs names request {request:?}"))?;
+        console.error(&format!(
+            "no line of these logs has the request {request:?}"
+        ))?;
         return Ok(exit::Code::GeneralError);
     }
     for line in lines {
@@ -60,8 +63,8 @@
     fields: serde_json::Map<String, Value>,
 }
 
-/// The lines about a request in the order of time, with what happened to its group and to
-/// the store around them, marked with a dash.
+/// Returns the lines about a request in order of time, together with events of its group and of
+/// the store around them, which are marked with a dash.
 ///
 /// ```
 /// use mangotray::command::trace;
@@ -150,7 +153,7 @@
     }
 }
 
-// Seconds since the day's midnight; a request does not outlive a day.
+/// Seconds since midnight. The date is ignored, as a request takes far less than a day.
 fn seconds_of_day(time: &str) -> Option<f64> {
     let clock = time.split('T').nth(1)?.trim_end_matches('Z');
     let mut parts = clock.split(':');
--- a/src/database.rs
+++ b/src/database.rs
@@ -16,7 +16,7 @@
     pub database: CompactString,
     /// The group's instances.
     pub instances: Vec<Instance>,
-    /// Connections that one instance accepts in all.
+    /// Connections that one instance accepts in total.
     pub connections: usize,
     /// Statements that one instance executes at once.
     pub slots: usize,
@@ -28,8 +28,9 @@
 }
 
 impl Group {
-    /// Greatest age of data that a read of these tables accepts: the least of the tables'
-    /// limits. `None` when a table has no limit, or when the tables are not known.
+    /// Greatest age of data that a read of these tables accepts: the smallest of the tables'
+    /// limits. `None`, meaning fresh data only, when a table has no limit or when `tables` is
+    /// empty because they are unknown.
     ///
     /// ```
     /// use std::time::Duration;
@@ -60,7 +61,7 @@
 pub struct Instance {
     /// Name, unique in the group.
     pub name: CompactString,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: net::SocketAddr,
     /// Failure domain that it runs in.
     pub domain: id::Domain,
@@ -68,11 +69,11 @@
     pub leaving: bool,
 }
 
-/// Permission for reads of some tables to see data of a stated age.
+/// Declares that reads of some tables accept data up to a stated age.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Age {
-    /// Tables it covers, in lower case and without the schema `public`; a read is
-    /// covered when all its tables are, be it by several permissions.
+    /// Tables, in lower case and without the schema `public`. A read accepts old data when each
+    /// of its tables is declared, even if by different declarations.
     pub tables: Vec<CompactString>,
     /// Greatest age of the data.
     #[serde(with = "humantime_serde")]
