--- a/src/declaration.rs
+++ b/src/declaration.rs
@@ -33,7 +33,7 @@
 use crate::value;
 
 /// Instances of a group: a majority of two must outlive the loss of any one.
-pub const INSTANCES: usize = 3;
+pub const INSTANCES_PER_GROUP: usize = 3;
 
 const GROUP_KEYS: [&str; 6] = [
     "database",
@@ -47,11 +47,11 @@
 const SERVING_KEYS: [&str; 1] = ["vms"];
 const DEFAULT_SCHEMA: &str = "public.";
 const ALL_VMS: &str = "*";
-const LEAST_DEADLINE: time::Duration = time::Duration::from_millis(10);
-const MOST_DEADLINE: time::Duration = time::Duration::from_mins(10);
-const LEAST_AGE: time::Duration = time::Duration::from_millis(1);
-const MOST_AGE: time::Duration = time::Duration::from_hours(24);
-const MOST_CONNECTIONS: usize = 10_000;
+const MIN_DEADLINE: time::Duration = time::Duration::from_millis(10);
+const MAX_DEADLINE: time::Duration = time::Duration::from_mins(10);
+const MIN_AGE: time::Duration = time::Duration::from_millis(1);
+const MAX_AGE: time::Duration = time::Duration::from_hours(24);
+const MAX_CONNECTIONS: usize = 10_000;
 
 /// A checked file.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -94,32 +94,32 @@
             faults.sort_by_key(|fault| fault.line);
             return Err(faults);
         }
-        let warnings = sources.iter().filter_map(check::domains).collect();
+        let warnings = sources.iter().filter_map(check::domain_warning).collect();
         Ok(Self {
-            catalog: sorted(sources, vms),
+            catalog: sorted_catalog(sources, vms),
             warnings,
         })
     }
 }
 
-fn sorted(sources: Vec<Source<'_>>, vms: Vec<CompactString>) -> catalog::Catalog {
+fn sorted_catalog(sources: Vec<Source<'_>>, vms: Vec<CompactString>) -> catalog::Catalog {
     let mut groups: Vec<_> = sources.into_iter().map(|source| source.group).collect();
     groups.sort_by(|a, b| a.name.cmp(&b.name));
     catalog::Catalog { groups, vms }
 }
 
 fn check_sections(document: &document::Document, faults: &mut Vec<fault::Fault>) {
-    let known = |title: &str| {
+    let is_known = |title: &str| {
         let words: Vec<_> = title.split(' ').collect();
         matches!(words[..], ["group", _] | ["age", _, _] | ["serving"])
     };
-    let unknown = document.sections.iter().filter(|s| !known(&s.title));
+    let unknown = document.sections.iter().filter(|s| !is_known(&s.title));
     let reason = "unknown section; known are: [group NAME], [age GROUP NAME], [serving]";
     faults.extend(
         unknown.map(|s| fault::Fault::new(s.line, format_compact!("[{}]", s.title), reason)),
     );
-    let declared = |s: &section::Section| s.title.split(' ').next() == Some("group");
-    if !document.sections.iter().any(declared) {
+    let is_group = |s: &section::Section| s.title.split(' ').next() == Some("group");
+    if !document.sections.iter().any(is_group) {
         faults.push(fault::Fault::new(
             Some(1),
             "",
@@ -145,14 +145,14 @@
     name: &str,
     faults: &mut Vec<fault::Fault>,
 ) -> Option<database::Group> {
-    section.known(&GROUP_KEYS, faults);
-    let name = title(section, name, faults);
+    section.check_keys(&GROUP_KEYS, faults);
+    let name = section_name(section, name, faults);
     let database = section.required("database", value::name, faults);
     let instances = section.required("instances", instances, faults);
     let leaving = section.optional("leaving", value::list(value::name), faults);
     let connections = section.required("connections", value::count, faults);
     let slots = section.required("slots", value::count, faults);
-    let bounds = value::within(LEAST_DEADLINE, MOST_DEADLINE);
+    let bounds = value::within(MIN_DEADLINE, MAX_DEADLINE);
     let deadline = section.required("deadline", bounds, faults);
     let mut group = database::Group {
         name: name?,
@@ -163,12 +163,12 @@
         deadline: deadline?,
         ages: Vec::new(),
     };
-    leave(section, &mut group, &leaving.unwrap_or_default(), faults);
+    mark_leaving(section, &mut group, &leaving.unwrap_or_default(), faults);
     check::group(section, &group, faults);
     Some(group)
 }
 
-fn title(
+fn section_name(
     section: &section::Section,
     name: &str,
     faults: &mut Vec<fault::Fault>,
@@ -183,10 +183,10 @@
 
 fn instances(text: &str) -> value::Result<Vec<database::Instance>> {
     let mut instances = value::list(instance)(text)?;
-    if instances.len() != INSTANCES {
+    if instances.len() != INSTANCES_PER_GROUP {
         return Err(format_compact!(
-            "{} instances; a group has exactly {INSTANCES}, as writes are confirmed and promotions \
-             decided by a majority of 2 that must outlive the loss of any one",
+            "{} instances; a group has exactly {INSTANCES_PER_GROUP}, as writes are confirmed and \
+             promotions decided by a majority of 2 that must outlive the loss of any one",
             instances.len()
         ));
     }
@@ -211,7 +211,7 @@
     })
 }
 
-fn leave(
+fn mark_leaving(
     section: &section::Section,
     group: &mut database::Group,
     names: &[CompactString],
@@ -235,10 +235,10 @@
         let ["age", group, label] = words[..] else {
             continue;
         };
-        title(section, label, faults);
+        section_name(section, label, faults);
         let age = age(section, faults);
-        let declared = format_compact!("group {group}");
-        if !document.sections.iter().any(|s| s.title == declared) {
+        let group_title = format_compact!("group {group}");
+        if !document.sections.iter().any(|s| s.title == group_title) {
             let key = format_compact!("[{}]", section.title);
             let reason = format!("no [group {group}] in this file");
             faults.push(fault::Fault::new(section.line, key, reason));
@@ -255,9 +255,9 @@
 }
 
 fn age(section: &section::Section, faults: &mut Vec<fault::Fault>) -> Option<database::Age> {
-    section.known(&AGE_KEYS, faults);
+    section.check_keys(&AGE_KEYS, faults);
     let tables = section.required("tables", value::list(table), faults);
-    let limit = section.required("limit", value::within(LEAST_AGE, MOST_AGE), faults);
+    let limit = section.required("limit", value::within(MIN_AGE, MAX_AGE), faults);
     let mut age = database::Age {
         tables: tables?,
         limit: limit?,
@@ -277,10 +277,10 @@
     let Some(section) = document.sections.iter().find(|s| s.title == "serving") else {
         return Vec::new();
     };
-    section.known(&SERVING_KEYS, faults);
+    section.check_keys(&SERVING_KEYS, faults);
     let mut vms = section.required("vms", vms, faults).unwrap_or_default();
     vms.sort();
-    if let Some(name) = check::repeated(vms.iter()) {
+    if let Some(name) = check::first_duplicate(vms.iter()) {
         faults.push(section.fault("vms", format!("{name:?} stands twice")));
     }
     vms
--- a/src/declaration/check.rs
+++ b/src/declaration/check.rs
@@ -13,8 +13,8 @@
     group: &database::Group,
     faults: &mut Vec<fault::Fault>,
 ) {
-    if group.connections > declaration::MOST_CONNECTIONS {
-        let reason = format!("more than {}", declaration::MOST_CONNECTIONS);
+    if group.connections > declaration::MAX_CONNECTIONS {
+        let reason = format!("more than {}", declaration::MAX_CONNECTIONS);
         faults.push(section.fault("connections", reason));
     }
     if group.slots > group.connections {
@@ -24,7 +24,7 @@
         );
         faults.push(section.fault("slots", reason));
     }
-    if let Some(name) = repeated(group.instances.iter().map(|i| &i.name)) {
+    if let Some(name) = first_duplicate(group.instances.iter().map(|i| &i.name)) {
         let reason = format!("two instances are named {name:?}");
         faults.push(section.fault("instances", reason));
     }
@@ -37,8 +37,8 @@
     group: &database::Group,
     faults: &mut Vec<fault::Fault>,
 ) {
-    let earlier = group.ages.iter().flat_map(|age| &age.tables);
-    if let Some(table) = repeated(earlier.chain(&age.tables)) {
+    let declared = group.ages.iter().flat_map(|age| &age.tables);
+    if let Some(table) = first_duplicate(declared.chain(&age.tables)) {
         let reason = format!("table {table:?} of {} is listed twice", group.name);
         faults.push(section.fault("tables", reason));
     }
@@ -66,16 +66,18 @@
 }
 
 /// Warns when the loss of one failure domain takes a group's majority.
-pub(super) fn domains(source: &declaration::Source<'_>) -> Option<fault::Fault> {
+pub(super) fn domain_warning(source: &declaration::Source<'_>) -> Option<fault::Fault> {
     let domains = source.group.instances.iter().map(|i| &i.domain);
-    let domain = repeated(domains)?;
+    let domain = first_duplicate(domains)?;
     let reason =
         format!("two or more instances run in {domain:?}; losing it ends writes until one is back");
     Some(source.section.fault("instances", reason))
 }
 
 /// First item that stands twice.
-pub(super) fn repeated<T: Eq + std::hash::Hash>(items: impl Iterator<Item = T>) -> Option<T> {
+pub(super) fn first_duplicate<T: Eq + std::hash::Hash>(
+    items: impl Iterator<Item = T>,
+) -> Option<T> {
     let mut seen = collections::HashSet::new();
     let mut items = items;
     items.find_map(|item| {
--- a/src/declaration/compare.rs
+++ b/src/declaration/compare.rs
@@ -27,13 +27,13 @@
     };
     let removed = old.groups.iter().filter(|g| find(new, &g.name).is_none());
     let removed = removed.map(|g| change::Change::GroupRemoved(g.name.clone()));
-    let kept = new.groups.iter().flat_map(|g| match find(old, &g.name) {
+    let added_or_changed = new.groups.iter().flat_map(|g| match find(old, &g.name) {
         None => vec![change::Change::GroupAdded(g.name.clone())],
         Some(before) => group(&before, g),
     });
     let serving =
         (old.vms != new.vms).then(|| change::Change::Serving(old.vms.clone(), new.vms.clone()));
-    removed.chain(kept).chain(serving).collect()
+    removed.chain(added_or_changed).chain(serving).collect()
 }
 
 fn group(old: &database::Group, new: &database::Group) -> Vec<change::Change> {
@@ -54,8 +54,8 @@
         details.push(Detail::Deadline(old.deadline, new.deadline));
     }
     details.extend(ages(&old.ages, &new.ages));
-    let named = |detail| change::Change::Group(new.name.clone(), detail);
-    details.into_iter().map(named).collect()
+    let group_change = |detail| change::Change::Group(new.name.clone(), detail);
+    details.into_iter().map(group_change).collect()
 }
 
 fn instances(old: &database::Group, new: &database::Group) -> Vec<change::Detail> {
@@ -67,14 +67,14 @@
         .iter()
         .filter(|i| find(new, &i.name).is_none());
     let removed = removed.map(|i| change::Detail::InstanceRemoved(i.name.clone()));
-    let kept = new.instances.iter().flat_map(|i| match find(old, &i.name) {
-        None => added(i),
+    let added_or_changed = new.instances.iter().flat_map(|i| match find(old, &i.name) {
+        None => instance_added(i),
         Some(before) => instance(&before, i),
     });
-    removed.chain(kept).collect()
+    removed.chain(added_or_changed).collect()
 }
 
-fn added(new: &database::Instance) -> Vec<change::Detail> {
+fn instance_added(new: &database::Instance) -> Vec<change::Detail> {
     let name = || new.name.clone();
     let added = change::Detail::InstanceAdded(name(), new.domain.clone(), new.address);
     let leaving = new.leaving.then(|| change::Detail::Leaving(name()));
@@ -107,10 +107,10 @@
         let pair = (before.get(table).copied(), after.get(table).copied());
         (pair.0 != pair.1).then(|| change::Detail::Age(table.clone(), pair.0, pair.1))
     });
-    let sets =
+    let table_sets =
         |ages: &[database::Age]| -> Vec<_> { ages.iter().map(|a| a.tables.clone()).collect() };
-    let regrouped = before.keys().eq(after.keys()) && sets(old) != sets(new);
-    let regrouped = regrouped.then(|| change::Detail::AgeTables(sets(old), sets(new)));
+    let regrouped = before.keys().eq(after.keys()) && table_sets(old) != table_sets(new);
+    let regrouped = regrouped.then(|| change::Detail::AgeTables(table_sets(old), table_sets(new)));
     limits.chain(regrouped).collect()
 }
 
--- a/src/declaration/print.rs
+++ b/src/declaration/print.rs
@@ -57,6 +57,6 @@
     format!("{}@{}:{}", instance.name, instance.domain, instance.address)
 }
 
-fn line(text: &mut String, words: std::fmt::Arguments<'_>) {
-    writeln!(text, "{words}").expect("a string takes all that is written");
+fn line(text: &mut String, content: std::fmt::Arguments<'_>) {
+    writeln!(text, "{content}").expect("a string takes all that is written");
 }
--- a/src/declaration/tests.rs
+++ b/src/declaration/tests.rs
@@ -8,7 +8,7 @@
 use crate::database;
 use crate::declaration;
 
-const GOOD: &str = "[group dome-1]\ndatabase = dome\n\
+const VALID_FILE: &str = "[group dome-1]\ndatabase = dome\n\
     instances = a@patan:127.0.0.1:1, b@kirtipur:127.0.0.1:2, c@bhaktapur:127.0.0.1:3\n\
     connections = 20\nslots = 3\ndeadline = 2s\nleaving = b\n\
     [age dome-1 calendar]\ntables = shows, calendar\nlimit = 5s\n[serving]\nvms = v2, v1\n";
@@ -23,13 +23,13 @@
 }
 
 fn changes(from: &str, to: &str) -> Vec<String> {
-    let changes = declaration::diff(&parse(GOOD), &parse(&GOOD.replace(from, to)));
+    let changes = declaration::diff(&parse(VALID_FILE), &parse(&VALID_FILE.replace(from, to)));
     changes.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn a_good_file_gives_its_catalog() {
-    let catalog = parse(GOOD);
+fn a_valid_file_gives_its_catalog() {
+    let catalog = parse(VALID_FILE);
     let group = &catalog.groups[0];
     assert_eq!(group.database, "dome");
     assert_eq!((group.connections, group.slots), (20, 3));
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn names_addresses_and_databases_stand_for_one_thing_each() {
-    let second = GOOD
+fn names_addresses_and_databases_must_be_unique() {
+    let second = VALID_FILE
         .split("[age")
         .next()
         .unwrap()
         .replace("[group dome-1]", "[group dome-2]");
-    let found = faults(&format!("{GOOD}{second}"));
+    let found = faults(&format!("{VALID_FILE}{second}"));
     assert_eq!(
         found
             .iter()
@@ -90,32 +90,32 @@
             .count(),
         3
     );
-    let found = faults(&GOOD.replace("b@kirtipur", "a@kirtipur"));
+    let found = faults(&VALID_FILE.replace("b@kirtipur", "a@kirtipur"));
     assert!(
         found
             .iter()
             .any(|f| f.contains("two instances are named \"a\""))
     );
     let found = faults(&format!(
-        "{GOOD}[age dome-1 other]\ntables = shows\nlimit = 1s\n"
+        "{VALID_FILE}[age dome-1 other]\ntables = shows\nlimit = 1s\n"
     ));
     assert!(found[0].contains("table \"shows\" of dome-1 is listed twice"));
 }
 
 #[test]
-fn numbers_that_cannot_be_meant_are_refused() {
-    let found = faults(&GOOD.replace("slots = 3", "slots = 21"));
+fn inconsistent_or_excessive_numbers_are_refused() {
+    let found = faults(&VALID_FILE.replace("slots = 3", "slots = 21"));
     assert!(
         found[0].contains("21 slots cannot be used over 20 connections"),
         "{found:?}"
     );
-    let found = faults(&GOOD.replace("connections = 20", "connections = 10001"));
+    let found = faults(&VALID_FILE.replace("connections = 20", "connections = 10001"));
     assert!(found[0].contains("more than 10000"), "{found:?}");
 }
 
 #[test]
 fn tables_are_named_as_statements_name_them() {
-    let text = GOOD.replace("shows, calendar", "public.Shows, archive.shows");
+    let text = VALID_FILE.replace("shows, calendar", "public.Shows, archive.shows");
     assert_eq!(
         parse(&text).groups[0].ages[0].tables,
         ["archive.shows", "shows"]
@@ -124,17 +124,22 @@
 
 #[test]
 fn two_instances_may_not_leave_together() {
-    let found = faults(&GOOD.replace("leaving = b", "leaving = b, c"));
+    let found = faults(&VALID_FILE.replace("leaving = b", "leaving = b, c"));
     assert!(found[0].contains("only one instance may leave"));
 }
 
 #[test]
-fn instances_in_one_failure_domain_are_warned_of() {
-    let text = GOOD.replace("kirtipur", "patan");
+fn instances_in_one_failure_domain_give_a_warning() {
+    let text = VALID_FILE.replace("kirtipur", "patan");
     let warnings = declaration::Declaration::parse(&text).unwrap().warnings;
     assert_eq!(warnings[0].line, Some(3));
     assert!(warnings[0].reason.contains("\"patan\""));
-    assert_eq!(declaration::Declaration::parse(GOOD).unwrap().warnings, []);
+    assert_eq!(
+        declaration::Declaration::parse(VALID_FILE)
+            .unwrap()
+            .warnings,
+        []
+    );
 }
 
 #[test]
@@ -143,7 +148,7 @@
 }
 
 #[test]
-fn a_difference_is_told_in_the_terms_of_the_file() {
+fn a_difference_is_described_in_the_terms_of_the_file() {
     assert_eq!(
         changes("slots = 3", "slots = 4"),
         ["~ group dome-1: slots 3 -> 4"]
@@ -172,32 +177,36 @@
 }
 
 #[test]
-fn the_order_of_a_file_says_nothing() {
-    let second = GOOD.split("[age").next().unwrap();
+fn the_order_of_a_file_does_not_matter() {
+    let second = VALID_FILE.split("[age").next().unwrap();
     let second = second.replace("dome", "hall").replace("0.1:", "0.2:");
-    let (before, after) = (format!("{second}{GOOD}"), format!("{GOOD}{second}"));
+    let (before, after) = (
+        format!("{second}{VALID_FILE}"),
+        format!("{VALID_FILE}{second}"),
+    );
     assert_eq!(parse(&before), parse(&after));
-    let text = GOOD
+    let text = VALID_FILE
         .replace("shows, calendar", "calendar, shows")
         .replace("v2, v1", "v1, v2");
-    assert_eq!(declaration::diff(&parse(GOOD), &parse(&text)), []);
-    assert_eq!(parse(GOOD), parse(&text));
+    assert_eq!(declaration::diff(&parse(VALID_FILE), &parse(&text)), []);
+    assert_eq!(parse(VALID_FILE), parse(&text));
 }
 
 #[test]
 fn a_serving_change_is_one_change() {
-    let mut new = parse(GOOD);
+    let mut new = parse(VALID_FILE);
     new.vms.pop();
     assert_matches!(
-        &declaration::diff(&parse(GOOD), &new)[..],
+        &declaration::diff(&parse(VALID_FILE), &new)[..],
         [change::Change::Serving(_, after)] if after.len() == 1
     );
 }
 
-fn group(number: u16) -> impl Strategy<Value = database::Group> {
+fn any_group(number: u16) -> impl Strategy<Value = database::Group> {
     let ages = proptest::collection::vec((1..4_usize, 1..86_400_000_u64), 0..3);
-    let leaving = proptest::option::of(0..declaration::INSTANCES);
-    let domains = proptest::collection::vec("[a-z][a-z0-9-]{0,8}", declaration::INSTANCES);
+    let leaving = proptest::option::of(0..declaration::INSTANCES_PER_GROUP);
+    let domains =
+        proptest::collection::vec("[a-z][a-z0-9-]{0,8}", declaration::INSTANCES_PER_GROUP);
     (
         1..50_usize,
         0..50_usize,
@@ -207,7 +216,7 @@
         ages,
     )
         .prop_map(
-            move |(slots, more, deadline, leaving, domains, ages)| database::Group {
+            move |(slots, extra_connections, deadline, leaving, domains, ages)| database::Group {
                 name: format!("g-{number}").into(),
                 database: format!("d.{number}").into(),
                 instances: domains
@@ -224,7 +233,7 @@
                         leaving: leaving == Some(index),
                     })
                     .collect(),
-                connections: slots + more,
+                connections: slots + extra_connections,
                 slots,
                 deadline: time::Duration::from_millis(deadline),
                 ages: ages
@@ -243,7 +252,7 @@
 
 fn any_catalog() -> impl Strategy<Value = catalog::Catalog> {
     let vms = proptest::collection::btree_set("[a-z][a-z0-9._-]{0,8}", 0..4);
-    let groups = (1..5_u16).prop_flat_map(|count| (0..count).map(group).collect::<Vec<_>>());
+    let groups = (1..5_u16).prop_flat_map(|count| (0..count).map(any_group).collect::<Vec<_>>());
     (groups, vms).prop_map(|(groups, vms)| catalog::Catalog {
         groups,
         vms: vms.into_iter().map(Into::into).collect(),
@@ -251,7 +260,7 @@
 }
 
 proptest! {
-    #![proptest_config(seeded())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
     fn a_rendered_catalog_reads_back_as_itself(catalog in any_catalog()) {
@@ -259,7 +268,7 @@
     }
 
     #[test]
-    fn a_difference_is_empty_just_for_equal_catalogs(old in any_catalog(), new in any_catalog()) {
+    fn a_difference_is_empty_only_for_equal_catalogs(old in any_catalog(), new in any_catalog()) {
         prop_assert_eq!(declaration::diff(&old, &new).is_empty(), old == new);
         prop_assert!(declaration::diff(&old, &old).is_empty());
     }
@@ -272,7 +281,7 @@
     }
 
     #[test]
-    fn any_text_is_parsed_or_refused_without_panic(lines in proptest::collection::vec(line(), 0..30)) {
+    fn any_text_is_parsed_or_refused_without_panic(lines in proptest::collection::vec(any_line(), 0..30)) {
         let outcome = declaration::Declaration::parse(&lines.join("\n"));
         prop_assert!(outcome.map_or_else(|faults| !faults.is_empty(), |d| !d.catalog.groups.is_empty()));
     }
@@ -307,7 +316,7 @@
     ages.splice(0..0, tables.into_iter().map(single));
 }
 
-fn line() -> impl Strategy<Value = String> {
+fn any_line() -> impl Strategy<Value = String> {
     prop_oneof![
         "\\PC{0,20}",
         "\\[(group|age|serving)( [ab]){0,3}\\]?",
@@ -317,7 +326,7 @@
     ]
 }
 
-fn seeded() -> ProptestConfig {
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: proptest::test_runner::RngSeed::Fixed(1),
         failure_persistence: None,
--- a/src/document.rs
+++ b/src/document.rs
@@ -17,11 +17,11 @@
     pub faults: Vec<fault::Fault>,
 }
 
-enum Item {
-    Nothing,
+enum Line {
+    Blank,
     Title(CompactString),
     Entry(CompactString, CompactString),
-    Junk,
+    Invalid,
 }
 
 impl Document {
@@ -37,7 +37,7 @@
         let mut document = Self::default();
         text.lines()
             .enumerate()
-            .for_each(|(index, line)| document.line(index + 1, line));
+            .for_each(|(index, line)| document.add_line(index + 1, line));
         document
     }
 
@@ -45,10 +45,10 @@
     ///
     /// ```
     /// let mut document = mangotray::document::Document::parse("[vm]\nname = a\n");
-    /// document.put("vm", "name", "b");
+    /// document.override_value("vm", "name", "b");
     /// assert_eq!(document.sections[0].entries[0].value, "b");
     /// ```
-    pub fn put(&mut self, title: &str, key: &str, value: &str) {
+    pub fn override_value(&mut self, title: &str, key: &str, value: &str) {
         let entry = section::Entry::new(key, value, None);
         match self.sections.iter_mut().find(|s| s.title == title) {
             Some(section) => section.replace(entry),
@@ -60,12 +60,12 @@
         }
     }
 
-    fn line(&mut self, number: usize, text: &str) {
-        match item(text.trim()) {
-            Item::Nothing => {}
-            Item::Title(title) => self.title(number, &title),
-            Item::Entry(key, value) => self.entry(number, &key, &value),
-            Item::Junk => self.fault(
+    fn add_line(&mut self, number: usize, text: &str) {
+        match parse_line(text.trim()) {
+            Line::Blank => {}
+            Line::Title(title) => self.add_section(number, &title),
+            Line::Entry(key, value) => self.add_entry(number, &key, &value),
+            Line::Invalid => self.add_fault(
                 number,
                 "",
                 "neither a [section], a `key = value` nor a comment",
@@ -73,12 +73,12 @@
         }
     }
 
-    fn title(&mut self, number: usize, title: &str) {
+    fn add_section(&mut self, number: usize, title: &str) {
         let title = title.split_whitespace().collect::<Vec<_>>().join(" ");
         let earlier = self.sections.iter().find(|s| s.title == title);
         if let Some(line) = earlier.and_then(|s| s.line) {
             let reason = format!("section stands twice, first on line {line}");
-            self.fault(number, &format!("[{title}]"), &reason);
+            self.add_fault(number, &format!("[{title}]"), &reason);
         }
         self.sections.push(section::Section {
             title: title.into(),
@@ -87,16 +87,16 @@
         });
     }
 
-    fn entry(&mut self, number: usize, key: &str, value: &str) {
+    fn add_entry(&mut self, number: usize, key: &str, value: &str) {
         let Some(section) = self.sections.last_mut() else {
-            self.fault(number, key, "stands before the first [section]");
+            self.add_fault(number, key, "stands before the first [section]");
             return;
         };
         let label = section.label(key);
         let earlier = section.entries.iter().find(|e| e.key == key);
         if let Some(line) = earlier.and_then(|e| e.line) {
             let reason = format!("key stands twice, first on line {line}");
-            self.fault(number, &label, &reason);
+            self.add_fault(number, &label, &reason);
             return;
         }
         section
@@ -104,33 +104,33 @@
             .push(section::Entry::new(key, value, Some(number)));
     }
 
-    fn fault(&mut self, number: usize, key: &str, reason: &str) {
+    fn add_fault(&mut self, number: usize, key: &str, reason: &str) {
         self.faults
             .push(fault::Fault::new(Some(number), key, reason));
     }
 }
 
-fn item(line: &str) -> Item {
+fn parse_line(line: &str) -> Line {
     if line.is_empty() || line.starts_with(['#', ';']) {
-        return Item::Nothing;
+        return Line::Blank;
     }
     if line.starts_with('[') && !line.ends_with(']') {
-        return Item::Junk;
+        return Line::Invalid;
     }
     let Ok(ini) = ini::Ini::load_from_str_noescape(line) else {
-        return Item::Junk;
+        return Line::Invalid;
     };
-    let mut found = ini.iter().filter_map(|(title, entries)| match title {
-        Some(title) if entries.is_empty() => Some(Item::Title(title.into())),
+    let mut items = ini.iter().filter_map(|(title, entries)| match title {
+        Some(title) if entries.is_empty() => Some(Line::Title(title.into())),
         None => entries
             .iter()
             .next()
-            .map(|(key, value)| Item::Entry(key.into(), value.into())),
+            .map(|(key, value)| Line::Entry(key.into(), value.into())),
         Some(_) => None,
     });
-    match (found.next(), found.next()) {
+    match (items.next(), items.next()) {
         (Some(item), None) => item,
-        _ => Item::Junk,
+        _ => Line::Invalid,
     }
 }
 
--- a/src/document/tests.rs
+++ b/src/document/tests.rs
@@ -19,7 +19,7 @@
 }
 
 proptest! {
-    #![proptest_config(seeded())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
     fn any_text_is_read_without_panic(text in "\\PC*|([\\[\\]=:#;\"'\\\\a \n\r\t]){0,60}") {
@@ -29,7 +29,7 @@
     }
 }
 
-fn seeded() -> ProptestConfig {
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: proptest::test_runner::RngSeed::Fixed(1),
         failure_persistence: None,
--- a/src/overview.rs
+++ b/src/overview.rs
@@ -164,28 +164,28 @@
     }
     let statuses = || vms.iter().filter_map(|vm| vm.status.as_ref());
     let newest = statuses().map(|s| s.revision).max().unwrap_or_default();
-    let silent = vms.iter().filter_map(|vm| {
+    let unanswered = vms.iter().filter_map(|vm| {
         let error = vm.error.as_ref()?;
         Some(format_compact!("{}: no status: {error}", vm.name))
     });
-    let behind = statuses()
+    let outdated = statuses()
         .filter(|s| s.revision < newest)
         .map(|s| format_compact!("{}: still at revision {}, not {newest}", s.vm, s.revision));
     let unconfigured = (newest == 0 && statuses().next().is_some())
         .then(|| "no configuration is in force; apply a file".into());
-    silent
-        .chain(behind)
+    unanswered
+        .chain(outdated)
         .chain(unconfigured)
         .chain(groups.iter().flat_map(group_problems))
         .collect()
 }
 
 fn group_problems(group: &Group) -> Vec<CompactString> {
-    let headless = group
+    let without_primary = group
         .primary
         .is_none()
         .then(|| format_compact!("{}: no primary is known; writes are refused", group.name));
-    let lost = group.instances.iter().filter_map(|instance| {
+    let partly_unreachable = group.instances.iter().filter_map(|instance| {
         let Instance {
             name,
             reached_by,
@@ -199,7 +199,10 @@
             )
         })
     });
-    headless.into_iter().chain(lost).collect()
+    without_primary
+        .into_iter()
+        .chain(partly_unreachable)
+        .collect()
 }
 
 #[cfg(test)]
--- a/src/overview/print.rs
+++ b/src/overview/print.rs
@@ -5,7 +5,7 @@
 use crate::overview;
 use crate::role;
 
-const NOTHING: &str = "-";
+const NO_VALUE: &str = "-";
 
 impl fmt::Display for overview::Overview {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -23,7 +23,7 @@
 impl fmt::Display for overview::Vm {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (revision, state) = match &self.status {
-            None => (NOTHING.to_owned(), "no answer"),
+            None => (NO_VALUE.to_owned(), "no answer"),
             Some(status) if status.draining => (status.revision.to_string(), "draining"),
             Some(status) => (status.revision.to_string(), "serving"),
         };
@@ -40,7 +40,7 @@
         let primary = self.primary.as_deref().unwrap_or("unknown");
         let gap = self
             .last_failover_gap_ms
-            .map_or(NOTHING.to_owned(), |gap| format!("{gap} ms"));
+            .map_or(NO_VALUE.to_owned(), |gap| format!("{gap} ms"));
         writeln!(
             f,
             "group {}: term {}, primary {primary}, queue {}, promotions {}, last failover gap {gap}",
@@ -61,13 +61,13 @@
 impl fmt::Display for overview::Instance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let role = match self.role {
-            None => NOTHING,
+            None => NO_VALUE,
             Some(role::Role::Primary) => "primary",
             Some(role::Role::Replica) => "replica",
         };
         let lag = self
             .lag_records
-            .map_or(NOTHING.to_owned(), |lag| lag.to_string());
+            .map_or(NO_VALUE.to_owned(), |lag| lag.to_string());
         write!(
             f,
             "{:<14} {role:<8} {:>14} {:>6} {lag:>8} {:>8} {:>8}",
--- a/src/overview/tests.rs
+++ b/src/overview/tests.rs
@@ -96,12 +96,12 @@
 }
 
 #[test]
-fn silence_old_revisions_and_lost_primaries_are_problems() {
-    let mut silent = vm("v3", 0, group(0, None, Vec::new()));
-    silent.status = None;
-    silent.error = Some("connection refused".into());
+fn missing_answers_old_revisions_and_unknown_primaries_are_problems() {
+    let mut unanswered = vm("v3", 0, group(0, None, Vec::new()));
+    unanswered.status = None;
+    unanswered.error = Some("connection refused".into());
     let overview = overview::Overview::new(vec![
-        silent,
+        unanswered,
         vm("v2", 6, group(4, None, Vec::new())),
         vm("v1", 7, group(4, None, Vec::new())),
     ]);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_system_without_a_file_says_so() {
+fn a_system_without_a_file_has_a_problem() {
     let mut fresh = vm("v1", 0, group(0, None, Vec::new()));
     fresh.status.as_mut().unwrap().groups.clear();
     let overview = overview::Overview::new(vec![fresh]);
--- a/src/section.rs
+++ b/src/section.rs
@@ -143,10 +143,10 @@
     /// ```
     /// let document = mangotray::document::Document::parse("[vm]\nnmae = a");
     /// let mut faults = Vec::new();
-    /// document.sections[0].known(&["name"], &mut faults);
+    /// document.sections[0].check_keys(&["name"], &mut faults);
     /// assert_eq!(faults[0].reason, "unknown key; known are: name");
     /// ```
-    pub fn known(&self, keys: &[&str], faults: &mut Vec<fault::Fault>) {
+    pub fn check_keys(&self, keys: &[&str], faults: &mut Vec<fault::Fault>) {
         let unknown = self
             .entries
             .iter()
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -29,12 +29,12 @@
 use crate::fault;
 use crate::id;
 
-const CALLERS: usize = 2000;
-const MESSAGE_BYTES: usize = 1 << 20;
-const ANSWER_BYTES: usize = 16 << 20;
-const STARTUP_TIMEOUT: time::Duration = time::Duration::from_secs(10);
-const DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(30);
-const FILTER: &str = "info";
+const DEFAULT_MAX_CALLERS: usize = 2000;
+const DEFAULT_MAX_MESSAGE_BYTES: usize = 1 << 20;
+const DEFAULT_MAX_ANSWER_BYTES: usize = 16 << 20;
+const DEFAULT_STARTUP_TIMEOUT: time::Duration = time::Duration::from_secs(10);
+const DEFAULT_DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const DEFAULT_LOG_FILTER: &str = "info";
 
 /// Everything that a daemon has to be told.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -152,12 +152,12 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            callers: CALLERS,
-            callers_per_address: CALLERS,
-            message_bytes: MESSAGE_BYTES,
-            answer_bytes: ANSWER_BYTES,
-            startup_timeout: STARTUP_TIMEOUT,
-            drain_timeout: DRAIN_TIMEOUT,
+            callers: DEFAULT_MAX_CALLERS,
+            callers_per_address: DEFAULT_MAX_CALLERS,
+            message_bytes: DEFAULT_MAX_MESSAGE_BYTES,
+            answer_bytes: DEFAULT_MAX_ANSWER_BYTES,
+            startup_timeout: DEFAULT_STARTUP_TIMEOUT,
+            drain_timeout: DEFAULT_DRAIN_TIMEOUT,
         }
     }
 }
@@ -166,7 +166,7 @@
     fn default() -> Self {
         Self {
             format: Format::default(),
-            filter: FILTER.into(),
+            filter: DEFAULT_LOG_FILTER.into(),
         }
     }
 }
@@ -205,10 +205,10 @@
     pub fn parse_with(text: &str, overrides: &[Override]) -> Result<Self, Vec<fault::Fault>> {
         let mut document = document::Document::parse(text);
         for item in overrides {
-            document.put(item.section, item.key, &item.value);
+            document.override_value(item.section, item.key, &item.value);
         }
         let mut faults = std::mem::take(&mut document.faults);
-        read::sections(&document, &mut faults);
+        read::check_sections(&document, &mut faults);
         let settings = read::settings(&document, &mut faults);
         match settings {
             Some(settings) if faults.is_empty() => Ok(settings),
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -12,15 +12,15 @@
 use crate::value;
 
 const SECTIONS: [&str; 6] = ["vm", "listen", "platform", "peers", "limits", "log"];
-const REGION: &str = "default";
-const PEERS_PORT: u16 = 6433;
-const ADMIN_PORT: u16 = 9633;
-const PLATFORM_TIMEOUT: time::Duration = time::Duration::from_secs(1);
-const LEAST_TIMEOUT: time::Duration = time::Duration::from_millis(1);
-const MOST_TIMEOUT: time::Duration = time::Duration::from_hours(1);
+const DEFAULT_REGION: &str = "default";
+const DEFAULT_PEERS_PORT: u16 = 6433;
+const DEFAULT_ADMIN_PORT: u16 = 9633;
+const DEFAULT_PLATFORM_TIMEOUT: time::Duration = time::Duration::from_secs(1);
+const MIN_TIMEOUT: time::Duration = time::Duration::from_millis(1);
+const MAX_TIMEOUT: time::Duration = time::Duration::from_hours(1);
 
 /// Reports sections that are not known.
-pub(super) fn sections(document: &document::Document, faults: &mut Vec<fault::Fault>) {
+pub(super) fn check_sections(document: &document::Document, faults: &mut Vec<fault::Fault>) {
     let unknown = document
         .sections
         .iter()
@@ -38,7 +38,7 @@
 ) -> Option<settings::Settings> {
     let section = |title: &str| {
         let found = document.sections.iter().find(|s| s.title == title);
-        found.cloned().unwrap_or_else(|| absent(title))
+        found.cloned().unwrap_or_else(|| empty_section(title))
     };
     let vm = vm(&section("vm"), faults);
     let listen = listen(&section("listen"), faults);
@@ -57,7 +57,7 @@
 }
 
 /// Stands for a section that is not in the file; faults about it point to line 1.
-fn absent(title: &str) -> section::Section {
+fn empty_section(title: &str) -> section::Section {
     section::Section {
         title: title.into(),
         line: Some(1),
@@ -66,27 +66,27 @@
 }
 
 fn vm(section: &section::Section, faults: &mut Vec<fault::Fault>) -> Option<settings::Vm> {
-    section.known(&["name", "failure_domain", "region"], faults);
+    section.check_keys(&["name", "failure_domain", "region"], faults);
     let name = section.required("name", value::name, faults);
     let failure_domain = section.required("failure_domain", value::name, faults);
     let region = section.optional("region", value::name, faults);
     Some(settings::Vm {
         name: name?,
         failure_domain: failure_domain?,
-        region: region.unwrap_or(REGION.into()),
+        region: region.unwrap_or(DEFAULT_REGION.into()),
     })
 }
 
 fn listen(section: &section::Section, faults: &mut Vec<fault::Fault>) -> Option<settings::Listen> {
-    section.known(&["callers", "peers", "admin"], faults);
+    section.check_keys(&["callers", "peers", "admin"], faults);
     let callers = section.required("callers", value::address, faults);
     let peers = section.optional("peers", value::reachable, faults);
     let admin = section.optional("admin", value::reachable, faults);
     let callers = callers?;
     let listen = settings::Listen {
         callers,
-        peers: peers.unwrap_or(net::SocketAddr::new(callers.ip(), PEERS_PORT)),
-        admin: admin.unwrap_or(net::SocketAddr::new(callers.ip(), ADMIN_PORT)),
+        peers: peers.unwrap_or(net::SocketAddr::new(callers.ip(), DEFAULT_PEERS_PORT)),
+        admin: admin.unwrap_or(net::SocketAddr::new(callers.ip(), DEFAULT_ADMIN_PORT)),
     };
     check_addresses(section, &listen, faults);
     Some(listen)
@@ -97,21 +97,21 @@
     listen: &settings::Listen,
     faults: &mut Vec<fault::Fault>,
 ) {
-    let named = [
+    let listeners = [
         ("callers", listen.callers),
         ("peers", listen.peers),
         ("admin", listen.admin),
     ];
-    for (index, (key, address)) in named.iter().enumerate() {
-        let others = &named[..index];
+    for (index, (key, address)) in listeners.iter().enumerate() {
+        let others = &listeners[..index];
         if let Some((other, _)) = others
             .iter()
             .find(|(_, other)| other == address && address.port() != 0)
         {
             faults.push(section.fault(key, format!("{address} is also the address for {other}")));
         }
-        let hidden = section.entry(key).is_none() && address.ip().is_unspecified();
-        if hidden {
+        let lacks_address = section.entry(key).is_none() && address.ip().is_unspecified();
+        if lacks_address {
             faults.push(section.fault(key, "missing; needed as `callers` names no single IP"));
         }
     }
@@ -121,17 +121,17 @@
     section: &section::Section,
     faults: &mut Vec<fault::Fault>,
 ) -> Option<settings::Platform> {
-    section.known(&["address", "timeout"], faults);
+    section.check_keys(&["address", "timeout"], faults);
     let address = section.required("address", value::remote, faults);
     let timeout = section.optional("timeout", timeout(), faults);
     Some(settings::Platform {
         address: address?,
-        timeout: timeout.unwrap_or(PLATFORM_TIMEOUT),
+        timeout: timeout.unwrap_or(DEFAULT_PLATFORM_TIMEOUT),
     })
 }
 
 fn limits(section: &section::Section, faults: &mut Vec<fault::Fault>) -> settings::Limits {
-    section.known(
+    section.check_keys(
         &[
             "callers",
             "callers_per_address",
@@ -143,13 +143,21 @@
         faults,
     );
     let callers = section.optional("callers", value::count, faults);
-    let callers = callers.unwrap_or(settings::CALLERS);
-    let mut number = |key, parse: fn(&str) -> value::Result<usize>, default| {
+    let callers = callers.unwrap_or(settings::DEFAULT_MAX_CALLERS);
+    let mut read_number = |key, parse: fn(&str) -> value::Result<usize>, default| {
         section.optional(key, parse, faults).unwrap_or(default)
     };
-    let callers_per_address = number("callers_per_address", value::count, callers);
-    let message_bytes = number("message_bytes", value::bytes, settings::MESSAGE_BYTES);
-    let answer_bytes = number("answer_bytes", value::bytes, settings::ANSWER_BYTES);
+    let callers_per_address = read_number("callers_per_address", value::count, callers);
+    let message_bytes = read_number(
+        "message_bytes",
+        value::bytes,
+        settings::DEFAULT_MAX_MESSAGE_BYTES,
+    );
+    let answer_bytes = read_number(
+        "answer_bytes",
+        value::bytes,
+        settings::DEFAULT_MAX_ANSWER_BYTES,
+    );
     let startup_timeout = section.optional("startup_timeout", timeout(), faults);
     let drain_timeout = section.optional("drain_timeout", timeout(), faults);
     if callers_per_address > callers {
@@ -161,13 +169,13 @@
         callers_per_address,
         message_bytes,
         answer_bytes,
-        startup_timeout: startup_timeout.unwrap_or(settings::STARTUP_TIMEOUT),
-        drain_timeout: drain_timeout.unwrap_or(settings::DRAIN_TIMEOUT),
+        startup_timeout: startup_timeout.unwrap_or(settings::DEFAULT_STARTUP_TIMEOUT),
+        drain_timeout: drain_timeout.unwrap_or(settings::DEFAULT_DRAIN_TIMEOUT),
     }
 }
 
 fn peers(section: &section::Section, faults: &mut Vec<fault::Fault>) -> settings::Peers {
-    section.known(&["seeds"], faults);
+    section.check_keys(&["seeds"], faults);
     let seeds = section.optional("seeds", value::list(value::remote), faults);
     settings::Peers {
         seeds: seeds.unwrap_or_default(),
@@ -175,7 +183,7 @@
 }
 
 fn log(section: &section::Section, faults: &mut Vec<fault::Fault>) -> settings::Log {
-    section.known(&["format", "filter"], faults);
+    section.check_keys(&["format", "filter"], faults);
     let default = settings::Log::default();
     let format = section.optional("format", format, faults);
     let filter = section.optional("filter", value::filter, faults);
@@ -194,5 +202,5 @@
 }
 
 fn timeout() -> impl Fn(&str) -> value::Result<time::Duration> {
-    value::within(LEAST_TIMEOUT, MOST_TIMEOUT)
+    value::within(MIN_TIMEOUT, MAX_TIMEOUT)
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -4,17 +4,17 @@
 
 use crate::settings;
 
-const LEAST: &str = "[vm]\nname = entry-1\nfailure_domain = patan-hall\n\
+const MINIMAL_FILE: &str = "[vm]\nname = entry-1\nfailure_domain = patan-hall\n\
     [listen]\ncallers = 127.0.0.1:6432\n[platform]\naddress = 127.0.0.1:7000\n";
 
-fn places(text: &str) -> Vec<(Option<usize>, String)> {
+fn fault_positions(text: &str) -> Vec<(Option<usize>, String)> {
     let faults = settings::Settings::parse(text).unwrap_err();
     faults.iter().map(|f| (f.line, f.key.to_string())).collect()
 }
 
 #[test]
-fn defaults_fill_what_the_file_leaves_out() {
-    let settings = settings::Settings::parse(LEAST).unwrap();
+fn missing_settings_have_defaults() {
+    let settings = settings::Settings::parse(MINIMAL_FILE).unwrap();
     assert_eq!(settings.limits, settings::Limits::default());
     assert_eq!(settings.log, settings::Log::default());
     assert_eq!(settings.listen.admin.to_string(), "127.0.0.1:9633");
@@ -23,7 +23,7 @@
 #[test]
 fn every_key_is_read() {
     let text = format!(
-        "{LEAST}timeout = 250ms\n[limits]\ncallers = 10\ncallers_per_address = 5\n\
+        "{MINIMAL_FILE}timeout = 250ms\n[limits]\ncallers = 10\ncallers_per_address = 5\n\
          message_bytes = 2KiB\nanswer_bytes = 3000\nstartup_timeout = 4s\ndrain_timeout = 5s\n\
          [log]\nformat = json\nfilter = warn,mangotray=debug\n"
     );
@@ -58,26 +58,32 @@
         (11, "[log] filter"),
     ];
     let expected = expected.map(|(line, key)| (Some(line), key.to_owned()));
-    assert_eq!(places(text), expected);
+    assert_eq!(fault_positions(text), expected);
 }
 
 #[test]
-fn peers_must_be_told_an_address_when_callers_come_in_on_all_of_them() {
-    let text = LEAST.replace("127.0.0.1:6432", "0.0.0.0:6432");
-    let keys: Vec<_> = places(&text).into_iter().map(|(_, key)| key).collect();
+fn peers_and_admin_need_addresses_when_callers_listen_on_all_of_them() {
+    let text = MINIMAL_FILE.replace("127.0.0.1:6432", "0.0.0.0:6432");
+    let keys: Vec<_> = fault_positions(&text)
+        .into_iter()
+        .map(|(_, key)| key)
+        .collect();
     assert_eq!(keys, ["[listen] peers", "[listen] admin"]);
 }
 
 #[test]
 fn values_that_contradict_each_other_are_reported() {
-    let text = format!("{LEAST}[limits]\ncallers = 5\ncallers_per_address = 6\n");
+    let text = format!("{MINIMAL_FILE}[limits]\ncallers = 5\ncallers_per_address = 6\n");
     assert_eq!(
-        places(&text),
+        fault_positions(&text),
         [(Some(10), "[limits] callers_per_address".to_owned())]
     );
-    let text = LEAST.replace("6432\n", "6432\nadmin = 127.0.0.1:6432\n");
-    assert_eq!(places(&text), [(Some(6), "[listen] admin".to_owned())]);
-    let text = LEAST.replace("6432\n", "0\nadmin = 127.0.0.1:0\n");
+    let text = MINIMAL_FILE.replace("6432\n", "6432\nadmin = 127.0.0.1:6432\n");
+    assert_eq!(
+        fault_positions(&text),
+        [(Some(6), "[listen] admin".to_owned())]
+    );
+    let text = MINIMAL_FILE.replace("6432\n", "0\nadmin = 127.0.0.1:0\n");
     assert!(settings::Settings::parse(&text).is_ok());
 }
 
@@ -88,7 +94,7 @@
         key: "callers",
         value: "x".into(),
     };
-    let faults = settings::Settings::parse_with(LEAST, &[port]).unwrap_err();
+    let faults = settings::Settings::parse_with(MINIMAL_FILE, &[port]).unwrap_err();
     assert_eq!(faults[0].line, None);
     assert!(
         faults[0]
@@ -98,16 +104,16 @@
 }
 
 proptest! {
-    #![proptest_config(seeded())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
-    fn any_text_is_parsed_or_refused_without_panic(lines in proptest::collection::vec(line(), 0..30)) {
+    fn any_text_is_parsed_or_refused_without_panic(lines in proptest::collection::vec(any_line(), 0..30)) {
         let outcome = settings::Settings::parse(&lines.join("\n"));
         prop_assert!(outcome.map_or_else(|faults| !faults.is_empty(), |_| true));
     }
 }
 
-fn line() -> impl Strategy<Value = String> {
+fn any_line() -> impl Strategy<Value = String> {
     prop_oneof![
         "\\PC{0,20}",
         "\\[(vm|listen|platform|limits|log|x)\\]?",
@@ -117,7 +123,7 @@
     ]
 }
 
-fn seeded() -> ProptestConfig {
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: proptest::test_runner::RngSeed::Fixed(1),
         failure_persistence: None,
@@ -126,8 +132,8 @@
 }
 
 #[test]
-fn peers_may_be_known_beforehand() {
-    let text = |seeds: &str| format!("{LEAST}[peers]\nseeds = {seeds}\n");
+fn seed_addresses_of_peers_are_read() {
+    let text = |seeds: &str| format!("{MINIMAL_FILE}[peers]\nseeds = {seeds}\n");
     let settings = settings::Settings::parse(&text("127.0.0.1:1, 127.0.0.1:2")).unwrap();
     assert_eq!(settings.peers.seeds.len(), 2);
     for wrong in ["127.0.0.1:0", "0.0.0.0:1", "127.0.0.1:1,,", "entry-1:6433"] {
