--- a/src/declaration.rs
+++ b/src/declaration.rs
@@ -17,8 +17,8 @@
 //! vms = *
 //! ```
 //!
-//! `leaving`, `[age ...]` and `[serving]` may be left out. What is read is sorted by name, so
-//! that the order of a file says nothing: the same declarations always give the same catalog.
+//! `leaving`, `[age ...]` and `[serving]` are optional. The catalog is sorted by name, so the
+//! order of a file does not matter: the same declarations always give the same catalog.
 
 use std::time;
 
@@ -32,7 +32,7 @@
 use crate::section;
 use crate::value;
 
-/// Instances of a group: a majority of two must outlive the loss of any one.
+/// Number of instances in a group: with three, a majority of two remains after the loss of any one.
 pub const INSTANCES_PER_GROUP: usize = 3;
 
 const GROUP_KEYS: [&str; 6] = [
@@ -53,16 +53,16 @@
 const MAX_AGE: time::Duration = time::Duration::from_hours(24);
 const MAX_CONNECTIONS: usize = 10_000;
 
-/// A checked file.
+/// The content of a valid operators' file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Declaration {
-    /// What the file declares.
+    /// All declarations of the file.
     pub catalog: catalog::Catalog,
-    /// What is allowed but hardly meant.
+    /// Declarations that are valid but probably not intended.
     pub warnings: Vec<fault::Fault>,
 }
 
-/// A group with the section that it came from.
+/// A group and the section that declares it.
 struct Source<'a> {
     section: &'a section::Section,
     group: database::Group,
@@ -72,7 +72,7 @@
     /// Reads and checks a whole file.
     ///
     /// # Errors
-    /// Every mistake in the file, in the order of its lines.
+    /// All errors in the file, in the order of its lines.
     ///
     /// ```
     /// let declaration = mangotray::declaration::Declaration::parse(
@@ -123,7 +123,7 @@
         faults.push(fault::Fault::new(
             Some(1),
             "",
-            "declares no [group NAME]; applied, it would end all service",
+            "declares no [group NAME]; applying it would end all service",
         ));
     }
 }
@@ -186,7 +186,7 @@
     if instances.len() != INSTANCES_PER_GROUP {
         return Err(format_compact!(
             "{} instances; a group has exactly {INSTANCES_PER_GROUP}, as writes are confirmed and \
-             promotions decided by a majority of 2 that must outlive the loss of any one",
+             promotions decided by a majority of 2, which must remain after the loss of any one",
             instances.len()
         ));
     }
@@ -200,7 +200,7 @@
         .and_then(|(name, rest)| Some((name, rest.split_once(':')?)));
     let Some((name, (domain, address))) = parts else {
         return Err(format_compact!(
-            "{text:?} is no instance: NAME@FAILURE-DOMAIN:IP:PORT"
+            "{text:?} is not an instance; expected NAME@FAILURE-DOMAIN:IP:PORT"
         ));
     };
     Ok(database::Instance {
@@ -218,7 +218,7 @@
     faults: &mut Vec<fault::Fault>,
 ) {
     if names.len() > 1 {
-        let reason = "only one instance may leave at a time; two must stay as a majority";
+        let reason = "only one instance may leave at a time; two must remain as a majority";
         faults.push(section.fault("leaving", reason));
     }
     for name in names {
@@ -266,8 +266,8 @@
     Some(age)
 }
 
-/// Tables are named as statements name them without quotes, so that `Shows` and
-/// `public.shows` mean the table that the parser of statements calls `shows`.
+/// Parses the name of a table like an unquoted name in a statement: `Shows` and `public.shows` are
+/// the table that the statement parser calls `shows`.
 fn table(text: &str) -> value::Result<CompactString> {
     let name = value::name(text)?.to_ascii_lowercase();
     Ok(name.strip_prefix(DEFAULT_SCHEMA).unwrap_or(&name).into())
@@ -281,7 +281,7 @@
     let mut vms = section.required("vms", vms, faults).unwrap_or_default();
     vms.sort();
     if let Some(name) = check::first_duplicate(vms.iter()) {
-        faults.push(section.fault("vms", format!("{name:?} stands twice")));
+        faults.push(section.fault("vms", format!("{name:?} is listed twice")));
     }
     vms
 }
--- a/src/declaration/check.rs
+++ b/src/declaration/check.rs
@@ -1,4 +1,4 @@
-//! Checks across the entries of a declaration.
+//! Checks that involve several entries of a declaration.
 
 use std::collections;
 
@@ -7,7 +7,7 @@
 use crate::fault;
 use crate::section;
 
-/// Checks what one group says by itself.
+/// Checks the entries of one group against each other.
 pub(super) fn group(
     section: &section::Section,
     group: &database::Group,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Checks that no table has two limits.
+/// Checks that no table of a group has two limits.
 pub(super) fn tables(
     section: &section::Section,
     age: &database::Age,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Checks that no database and no address stands for two things.
+/// Checks that no two groups share a database and no two instances an address.
 pub(super) fn unique(sources: &[declaration::Source<'_>], faults: &mut Vec<fault::Fault>) {
     let mut databases = collections::HashMap::new();
     let mut addresses = collections::HashMap::new();
@@ -65,16 +65,17 @@
     }
 }
 
-/// Warns when the loss of one failure domain takes a group's majority.
+/// Warns when the loss of one failure domain would lose a group's majority.
 pub(super) fn domain_warning(source: &declaration::Source<'_>) -> Option<fault::Fault> {
     let domains = source.group.instances.iter().map(|i| &i.domain);
     let domain = first_duplicate(domains)?;
-    let reason =
-        format!("two or more instances run in {domain:?}; losing it ends writes until one is back");
+    let reason = format!(
+        "two or more instances run in {domain:?}; its loss stops writes until one of them returns"
+    );
     Some(source.section.fault("instances", reason))
 }
 
-/// First item that stands twice.
+/// Returns the first item that equals an earlier one.
 pub(super) fn first_duplicate<T: Eq + std::hash::Hash>(
     items: impl Iterator<Item = T>,
 ) -> Option<T> {
--- a/src/declaration/compare.rs
+++ b/src/declaration/compare.rs
@@ -1,4 +1,4 @@
-//! Compares two catalogs in the operators' terms.
+//! Compares two catalogs in the terms of the operators' file.
 
 use std::collections;
 use std::time;
@@ -9,7 +9,7 @@
 use crate::change;
 use crate::database;
 
-/// Lists what applying `new` over `old` changes; empty when they declare the same.
+/// Lists the changes from `old` to `new`; empty when both declare the same.
 ///
 /// ```
 /// use mangotray::{catalog, declaration};
--- a/src/declaration/print.rs
+++ b/src/declaration/print.rs
@@ -6,9 +6,9 @@
 use crate::database;
 use crate::declaration;
 
-/// Writes a catalog so that reading it back gives the same catalog.
+/// Renders a catalog as text that parses to the same catalog again.
 ///
-/// The names of `[age ...]` sections are not kept in a catalog; they come out numbered.
+/// A catalog does not keep the names of `[age ...]` sections, so they are numbered instead.
 ///
 /// ```
 /// use mangotray::declaration;
@@ -58,5 +58,5 @@
 }
 
 fn line(text: &mut String, content: std::fmt::Arguments<'_>) {
-    writeln!(text, "{content}").expect("a string takes all that is written");
+    writeln!(text, "{content}").expect("writing to a string cannot fail");
 }
--- a/src/declaration/tests.rs
+++ b/src/declaration/tests.rs
@@ -60,7 +60,7 @@
         "line 8: [age two calendar]: no [group two] in this file",
         "line 10: [age two calendar] limit: 5d is out of bounds",
         "line 11: [what]: unknown section",
-        "line 13: [serving] vms: \"v1\" stands twice",
+        "line 13: [serving] vms: \"v1\" is listed twice",
     ];
     assert_eq!(found.len(), starts.len(), "{found:#?}");
     for (fault, start) in found.iter().zip(starts) {
@@ -287,7 +287,7 @@
     }
 }
 
-/// Changes of one thing each.
+/// Edits that each change one part of a group.
 const EDITS: [fn(&mut database::Group); 11] = [
     |group| group.database = "other".into(),
     |group| group.connections += 1,
@@ -302,7 +302,7 @@
     |group| split(&mut group.ages),
 ];
 
-/// Puts each table of the first permission into one of its own, with the same limit.
+/// Splits the first `[age ...]` declaration into one for each table, with the same limit.
 fn split(ages: &mut Vec<database::Age>) {
     let limit = ages.first().map_or(time::Duration::ZERO, |age| age.limit);
     let tables: Vec<_> = ages
--- a/src/document.rs
+++ b/src/document.rs
@@ -1,19 +1,19 @@
-//! An INI file as sections and entries that know their lines.
+//! An INI file as sections and entries with their line numbers.
 //!
-//! `rust-ini` keeps no line numbers and stops at the first syntax error, so each line is
-//! given to it alone. Values therefore never span lines; comments stand on lines of their own.
+//! `rust-ini` keeps no line numbers and stops at the first syntax error, so each line is parsed
+//! on its own. Values therefore never span lines, and comments need lines of their own.
 
 use compact_str::CompactString;
 
 use crate::fault;
 use crate::section;
 
-/// A file that was read line by line.
+/// An INI file, parsed line by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Document {
     /// Sections in the order of the file.
     pub sections: Vec<section::Section>,
-    /// Lines that could not be read, and sections or keys that stand twice.
+    /// Lines that could not be parsed, and duplicate sections and keys.
     pub faults: Vec<fault::Fault>,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl Document {
-    /// Reads a whole text; what cannot be read ends up in `faults`.
+    /// Parses a whole text; lines that cannot be parsed are reported in `faults`.
     ///
     /// ```
     /// let document = mangotray::document::Document::parse("[vm]\nname = entry-1\njunk\n");
@@ -41,7 +41,7 @@
         document
     }
 
-    /// Gives an entry a value that overrides the file's.
+    /// Sets the value of an entry, overriding the file's.
     ///
     /// ```
     /// let mut document = mangotray::document::Document::parse("[vm]\nname = a\n");
@@ -77,7 +77,7 @@
         let title = title.split_whitespace().collect::<Vec<_>>().join(" ");
         let earlier = self.sections.iter().find(|s| s.title == title);
         if let Some(line) = earlier.and_then(|s| s.line) {
-            let reason = format!("section stands twice, first on line {line}");
+            let reason = format!("duplicate section, first on line {line}");
             self.add_fault(number, &format!("[{title}]"), &reason);
         }
         self.sections.push(section::Section {
@@ -89,13 +89,13 @@
 
     fn add_entry(&mut self, number: usize, key: &str, value: &str) {
         let Some(section) = self.sections.last_mut() else {
-            self.add_fault(number, key, "stands before the first [section]");
+            self.add_fault(number, key, "key is before the first [section]");
             return;
         };
         let label = section.label(key);
         let earlier = section.entries.iter().find(|e| e.key == key);
         if let Some(line) = earlier.and_then(|e| e.line) {
-            let reason = format!("key stands twice, first on line {line}");
+            let reason = format!("duplicate key, first on line {line}");
             self.add_fault(number, &label, &reason);
             return;
         }
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -2,7 +2,7 @@
 
 use std::process;
 
-/// How a program ended, for scripts.
+/// Result of a program, for scripts.
 ///
 /// ```
 /// assert_eq!(u8::from(mangotray::exit::Code::InvalidFile), 3);
@@ -10,21 +10,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Code {
-    /// All went well.
+    /// The program succeeded.
     Success = 0,
-    /// Something failed that has no code of its own.
+    /// An error that has no code of its own.
     GeneralError = 1,
-    /// The arguments could not be understood.
+    /// The arguments are invalid.
     Usage = 2,
-    /// The file has mistakes; all of them were printed.
+    /// The file has errors; all of them were printed.
     InvalidFile = 3,
     /// Another file is in force instead of the one to be applied.
     Conflict = 4,
     /// The platform's service or the proxies could not be reached; nothing was changed.
     Unreachable = 5,
-    /// The system is up, but something needs attention.
+    /// The system runs, but has problems that need attention.
     Degraded = 6,
-    /// A file may or may not be in force; `mangotray diff` tells.
+    /// The file may or may not be in force; `mangotray diff` shows which file is.
     Unknown = 7,
 }
 
--- a/src/id.rs
+++ b/src/id.rs
@@ -2,10 +2,11 @@
 
 use compact_str::CompactString;
 
-/// Number of a primary's reign in a database group; a later reign has a higher number.
+/// Number of a term, the period in which one instance is the primary of a database group; later
+/// terms have higher numbers.
 pub type Term = u64;
 
-/// Place of a record in a group's log, counted in records from zero.
+/// Position of a record in a group's log, counted in records from zero.
 pub type Position = u64;
 
 /// Index of an instance within its group's declaration.
@@ -20,10 +21,10 @@
 /// Name of a failure domain.
 pub type Domain = CompactString;
 
-/// Revision of the operators' configuration; grows by one with each accepted file.
+/// Revision of the operators' configuration; increases by one with each accepted file.
 pub type Revision = u64;
 
-/// Number drawn by a process when it starts; a restarted process never reuses it.
+/// Number chosen by a process when it starts; a restarted process never reuses it.
 pub type Incarnation = u64;
 
 /// Number of a caller's request, unique within one proxy process.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! A database proxy with session consistency.
 //!
-//! The modules are a line of filters from the caller to the upstream; decisions are
-//! plain functions of state, event and time, apart from sockets.
+//! The modules form a pipeline from the caller to the upstream. Decisions are plain functions of
+//! state, event and time, kept separate from the code that uses sockets.
 
 pub mod accept;
 pub mod admin;
--- a/src/overview.rs
+++ b/src/overview.rs
@@ -1,4 +1,4 @@
-//! State of a whole system, put together from the views of its proxies.
+//! State of the whole system, merged from the answers of its proxies.
 
 use std::collections;
 use std::net;
@@ -13,74 +13,74 @@
 
 mod print;
 
-/// Everything that `mangotray status` tells.
+/// Output of `mangotray status`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Overview {
     /// Proxies, by name.
     pub vms: Vec<Vm>,
     /// Groups, by name.
     pub groups: Vec<Group>,
-    /// What needs attention; empty for a healthy system.
+    /// Problems that need attention; empty for a healthy system.
     pub problems: Vec<CompactString>,
 }
 
-/// What one proxy answered.
+/// One proxy and its answer.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Vm {
-    /// Name, or the admin address of a proxy that did not tell its name.
+    /// Name of the VM, or the admin address when the name is unknown.
     pub name: id::Vm,
-    /// Address that was asked.
+    /// Admin address that was queried.
     pub admin: net::SocketAddr,
-    /// Answer; `None` when there was none.
+    /// Status; `None` when the proxy did not answer.
     pub status: Option<admin::Status>,
-    /// Why there was no answer.
+    /// Error of the query, when the proxy did not answer.
     pub error: Option<CompactString>,
 }
 
-/// One group, as all proxies together see it.
+/// One group, merged from the answers of all proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Group {
     /// Name in the operators' file.
     pub name: id::Group,
-    /// Instance that leads in the highest term, when one is known.
+    /// Primary in the highest term, when one is known.
     pub primary: Option<CompactString>,
-    /// Highest term that any proxy has seen.
+    /// Highest term that any proxy reports.
     pub term: id::Term,
     /// Instances in the order of the catalog.
     pub instances: Vec<Instance>,
-    /// Requests that run or wait before the instances, on all proxies.
+    /// Requests that run on the instances or wait for them, on all proxies.
     pub queue: usize,
-    /// Promotions that the proxies carried through since they serve the group.
+    /// Promotions that the proxies completed since they began to serve the group.
     pub promotions: u64,
-    /// Longest of the proxies' last failover gaps in milliseconds.
+    /// Longest of the last failover gaps that each proxy reports, in milliseconds.
     pub last_failover_gap_ms: Option<u64>,
 }
 
-/// One instance, as all proxies together see it.
+/// One instance, merged from the answers of all proxies.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Instance {
     /// Name in the operators' file.
     pub name: CompactString,
-    /// Role at the highest fence term seen.
+    /// Role at the highest fence term that any proxy reports.
     pub role: Option<role::Role>,
-    /// Highest stamp seen.
+    /// Highest stamp that any proxy reports.
     pub stamp: stamp::Stamp,
-    /// Highest fence term seen.
+    /// Highest fence term that any proxy reports.
     pub fence: id::Term,
-    /// Records behind the newest instance; the least that any proxy has seen.
+    /// Records behind the newest instance; the smallest number that any proxy reports.
     pub lag_records: Option<u64>,
     /// Proxies that reach the instance.
     pub reached_by: usize,
     /// Proxies that know the instance.
     pub known_by: usize,
-    /// Connections, of all proxies.
+    /// Connections of all proxies to the instance.
     pub connections: usize,
-    /// Requests that run or wait before the instance, on all proxies.
+    /// Requests that run on the instance or wait for it, on all proxies.
     pub busy: usize,
 }
 
 impl Overview {
-    /// Puts the proxies' answers together and finds what needs attention.
+    /// Merges the proxies' answers and lists the problems that they show.
     ///
     /// ```
     /// let overview = mangotray::overview::Overview::new(Vec::new());
--- a/src/overview/print.rs
+++ b/src/overview/print.rs
@@ -1,4 +1,4 @@
-//! The overview as text.
+//! Formats the overview as text.
 
 use std::fmt;
 
--- a/src/overview/tests.rs
+++ b/src/overview/tests.rs
@@ -43,9 +43,9 @@
     }
 }
 
-// Symptom: the status shows the replaced primary as the leader. Events: one proxy is cut
-// off and still holds the view of term 3; another has seen the promotion of term 4.
-// Cause: views taken in the order of the proxies rather than of their terms.
+// One proxy is disconnected and still reports term 3; another one has seen the promotion of term 4.
+// If the answers were merged in the order of the proxies rather than of their terms, the replaced
+// primary could be shown as the primary.
 #[test]
 fn the_highest_term_names_the_primary() {
     let old = vm(
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,12 +1,12 @@
-//! Named ways to route reads and confirm writes, for measurements side by side.
+//! Policies for routing reads, confirming writes and promoting, to compare in measurements.
 
-/// What the proxy does; all but `Default` are baselines.
+/// Policy of a proxy; all but `Default` are baselines for comparison.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// The product's own rules.
+    /// The rules for normal operation.
     #[default]
     Default,
     /// All reads go to the primary.
@@ -15,7 +15,7 @@
     TokenOnly,
     /// Unsafe: writes are confirmed by the primary alone.
     UnsafeAck,
-    /// A promotion waits until a lease of ten seconds has surely ended.
+    /// A promotion waits until a lease of ten seconds has certainly expired.
     LeaseExpiry,
 }
 
--- a/src/section.rs
+++ b/src/section.rs
@@ -7,7 +7,7 @@
 /// A section with its entries in the order of the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// Words between the brackets, joined by single blanks.
+    /// Words between the brackets, separated by single spaces.
     pub title: CompactString,
     /// Line of the title, counted from 1; `None` when it came from the command line.
     pub line: Option<usize>,
@@ -20,7 +20,7 @@
 pub struct Entry {
     /// Key as written.
     pub key: CompactString,
-    /// Value without surrounding blanks and quotes.
+    /// Value without surrounding spaces and quotes.
     pub value: CompactString,
     /// Line, counted from 1; `None` when it came from the command line.
     pub line: Option<usize>,
@@ -44,7 +44,7 @@
 }
 
 impl Section {
-    /// Names a key of this section for a fault.
+    /// Returns the name of a key with its section, as shown in faults.
     ///
     /// ```
     /// let document = mangotray::document::Document::parse("[vm]");
@@ -55,7 +55,7 @@
         format!("[{}] {key}", self.title)
     }
 
-    /// Finds an entry.
+    /// Returns the entry with a key.
     ///
     /// ```
     /// let document = mangotray::document::Document::parse("[vm]\nname = a");
@@ -66,7 +66,7 @@
         self.entries.iter().find(|e| e.key == key)
     }
 
-    /// Adds an entry in place of one with the same key.
+    /// Adds an entry and removes those with the same key.
     ///
     /// ```
     /// use mangotray::section::Entry;
@@ -79,7 +79,7 @@
         self.entries.push(entry);
     }
 
-    /// Reports a fault at an entry, or at the section's title when the key is absent.
+    /// Returns a fault at the line of an entry, or of the section's title when the key is absent.
     ///
     /// ```
     /// let document = mangotray::document::Document::parse("[vm]\nname = a");
@@ -92,7 +92,7 @@
         fault::Fault::new(line, self.label(key), reason)
     }
 
-    /// Parses a value if the key is there; a bad value becomes a fault.
+    /// Parses a value if the key is present; adds a fault for an invalid value.
     ///
     /// ```
     /// use mangotray::value;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Parses a value that must be there.
+    /// Parses a required value; adds a fault for a missing or invalid value.
     ///
     /// ```
     /// use mangotray::value;
@@ -138,7 +138,7 @@
         self.optional(key, parse, faults)
     }
 
-    /// Reports keys that are not among the known ones.
+    /// Adds a fault for each key that is not in `keys`.
     ///
     /// ```
     /// let document = mangotray::document::Document::parse("[vm]\nnmae = a");
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,9 +10,9 @@
 //! | | `admin` | IP of `callers`, port 9633 |
 //! | `[platform]` | `address` | required, `IP:PORT` |
 //! | | `timeout` | `1s`; for one call |
-//! | `[peers]` | `seeds` | none; `IP:PORT, ...` where other proxies accept peers, asked first while no proxy is known, such as in an outage of the platform |
+//! | `[peers]` | `seeds` | none; `IP:PORT, ...` where other proxies accept peers; contacted first while no proxy is known, such as in an outage of the platform |
 //! | `[limits]` | `callers` | `2000` connections at once |
-//! | | `callers_per_address` | the same as `callers`, as a balancer may hide all callers behind one IP |
+//! | | `callers_per_address` | the same as `callers`, as a load balancer may connect all callers from one IP |
 //! | | `message_bytes` | `1MiB`; largest message of a caller |
 //! | | `answer_bytes` | `16MiB`; largest answer that is relayed |
 //! | | `startup_timeout` | `10s`; from accepting a connection to its first request |
@@ -36,21 +36,21 @@
 const DEFAULT_DRAIN_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 const DEFAULT_LOG_FILTER: &str = "info";
 
-/// Everything that a daemon has to be told.
+/// All settings of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where the process runs.
+    /// VM that the process runs on.
     pub vm: Vm,
-    /// Where it listens.
+    /// Addresses that it listens on.
     pub listen: Listen,
-    /// How it reaches the platform.
+    /// Connection to the platform's key-value service.
     pub platform: Platform,
-    /// Other proxies known beforehand.
+    /// Other proxies that are known without the platform.
     pub peers: Peers,
-    /// Bounds on what callers may use.
+    /// Limits on the resources that callers use.
     pub limits: Limits,
-    /// What it logs.
+    /// Format and filter of the log.
     pub log: Log,
 }
 
@@ -82,9 +82,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: net::SocketAddr,
-    /// Longest wait for the answer to one call, a watch's own patience apart.
+    /// Longest wait for the answer to one call; a watch adds its own time to wait for a change.
     #[serde(with = "humantime_serde")]
     pub timeout: time::Duration,
 }
@@ -93,11 +93,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Where some of them accept peers.
+    /// Addresses where some of them accept peers.
     pub seeds: Vec<net::SocketAddr>,
 }
 
-/// Bounds on what callers may use.
+/// Limits on the resources that callers use.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
@@ -117,28 +117,28 @@
     pub drain_timeout: time::Duration,
 }
 
-/// What the process logs, on standard error.
+/// Format and filter of the log on standard error.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
-    /// Form of a line.
+    /// Format of a line.
     pub format: Format,
-    /// Which lines, in the syntax of `tracing_subscriber::EnvFilter`.
+    /// Filter for the lines, in the syntax of `tracing_subscriber::EnvFilter`.
     pub filter: CompactString,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// For people.
+    /// Text for people to read.
     #[default]
     Text,
     /// One JSON object a line.
     Json,
 }
 
-/// A value from the command line that goes before the file's.
+/// A value from the command line that takes precedence over the file's.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Override {
     /// Section without brackets.
@@ -175,7 +175,7 @@
     /// Reads and checks a whole file.
     ///
     /// # Errors
-    /// Every mistake in the file, in the order of its lines.
+    /// All errors in the file, in the order of its lines.
     ///
     /// ```
     /// let settings = mangotray::settings::Settings::parse(
@@ -189,10 +189,10 @@
         Self::parse_with(text, &[])
     }
 
-    /// Reads and checks a whole file after putting some values in place of its own.
+    /// Reads and checks a whole file, with some of its values overridden.
     ///
     /// # Errors
-    /// Every mistake in the file and in the given values.
+    /// All errors in the file and in the overriding values.
     ///
     /// ```
     /// use mangotray::settings;
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -19,7 +19,7 @@
 const MIN_TIMEOUT: time::Duration = time::Duration::from_millis(1);
 const MAX_TIMEOUT: time::Duration = time::Duration::from_hours(1);
 
-/// Reports sections that are not known.
+/// Adds a fault for each unknown section.
 pub(super) fn check_sections(document: &document::Document, faults: &mut Vec<fault::Fault>) {
     let unknown = document
         .sections
@@ -31,7 +31,7 @@
     );
 }
 
-/// Reads all sections; `None` when a value without default is missing or wrong.
+/// Reads all sections; `None` when a value without a default is missing or invalid.
 pub(super) fn settings(
     document: &document::Document,
     faults: &mut Vec<fault::Fault>,
@@ -56,7 +56,7 @@
     })
 }
 
-/// Stands for a section that is not in the file; faults about it point to line 1.
+/// Placeholder for a section that is not in the file; faults about it refer to line 1.
 fn empty_section(title: &str) -> section::Section {
     section::Section {
         title: title.into(),
@@ -112,7 +112,10 @@
         }
         let lacks_address = section.entry(key).is_none() && address.ip().is_unspecified();
         if lacks_address {
-            faults.push(section.fault(key, "missing; needed as `callers` names no single IP"));
+            faults.push(section.fault(
+                key,
+                "missing; required because `callers` listens on all addresses",
+            ));
         }
     }
 }
@@ -161,7 +164,7 @@
     let startup_timeout = section.optional("startup_timeout", timeout(), faults);
     let drain_timeout = section.optional("drain_timeout", timeout(), faults);
     if callers_per_address > callers {
-        let reason = format!("{callers_per_address} is more than the {callers} callers in all");
+        let reason = format!("{callers_per_address} is more than the {callers} callers in total");
         faults.push(section.fault("callers_per_address", reason));
     }
     settings::Limits {
@@ -197,7 +200,9 @@
     match text {
         "text" => Ok(settings::Format::Text),
         "json" => Ok(settings::Format::Json),
-        other => Err(format_compact!("{other:?} is no format: text or json")),
+        other => Err(format_compact!(
+            "{other:?} is not a format; expected text or json"
+        )),
     }
 }
 
