--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -157,7 +157,7 @@
                 .spawn(move || daemon::Daemon::start(&settings, policy::Policy::Default))?;
             let started = starting.join();
             let daemon = started.map_err(|_| eyre::eyre!("a proxy panicked"))??;
-            self.callers.push(daemon.callers());
+            self.callers.push(daemon.caller_address());
             self.daemons.push(daemon);
         }
         Ok(())
--- a/lab/src/capacity/peers.rs
+++ b/lab/src/capacity/peers.rs
@@ -106,7 +106,7 @@
             let opening = async {
                 let stream = dial::Tcp.connect(address).await?;
                 let hello = hello::Hello::new(KEY);
-                dial::Connection::open(stream, &hello, executor, dial::SILENCE).await
+                dial::Connection::open(stream, &hello, executor, dial::PING_TIMEOUT).await
             };
             self.connections.push(async_io::block_on(opening)?);
         }
--- a/lab/src/proxy.rs
+++ b/lab/src/proxy.rs
@@ -106,7 +106,7 @@
 pub fn serve(file: &path::Path) -> eyre::Result<()> {
     let setup: Setup = serde_json::from_slice(&fs::read(file)?)?;
     let proxy = daemon::Daemon::start(&setup.settings, setup.policy)?;
-    println!("{} {}", proxy.callers(), proxy.admin());
+    println!("{} {}", proxy.caller_address(), proxy.admin_address());
     let mut line = String::new();
     io::stdin().read_line(&mut line)?;
     if line.trim() == DRAIN {
--- a/src/accept.rs
+++ b/src/accept.rs
@@ -24,16 +24,16 @@
 /// A connection from which nothing came for so long is given up. Its client pings
 /// several times in that span, so only a dead or cut-off client stays silent; its
 /// open transactions would otherwise hold their locks and connections for ever.
-pub const IDLE: time::Duration = time::Duration::from_secs(10);
+pub const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// Most sessions that one connection may hold.
-const SESSIONS: usize = 65_536;
+const MAX_SESSIONS: usize = 65_536;
 
 /// Bytes that a frame takes at most besides its body, and a reply besides its frames.
-const OVERHEAD: usize = 256;
+const FRAME_OVERHEAD_BYTES: usize = 256;
 
 /// Answers that wait to be written on one connection.
-const PENDING: usize = 1024;
+const MAX_PENDING_ANSWERS: usize = 1024;
 
 type Transport =
     hello::Framed<tarpc::ClientMessage<peer::PeerRequest>, tarpc::Response<peer::PeerResponse>>;
@@ -48,8 +48,8 @@
     pub executor: sync::Arc<async_executor::Executor<'static>>,
     /// Greeting that a peer must match.
     pub hello: hello::Hello,
-    /// Longest silence of a client, in use [`IDLE`].
-    pub idle: time::Duration,
+    /// Longest silence of a client, in use [`IDLE_TIMEOUT`].
+    pub idle_timeout: time::Duration,
 }
 
 impl Server {
@@ -59,21 +59,27 @@
     /// When the other side is not a peer of this system, or the stream breaks.
     pub async fn serve(&self, stream: Box<dyn wire::Duplex>) -> io::Result<()> {
         let transport = self.hello.accept(stream).await?;
-        let heard = atomic::AtomicBool::new(true);
-        let work = self.answer(transport, &heard);
-        future::or(work, silence(self.idle, &heard)).compat().await
+        let request_received = atomic::AtomicBool::new(true);
+        let work = self.serve_requests(transport, &request_received);
+        future::or(work, fail_when_idle(self.idle_timeout, &request_received))
+            .compat()
+            .await
     }
 
-    async fn answer(&self, transport: Transport, heard: &atomic::AtomicBool) -> io::Result<()> {
+    async fn serve_requests(
+        &self,
+        transport: Transport,
+        request_received: &atomic::AtomicBool,
+    ) -> io::Result<()> {
         let config = tarpc::server::Config {
-            pending_response_buffer: PENDING,
+            pending_response_buffer: MAX_PENDING_ANSWERS,
         };
         let channel = tarpc::server::BaseChannel::new(config, transport);
         let mut requests = Box::pin(channel.requests());
         let service = self.service();
         while let Some(request) = requests.next().await {
             let request = request.map_err(|error| io::Error::other(error.to_string()))?;
-            heard.store(true, atomic::Ordering::Relaxed);
+            request_received.store(true, atomic::Ordering::Relaxed);
             let serve = peer::Peer::serve(service.clone());
             self.start(request.execute(serve)).await;
         }
@@ -100,9 +106,12 @@
     }
 }
 
-async fn silence(idle: time::Duration, heard: &atomic::AtomicBool) -> io::Result<()> {
-    while heard.swap(false, atomic::Ordering::Relaxed) {
-        async_io::Timer::after(idle).await;
+async fn fail_when_idle(
+    idle_timeout: time::Duration,
+    request_received: &atomic::AtomicBool,
+) -> io::Result<()> {
+    while request_received.swap(false, atomic::Ordering::Relaxed) {
+        async_io::Timer::after(idle_timeout).await;
     }
     Err(io::ErrorKind::TimedOut.into())
 }
@@ -120,8 +129,8 @@
         if let Some(session) = sessions.get(&run.session) {
             return Ok(session.clone());
         }
-        if sessions.len() >= SESSIONS {
-            return Err(refused(reason::Reason::Overload, "too many sessions"));
+        if sessions.len() >= MAX_SESSIONS {
+            return Err(not_run(reason::Reason::Overload, "too many sessions"));
         }
         let database = run.open.as_deref();
         let database = database.ok_or_else(|| no_server("the session has ended"))?;
@@ -135,27 +144,30 @@
     fn close(&self, session: peer::Session) {
         let mut sessions = self.sessions.lock().expect("no panic while locked");
         if let Some(ended) = sessions.remove(&session) {
-            ended.closed.0.close();
+            ended.close_signal.0.close();
         }
     }
 }
 
 struct Session {
     state: async_lock::Mutex<State>,
-    closed: (async_channel::Sender<()>, async_channel::Receiver<()>),
+    close_signal: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
 struct State {
     lane: Box<dyn lane::Lane>,
-    last: Option<peer::Sequence>,
+    last_sequence: Option<peer::Sequence>,
 }
 
 impl Session {
     fn new(lane: Box<dyn lane::Lane>) -> Self {
-        let state = State { lane, last: None };
+        let state = State {
+            lane,
+            last_sequence: None,
+        };
         Self {
             state: async_lock::Mutex::new(state),
-            closed: async_channel::bounded(1),
+            close_signal: async_channel::bounded(1),
         }
     }
 
@@ -164,22 +176,22 @@
     /// its caller canceled does not hold a slot until its deadline. A broken
     /// connection does not: the write it left behind runs to its end.
     async fn run(&self, run: peer::Run, clock: &dyn clock::Clock) -> peer::Answer {
-        let closed = async {
-            self.closed.1.recv().await.ok();
-            Err(given_up())
+        let close = async {
+            self.close_signal.1.recv().await.ok();
+            Err(session_closed())
         };
-        future::or(closed, self.execute(run, clock)).await
+        future::or(close, self.execute(run, clock)).await
     }
 
     async fn execute(&self, run: peer::Run, clock: &dyn clock::Clock) -> peer::Answer {
         let sequence = run.sequence;
         let batch = run.batch(clock.now());
         let mut state = self.state.lock().await;
-        if state.last >= Some(sequence) {
-            return Err(repeated());
+        if state.last_sequence >= Some(sequence) {
+            return Err(repeated_request());
         }
-        state.last = Some(sequence);
-        state.lane.run(batch).await.and_then(bounded)
+        state.last_sequence = Some(sequence);
+        state.lane.run(batch).await.and_then(check_size)
     }
 }
 
@@ -199,7 +211,10 @@
             sender.send(answer).await.ok();
         };
         self.0.executor.spawn(work).detach();
-        receiver.recv().await.unwrap_or_else(|_| Err(stopped()))
+        receiver
+            .recv()
+            .await
+            .unwrap_or_else(|_| Err(proxy_stopped()))
     }
 
     async fn close(self, _: tarpc::context::Context, session: peer::Session) {
@@ -223,10 +238,12 @@
 
 /// Keeps an answer back that the connection cannot carry: writing it would fail, and
 /// with it the connection and every other session on it.
-fn bounded(reply: reply::Reply) -> peer::Answer {
+fn check_size(reply: reply::Reply) -> peer::Answer {
     let frames = reply.frames.iter();
-    let size: usize = frames.map(|frame| frame.body.len() + OVERHEAD).sum();
-    if size + OVERHEAD <= packet::MAX_MESSAGE_BYTES {
+    let size: usize = frames
+        .map(|frame| frame.body.len() + FRAME_OVERHEAD_BYTES)
+        .sum();
+    if size + FRAME_OVERHEAD_BYTES <= packet::MAX_MESSAGE_BYTES {
         return Ok(reply);
     }
     Err(outcome::Outcome::Unknown {
@@ -236,10 +253,10 @@
 }
 
 fn no_server(detail: &str) -> outcome::Outcome {
-    refused(reason::Reason::NoServer, detail)
+    not_run(reason::Reason::NoServer, detail)
 }
 
-fn refused(reason: reason::Reason, detail: &str) -> outcome::Outcome {
+fn not_run(reason: reason::Reason, detail: &str) -> outcome::Outcome {
     outcome::Outcome::NotRun {
         reason,
         detail: detail.into(),
@@ -248,21 +265,21 @@
 }
 
 /// Not "not run": the first message of that number may well have run.
-fn repeated() -> outcome::Outcome {
+fn repeated_request() -> outcome::Outcome {
     outcome::Outcome::Unknown {
         reason: reason::Reason::ConnectionLost,
         detail: "the request was received before".into(),
     }
 }
 
-fn given_up() -> outcome::Outcome {
+fn session_closed() -> outcome::Outcome {
     outcome::Outcome::Unknown {
         reason: reason::Reason::ConnectionLost,
         detail: "the session was closed while the request ran".into(),
     }
 }
 
-fn stopped() -> outcome::Outcome {
+fn proxy_stopped() -> outcome::Outcome {
     outcome::Outcome::Unknown {
         reason: reason::Reason::ConnectionLost,
         detail: "the proxy stopped while the request ran".into(),
--- a/src/bin/mangotrayd.rs
+++ b/src/bin/mangotrayd.rs
@@ -43,7 +43,7 @@
     // would kill the process instead of draining it, with callers already connected.
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     let proxy = daemon::Daemon::start(&settings, policy::Policy::Default)?;
-    writeln!(console.out, "serving callers at {}", proxy.callers())?;
+    writeln!(console.out, "serving callers at {}", proxy.caller_address())?;
     let complete = async_io::block_on(async {
         signals.next().await;
         proxy.drain().await
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -34,7 +34,7 @@
     /// use mangotray::{choice, endpoint};
     /// let healthy = endpoint::Health::default();
     /// let mut failing = healthy;
-    /// failing.fail(Duration::ZERO, 0.0);
+    /// failing.record_failure(Duration::ZERO, 0.0);
     /// let members = [failing, healthy].map(|health| choice::Member { health, tried: false });
     /// assert_eq!(choice::Choice::new(&members, Duration::ZERO).member, Some(1));
     /// ```
@@ -44,8 +44,8 @@
             let all = members.iter().enumerate();
             all.filter(|(_, member)| !member.tried)
         };
-        let due = |member: &Member| !member.health.closed() && member.health.due(now);
-        let healthy = untried().find(|(_, member)| member.health.closed());
+        let due = |member: &Member| !member.health.circuit_closed() && member.health.retry_due(now);
+        let healthy = untried().find(|(_, member)| member.health.circuit_closed());
         let chosen = healthy.or_else(|| untried().find(|(_, member)| due(member)));
         let member = chosen.map(|(index, _)| index);
         let probes = members.iter().enumerate();
--- a/src/choice/tests.rs
+++ b/src/choice/tests.rs
@@ -4,13 +4,13 @@
 use crate::endpoint;
 
 const HEALTHY: Member = Member {
-    health: endpoint::Health::WELL,
+    health: endpoint::Health::HEALTHY,
     tried: false,
 };
 
 fn failing() -> Member {
     let mut member = HEALTHY;
-    member.health.fail(Duration::ZERO, 1.0);
+    member.health.record_failure(Duration::ZERO, 1.0);
     member
 }
 
--- a/src/consul.rs
+++ b/src/consul.rs
@@ -8,7 +8,7 @@
 use crate::store;
 
 /// Bytes of a key that need no escape in a path.
-const KEY_ESCAPES: &percent_encoding::AsciiSet = &percent_encoding::NON_ALPHANUMERIC
+const ESCAPED_KEY_BYTES: &percent_encoding::AsciiSet = &percent_encoding::NON_ALPHANUMERIC
     .remove(b'/')
     .remove(b'-')
     .remove(b'_')
@@ -38,7 +38,7 @@
 
 /// Answer to a request for a session.
 #[derive(serde::Deserialize)]
-pub struct Created {
+pub struct SessionId {
     /// The session's number.
     #[serde(rename = "ID")]
     pub id: store::Lease,
@@ -65,11 +65,11 @@
 
 /// A key as part of a path.
 pub fn escape(key: &str) -> percent_encoding::PercentEncode<'_> {
-    percent_encoding::utf8_percent_encode(key, KEY_ESCAPES)
+    percent_encoding::utf8_percent_encode(key, ESCAPED_KEY_BYTES)
 }
 
 /// Sorts answers to changes by what they prove; 404 is left to the caller.
-pub fn accepted(answer: http::Answer) -> Result<http::Answer, store::Failure> {
+pub fn check_change(answer: http::Answer) -> Result<http::Answer, store::Failure> {
     let status = answer.status;
     let detail = || CompactString::from(format!("platform answered {status}"));
     if status.is_success() || status == hyper::StatusCode::NOT_FOUND {
@@ -82,7 +82,7 @@
 }
 
 /// The entries in the answer to a read; none if it is 404.
-pub fn rows(answer: &http::Answer) -> Result<Vec<store::Entry>, store::Failure> {
+pub fn entries(answer: &http::Answer) -> Result<Vec<store::Entry>, store::Failure> {
     if answer.status == hyper::StatusCode::NOT_FOUND {
         return Ok(Vec::new());
     }
--- a/src/control.rs
+++ b/src/control.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    async fn ask(
+    async fn request(
         &self,
         sql: CompactString,
         timeout: time::Duration,
@@ -82,49 +82,52 @@
         self.exchange(&sql)
             .or(async {
                 async_io::Timer::after(timeout).await;
-                let words = format_compact!("{sql}: no answer within {timeout:?}");
-                Err(upstream::Failure::Unknown(words))
+                let message = format_compact!("{sql}: no answer within {timeout:?}");
+                Err(upstream::Failure::Unknown(message))
             })
             .await
     }
 
     async fn exchange(&self, sql: &str) -> Result<status::Status, upstream::Failure> {
-        let mut slot = self.link.lock().await;
+        let mut kept_link = self.link.lock().await;
         // Taken out, so that a request dropped by its timeout takes the link with it.
-        let reply = match slot.take() {
-            None => self.fresh(sql).await?,
-            Some(kept) => match run(kept, sql).await {
+        let reply = match kept_link.take() {
+            None => self.exchange_on_new_link(sql).await?,
+            Some(kept) => match run_query(kept, sql).await {
                 // The instance closed the kept link while it lay idle.
-                Err(upstream::Failure::NotRun(_)) => self.fresh(sql).await?,
+                Err(upstream::Failure::NotRun(_)) => self.exchange_on_new_link(sql).await?,
                 other => other?,
             },
         };
         let (link, reply) = reply;
-        *slot = Some(link);
-        drop(slot);
-        parse(&reply)
+        *kept_link = Some(link);
+        drop(kept_link);
+        parse_status(&reply)
     }
 
-    async fn fresh(&self, sql: &str) -> Result<(link::Link, reply::Reply), upstream::Failure> {
+    async fn exchange_on_new_link(
+        &self,
+        sql: &str,
+    ) -> Result<(link::Link, reply::Reply), upstream::Failure> {
         let link = link::Link::open(self.address, &self.database, &self.options.link).await?;
-        run(link, sql).await
+        run_query(link, sql).await
     }
 }
 
 impl upstream::Upstream for Control {
     fn status(&self) -> BoxFuture<'_, Result<status::Status, upstream::Failure>> {
         let sql = CompactString::const_new("SELECT * FROM group_status()");
-        Box::pin(self.ask(sql, self.options.probe))
+        Box::pin(self.request(sql, self.options.probe))
     }
 
     fn fence(&self, term: id::Term) -> BoxFuture<'_, Result<status::Status, upstream::Failure>> {
         let sql = format_compact!("SELECT * FROM group_fence({term})");
-        Box::pin(self.ask(sql, self.options.change))
+        Box::pin(self.request(sql, self.options.change))
     }
 
     fn promote(&self, term: id::Term) -> BoxFuture<'_, Result<status::Status, upstream::Failure>> {
         let sql = format_compact!("SELECT * FROM group_promote({term})");
-        Box::pin(self.ask(sql, self.options.change))
+        Box::pin(self.request(sql, self.options.change))
     }
 
     fn open(&self) -> BoxFuture<'_, Result<Box<dyn upstream::Connection>, upstream::Failure>> {
@@ -135,7 +138,7 @@
     }
 }
 
-async fn run(
+async fn run_query(
     mut link: link::Link,
     sql: &str,
 ) -> Result<(link::Link, reply::Reply), upstream::Failure> {
@@ -145,26 +148,26 @@
 }
 
 /// Reads the one row of a control answer; an SQL error proves that nothing ran.
-fn parse(reply: &reply::Reply) -> Result<status::Status, upstream::Failure> {
+fn parse_status(reply: &reply::Reply) -> Result<status::Status, upstream::Failure> {
     let refusal = reply
         .frames
         .iter()
         .find(|frame| frame.tag == response::MESSAGE_TYPE_BYTE_ERROR_RESPONSE);
     if let Some(frame) = refusal {
-        let words = frame.decode::<response::ErrorResponse>().map_or_else(
+        let message = frame.decode::<response::ErrorResponse>().map_or_else(
             |error| error.to_string(),
             |error| assembly::describe(&error),
         );
-        return Err(upstream::Failure::NotRun(words.into()));
+        return Err(upstream::Failure::NotRun(message.into()));
     }
-    row(&reply.frames).map_err(|error| upstream::Failure::Unknown(format_compact!("{error}")))
+    parse_row(&reply.frames).map_err(|error| upstream::Failure::Unknown(format_compact!("{error}")))
 }
 
-fn row(frames: &[frame::Frame]) -> eyre::Result<status::Status> {
-    let columns = find(frames, data::MESSAGE_TYPE_BYTE_ROW_DESCRITION)?;
+fn parse_row(frames: &[frame::Frame]) -> eyre::Result<status::Status> {
+    let columns = find_frame(frames, data::MESSAGE_TYPE_BYTE_ROW_DESCRITION)?;
     let columns = columns.decode::<data::RowDescription>()?.fields;
-    let values = find(frames, data::MESSAGE_TYPE_BYTE_DATA_ROW)?;
-    let values = cells(values.decode::<data::DataRow>()?.data.freeze())?;
+    let values = find_frame(frames, data::MESSAGE_TYPE_BYTE_DATA_ROW)?;
+    let values = parse_cells(values.decode::<data::DataRow>()?.data.freeze())?;
     let column = |name: &str| {
         let index = columns.iter().position(|column| column.name == name);
         index
@@ -174,13 +177,13 @@
     Ok(status::Status {
         stamp: stamp::Stamp::new(column("term")?.parse()?, column("position")?.parse()?),
         fence: column("fence")?.parse()?,
-        role: role(column("role")?)?,
+        role: parse_role(column("role")?)?,
         voter: column("voter")?.parse()?,
         incarnation: column("incarnation")?.parse()?,
     })
 }
 
-fn role(text: &str) -> eyre::Result<role::Role> {
+fn parse_role(text: &str) -> eyre::Result<role::Role> {
     match text {
         "primary" => Ok(role::Role::Primary),
         "replica" => Ok(role::Role::Replica),
@@ -188,14 +191,14 @@
     }
 }
 
-fn find(frames: &[frame::Frame], tag: u8) -> eyre::Result<&frame::Frame> {
+fn find_frame(frames: &[frame::Frame], tag: u8) -> eyre::Result<&frame::Frame> {
     frames
         .iter()
         .find(|frame| frame.tag == tag)
         .ok_or_else(|| eyre::eyre!("control answer without {:?} message", char::from(tag)))
 }
 
-fn cells(mut data: bytes::Bytes) -> eyre::Result<Vec<CompactString>> {
+fn parse_cells(mut data: bytes::Bytes) -> eyre::Result<Vec<CompactString>> {
     let mut cells = Vec::new();
     while data.has_remaining() {
         let length = usize::try_from(data.try_get_i32()?)?;
--- a/src/control/tests.rs
+++ b/src/control/tests.rs
@@ -43,11 +43,11 @@
         voter: false,
         incarnation: 9,
     };
-    assert_eq!(parse(&answer(cells)), Ok(expected));
+    assert_eq!(parse_status(&answer(cells)), Ok(expected));
 }
 
 #[test]
-fn takes_no_half_row_for_a_status() {
+fn an_incomplete_row_is_not_a_status() {
     let cells = [
         ("role", "primary"),
         ("voter", "true"),
@@ -56,15 +56,15 @@
         ("term", "3"),
         ("rank", "9"),
     ];
-    let unknown = |reply| matches!(parse(&reply), Err(upstream::Failure::Unknown(_)));
+    let unknown = |reply| matches!(parse_status(&reply), Err(upstream::Failure::Unknown(_)));
     assert!(unknown(answer(cells)));
     assert!(unknown(reply(Vec::new())));
 }
 
 #[test]
-fn an_error_proves_that_nothing_ran() {
+fn an_sql_error_is_reported_as_not_run() {
     let fields = vec![(b'C', "55000".to_owned()), (b'M', "no fence".to_owned())];
     let error = frame::Frame::encode(&response::ErrorResponse::new(fields));
     let expected = upstream::Failure::NotRun("55000 no fence".into());
-    assert_eq!(parse(&reply(vec![error])), Err(expected));
+    assert_eq!(parse_status(&reply(vec![error])), Err(expected));
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -35,16 +35,16 @@
 use crate::telemetry;
 
 /// Threads that run the tasks of one process.
-const THREADS: usize = 4;
+const EXECUTOR_THREADS: usize = 4;
 
 /// Longest wait for the seats to be given back.
-const RELEASE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
+const SEAT_RELEASE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// Time between two looks at whether the seats are given back.
-const RELEASE_POLL: time::Duration = time::Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
 /// Wait after a failed accept, such as for lack of file descriptors.
-const ACCEPT_PAUSE: time::Duration = time::Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
 
 /// Greeting of the proxies of one installation, until keys are configured.
 const PEER_KEY: &str = "mangotray";
@@ -53,8 +53,8 @@
 pub struct Daemon {
     context: sync::Arc<Context>,
     listener: sync::Arc<listener::Listener>,
-    callers: net::SocketAddr,
-    admin: net::SocketAddr,
+    caller_address: net::SocketAddr,
+    admin_address: net::SocketAddr,
     stop: async_channel::Sender<()>,
     threads: Vec<thread::JoinHandle<()>>,
     drain_timeout: time::Duration,
@@ -77,15 +77,17 @@
     /// When an address cannot be bound.
     pub fn start(settings: &settings::Settings, policy: policy::Policy) -> eyre::Result<Self> {
         let executor = sync::Arc::new(async_executor::Executor::new());
-        let (stop, stopped) = async_channel::bounded(1);
-        let threads = (0..THREADS).map(|_| work(&executor, &stopped)).collect();
-        let started = executor.spawn(open(settings.clone(), policy, executor.clone()));
-        let opened = futures_lite::future::block_on(started)?;
+        let (stop, stop_signal) = async_channel::bounded(1);
+        let threads = (0..EXECUTOR_THREADS)
+            .map(|_| spawn_thread(&executor, &stop_signal))
+            .collect();
+        let started = executor.spawn(start_components(settings.clone(), policy, executor.clone()));
+        let components = futures_lite::future::block_on(started)?;
         Ok(Self {
-            context: opened.context,
-            callers: opened.listener.address()?,
-            listener: opened.listener,
-            admin: opened.admin,
+            context: components.context,
+            caller_address: components.listener.address()?,
+            listener: components.listener,
+            admin_address: components.admin,
             stop,
             threads,
             drain_timeout: settings.limits.drain_timeout,
@@ -94,14 +96,14 @@
 
     /// Where callers connect.
     #[must_use]
-    pub fn callers(&self) -> net::SocketAddr {
-        self.callers
+    pub fn caller_address(&self) -> net::SocketAddr {
+        self.caller_address
     }
 
     /// Where operators ask for status and metrics.
     #[must_use]
-    pub fn admin(&self) -> net::SocketAddr {
-        self.admin
+    pub fn admin_address(&self) -> net::SocketAddr {
+        self.admin_address
     }
 
     /// Revision of the configuration in force.
@@ -123,30 +125,30 @@
         self.context.drain.start();
         self.context.directory.drain();
         self.context.enrolment.mark_draining().await;
-        let complete = within(self.drain_timeout, self.idle()).await;
+        let complete = completes_within(self.drain_timeout, self.wait_until_idle()).await;
         // Others get the seats at once; without it they wait for the lease to end.
-        within(RELEASE_TIMEOUT, self.released()).await;
+        completes_within(SEAT_RELEASE_TIMEOUT, self.wait_for_seat_release()).await;
         self.context.enrolment.revoke_lease().await;
         self.halt();
         complete
     }
 
     /// Waits until neither callers nor peers have anything under way here.
-    async fn idle(&self) {
-        self.listener.ended().await;
+    async fn wait_until_idle(&self) {
+        self.listener.wait_until_idle().await;
         while self.context.directory.busy() {
-            async_io::Timer::after(RELEASE_POLL).await;
+            async_io::Timer::after(DRAIN_POLL_INTERVAL).await;
         }
         // The last answers to peers are still on their way out.
-        async_io::Timer::after(RELEASE_POLL).await;
+        async_io::Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 
     /// Waits until this VM's seats are given back, so that others use them at once
     /// instead of after the end of the lease.
-    async fn released(&self) {
+    async fn wait_for_seat_release(&self) {
         let serving = |entry: &sync::Arc<entry::Entry>| entry.runtime().is_some();
         while self.context.directory.entries().values().any(serving) {
-            async_io::Timer::after(RELEASE_POLL).await;
+            async_io::Timer::after(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -158,40 +160,40 @@
     }
 }
 
-struct Opened {
+struct Components {
     context: sync::Arc<Context>,
     listener: sync::Arc<listener::Listener>,
     admin: net::SocketAddr,
 }
 
-fn work(
+fn spawn_thread(
     executor: &sync::Arc<async_executor::Executor<'static>>,
-    stopped: &async_channel::Receiver<()>,
+    stop_signal: &async_channel::Receiver<()>,
 ) -> thread::JoinHandle<()> {
     let executor = executor.clone();
-    let stopped = stopped.clone();
+    let stop_signal = stop_signal.clone();
     thread::spawn(move || {
-        let _ = async_io::block_on(executor.run(stopped.recv()));
+        let _ = async_io::block_on(executor.run(stop_signal.recv()));
     })
 }
 
-async fn open(
+async fn start_components(
     settings: settings::Settings,
     policy: policy::Policy,
     executor: sync::Arc<async_executor::Executor<'static>>,
-) -> eyre::Result<Opened> {
+) -> eyre::Result<Components> {
     let clock: sync::Arc<dyn clock::Clock> = sync::Arc::new(clock::Monotonic::new());
     let mut options = platform::Options::new(settings.platform.address);
     options.timeout = settings.platform.timeout;
     let client = sync::Arc::new(platform::Client::new(options, &executor));
     let store: sync::Arc<dyn store::Store> = client.clone();
     let hello = hello::Hello::new(PEER_KEY);
-    let peers = forward::Pool::new(endpoint::Means {
+    let peers = forward::Pool::new(endpoint::Resources {
         connector: Box::new(dial::Tcp),
         hello: hello.clone(),
         executor: executor.clone(),
         clock: clock.clone(),
-        silence: dial::SILENCE,
+        ping_timeout: dial::PING_TIMEOUT,
     });
     let incarnation = fastrand::u64(1..u64::MAX);
     let shared = directory::Shared {
@@ -201,7 +203,7 @@
         store: store.clone(),
         clock: clock.clone(),
         policy,
-        control: control(&settings.limits),
+        control: control_options(&settings.limits),
         peers: sync::Arc::new(peers),
         executor: executor.clone(),
     };
@@ -214,13 +216,13 @@
         startup_timeout: settings.limits.startup_timeout,
         ..session::Limits::default()
     };
-    let callers = session::Context::new(switch, clock.clone(), limits, drain.clone());
+    let sessions = session::Context::new(switch, clock.clone(), limits, drain.clone());
     let bounds = listener::Limits {
         connections: settings.limits.callers,
-        address: settings.limits.callers_per_address,
+        connections_per_address: settings.limits.callers_per_address,
     };
     let listener =
-        listener::Listener::bind(settings.listen.callers, sync::Arc::new(callers), bounds).await?;
+        listener::Listener::bind(settings.listen.callers, sync::Arc::new(sessions), bounds).await?;
     let listener = sync::Arc::new(listener);
     let report = sync::Arc::new(report::Report::new(
         settings.vm.name.clone(),
@@ -260,7 +262,7 @@
         clock,
         executor: executor.clone(),
         hello,
-        idle: accept::IDLE,
+        idle_timeout: accept::IDLE_TIMEOUT,
     };
     let accepting = serve_peers(peer_listener, sync::Arc::new(server), executor.clone());
     executor.spawn(accepting).detach();
@@ -272,15 +274,15 @@
         gossip,
         drain,
     });
-    spawn(&executor, &context, &listener);
-    Ok(Opened {
+    spawn_tasks(&executor, &context, &listener);
+    Ok(Components {
         context,
         listener,
         admin,
     })
 }
 
-fn control(limits: &settings::Limits) -> control::Options {
+fn control_options(limits: &settings::Limits) -> control::Options {
     let mut options = control::Options::default();
     options.link.limit = limits.answer_bytes;
     options
@@ -295,7 +297,7 @@
     sync::Arc::new(enrolment)
 }
 
-fn spawn(
+fn spawn_tasks(
     executor: &sync::Arc<async_executor::Executor<'static>>,
     context: &sync::Arc<Context>,
     listener: &sync::Arc<listener::Listener>,
@@ -315,7 +317,7 @@
     executor
         .spawn(async move {
             listener.run(&tasks).await;
-            listener.turn_away(&tasks).await;
+            listener.refuse_callers(&tasks).await;
         })
         .detach();
 }
@@ -339,14 +341,14 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "peer connection not accepted");
-                async_io::Timer::after(ACCEPT_PAUSE).await;
+                async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Whether the task ended in time.
-async fn within(timeout: time::Duration, task: impl Future<Output = ()>) -> bool {
+async fn completes_within(timeout: time::Duration, task: impl Future<Output = ()>) -> bool {
     let done = async {
         task.await;
         true
--- a/src/dial.rs
+++ b/src/dial.rs
@@ -15,25 +15,25 @@
 use crate::wire;
 
 /// Longest time for a connection to be made and to pass its greeting.
-pub const TIMEOUT: time::Duration = time::Duration::from_millis(500);
+pub const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
 /// A connection whose ping stays unanswered for so long is given up; a peer that
 /// was cut off without a word would otherwise hold every request to its deadline.
-pub const SILENCE: time::Duration = time::Duration::from_millis(1500);
+pub const PING_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 /// Pings are this many times as frequent as the longest silence.
-const PINGS: u32 = 3;
+const PINGS_PER_TIMEOUT: u32 = 3;
 
 /// Time beyond the deadline that the answer of a peer is waited for, as an answer
 /// that says what became of the request is better than not knowing.
-pub const GRACE: time::Duration = time::Duration::from_millis(50);
+pub const ANSWER_GRACE: time::Duration = time::Duration::from_millis(50);
 
 /// Deadline of calls that carry no batch.
-const CALL: time::Duration = time::Duration::from_secs(3);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
 /// Expiry that `tarpc` itself watches; far behind this module's own, because its
 /// cancellation cannot tell a batch that ran from one that did not.
-const BACKSTOP: time::Duration = time::Duration::from_mins(1);
+const RPC_DEADLINE_MARGIN: time::Duration = time::Duration::from_mins(1);
 
 /// Opens byte streams to peers: plain TCP today, TLS once there are certificates.
 pub trait Connector: Send + Sync {
@@ -77,7 +77,7 @@
     client: peer::PeerClient,
     executor: sync::Arc<async_executor::Executor<'static>>,
     alive: sync::Arc<atomic::AtomicBool>,
-    sessions: atomic::AtomicU64,
+    next_session: atomic::AtomicU64,
     _task: async_executor::Task<()>,
 }
 
@@ -91,30 +91,30 @@
         stream: Box<dyn wire::Duplex>,
         hello: &hello::Hello,
         executor: sync::Arc<async_executor::Executor<'static>>,
-        silence: time::Duration,
+        ping_timeout: time::Duration,
     ) -> io::Result<Self> {
         let transport = hello.connect(stream).await?;
         let config = client::Config::default();
-        let new = peer::PeerClient::new(config, transport);
-        let client = new.client;
+        let new_client = peer::PeerClient::new(config, transport);
+        let client = new_client.client;
         let alive = sync::Arc::new(atomic::AtomicBool::new(true));
-        let ended = alive.clone();
-        let pings = ping(client.clone(), silence);
-        let work = async move {
+        let alive_flag = alive.clone();
+        let pings = ping(client.clone(), ping_timeout);
+        let task = async move {
             let dispatch = async {
-                let end = new.dispatch.await;
+                let end = new_client.dispatch.await;
                 end.map_err(|error| io::Error::other(error.to_string()))
             };
             let end = futures_lite::future::or(dispatch, pings).await;
-            ended.store(false, atomic::Ordering::Release);
+            alive_flag.store(false, atomic::Ordering::Release);
             tracing::info!(?end, "connection to a peer ended");
         };
         Ok(Self {
             client,
-            _task: executor.spawn(work.compat()),
+            _task: executor.spawn(task.compat()),
             executor,
             alive,
-            sessions: atomic::AtomicU64::new(0),
+            next_session: atomic::AtomicU64::new(0),
         })
     }
 
@@ -126,8 +126,8 @@
 
     /// Draws a number for a new session.
     #[must_use]
-    pub fn session(&self) -> peer::Session {
-        self.sessions.fetch_add(1, atomic::Ordering::Relaxed)
+    pub fn new_session(&self) -> peer::Session {
+        self.next_session.fetch_add(1, atomic::Ordering::Relaxed)
     }
 
     /// Runs one batch at the peer.
@@ -140,14 +140,17 @@
             return Err(Failure::Unsent);
         }
         let mark = run.mark.clone();
-        let patience = run.remaining + GRACE;
+        let timeout = run.remaining + ANSWER_GRACE;
         let call = async {
-            let result = self.client.run(context(patience + BACKSTOP), run).await;
+            let result = self
+                .client
+                .run(context(timeout + RPC_DEADLINE_MARGIN), run)
+                .await;
             result.map_err(|error| self.failure(&error, &mark))
         };
         let expiry = async {
-            async_io::Timer::after(patience).await;
-            Err(settle(&mark, Failure::Expired))
+            async_io::Timer::after(timeout).await;
+            Err(failure_after_abandoning(&mark, Failure::Expired))
         };
         futures_lite::future::or(call, expiry).await
     }
@@ -161,16 +164,16 @@
             }
             client::RpcError::DeadlineExceeded | client::RpcError::Server(_) => {}
         }
-        settle(mark, Failure::Lost)
+        failure_after_abandoning(mark, Failure::Lost)
     }
 
     /// Ends a session without waiting for it.
     pub fn close(&self, session: peer::Session) {
         let client = self.client.clone();
-        let work = async move {
-            client.close(context(CALL), session).await.ok();
+        let task = async move {
+            client.close(context(CALL_TIMEOUT), session).await.ok();
         };
-        self.executor.spawn(work).detach();
+        self.executor.spawn(task).detach();
     }
 
     /// Asks for the peer's news.
@@ -178,7 +181,7 @@
     /// # Errors
     /// When the connection breaks or no answer comes in time.
     pub async fn exchange(&self, digest: peer::Digest) -> Result<peer::News, Failure> {
-        bounded(self.client.exchange(context(CALL), digest)).await
+        with_call_timeout(self.client.exchange(context(CALL_TIMEOUT), digest)).await
     }
 
     /// Pushes news to the peer.
@@ -186,7 +189,7 @@
     /// # Errors
     /// When the connection breaks or no answer comes in time.
     pub async fn announce(&self, news: peer::News) -> Result<(), Failure> {
-        bounded(self.client.announce(context(CALL), news)).await
+        with_call_timeout(self.client.announce(context(CALL_TIMEOUT), news)).await
     }
 
     /// Asks whether the peer, too, sees that primary as failed.
@@ -194,36 +197,38 @@
     /// # Errors
     /// When the connection breaks or no answer comes in time.
     pub async fn suspects(&self, suspect: peer::Suspect) -> Result<bool, Failure> {
-        bounded(self.client.suspects(context(CALL), suspect)).await
+        with_call_timeout(self.client.suspects(context(CALL_TIMEOUT), suspect)).await
     }
 }
 
-fn settle(mark: &peer::Transmission, sent: Failure) -> Failure {
+fn failure_after_abandoning(mark: &peer::Transmission, failure_if_sent: Failure) -> Failure {
     if mark.abandon() {
         Failure::Unsent
     } else {
-        sent
+        failure_if_sent
     }
 }
 
-async fn bounded<T>(call: impl Future<Output = Result<T, client::RpcError>>) -> Result<T, Failure> {
+async fn with_call_timeout<T>(
+    call: impl Future<Output = Result<T, client::RpcError>>,
+) -> Result<T, Failure> {
     let call = async { call.await.map_err(|_| Failure::Lost) };
     let expiry = async {
-        async_io::Timer::after(CALL).await;
+        async_io::Timer::after(CALL_TIMEOUT).await;
         Err(Failure::Expired)
     };
     futures_lite::future::or(call, expiry).await
 }
 
-async fn ping(client: peer::PeerClient, silence: time::Duration) -> io::Result<()> {
+async fn ping(client: peer::PeerClient, ping_timeout: time::Duration) -> io::Result<()> {
     loop {
-        async_io::Timer::after(silence / PINGS).await;
+        async_io::Timer::after(ping_timeout / PINGS_PER_TIMEOUT).await;
         let call = async {
-            let call = client.ping(context(silence + BACKSTOP));
+            let call = client.ping(context(ping_timeout + RPC_DEADLINE_MARGIN));
             call.await.map_err(io::Error::other)
         };
         let expiry = async {
-            async_io::Timer::after(silence).await;
+            async_io::Timer::after(ping_timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
         futures_lite::future::or(call, expiry).await?;
--- a/src/forward.rs
+++ b/src/forward.rs
@@ -40,16 +40,16 @@
 
 /// Connections to peers, by address.
 pub struct Pool {
-    means: sync::Arc<endpoint::Means>,
+    resources: sync::Arc<endpoint::Resources>,
     endpoints: papaya::HashMap<net::SocketAddr, sync::Arc<endpoint::Endpoint>>,
 }
 
 impl Pool {
     /// Creates a pool without connections.
     #[must_use]
-    pub fn new(means: endpoint::Means) -> Self {
+    pub fn new(resources: endpoint::Resources) -> Self {
         Self {
-            means: sync::Arc::new(means),
+            resources: sync::Arc::new(resources),
             endpoints: papaya::HashMap::new(),
         }
     }
@@ -58,7 +58,8 @@
     #[must_use]
     pub fn endpoint(&self, address: net::SocketAddr) -> sync::Arc<endpoint::Endpoint> {
         let endpoints = self.endpoints.pin();
-        let new_endpoint = || sync::Arc::new(endpoint::Endpoint::new(address, self.means.clone()));
+        let new_endpoint =
+            || sync::Arc::new(endpoint::Endpoint::new(address, self.resources.clone()));
         endpoints.get_or_insert_with(address, new_endpoint).clone()
     }
 
@@ -69,7 +70,7 @@
     }
 
     fn now(&self) -> id::Time {
-        self.means.clock.now()
+        self.resources.clock.now()
     }
 }
 
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -24,14 +24,14 @@
     /// Connections in all.
     pub connections: usize,
     /// Connections from one address.
-    pub address: usize,
+    pub connections_per_address: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
             connections: 2_000,
-            address: 1_000,
+            connections_per_address: 1_000,
         }
     }
 }
@@ -47,19 +47,19 @@
 /// Open connections, by address.
 #[derive(Debug, Default)]
 struct Sessions {
-    open: sync::Mutex<Open>,
-    ended: Event,
+    counts: sync::Mutex<Counts>,
+    session_end: Event,
 }
 
 #[derive(Debug, Default)]
-struct Open {
+struct Counts {
     total: usize,
     addresses: collections::HashMap<net::IpAddr, usize>,
 }
 
-/// Place of one open connection; dropping it frees the place.
+/// Permit of one open connection; dropping it frees the permit.
 #[derive(Debug)]
-struct Place {
+struct Permit {
     sessions: sync::Arc<Sessions>,
     address: net::IpAddr,
 }
@@ -93,16 +93,16 @@
     /// Accepts callers until the process drains, one task on the executor for each.
     pub async fn run(&self, executor: &sync::Arc<Executor<'static>>) {
         let drain = self.context.drain.clone();
-        let drained = async {
+        let drain_started = async {
             drain.wait().await;
             None
         };
-        let mut drained = std::pin::pin!(drained);
+        let mut drain_started = std::pin::pin!(drain_started);
         loop {
             let accept = async { Some(self.socket.accept().await) };
-            match drained.as_mut().or(accept).await {
+            match drain_started.as_mut().or(accept).await {
                 Some(Ok((socket, peer))) => self.admit(socket, peer.ip(), executor),
-                Some(Err(error)) => self.pause(&error).await,
+                Some(Err(error)) => self.pause_after_error(&error).await,
                 None => return,
             }
         }
@@ -110,7 +110,7 @@
 
     /// Tells callers that come during the drain to go elsewhere; run it after `run`.
     /// Left in the socket's backlog they would hang until the process ends.
-    pub async fn turn_away(&self, executor: &sync::Arc<Executor<'static>>) {
+    pub async fn refuse_callers(&self, executor: &sync::Arc<Executor<'static>>) {
         loop {
             match self.socket.accept().await {
                 Ok((socket, _)) => {
@@ -118,29 +118,29 @@
                     let refusal = async move { writer::close(stream, &writer::shutdown()).await };
                     executor.spawn(refusal).detach();
                 }
-                Err(error) => self.pause(&error).await,
+                Err(error) => self.pause_after_error(&error).await,
             }
         }
     }
 
     /// An accept fails when the process is out of descriptors; trying again at once
     /// would keep a core busy until one is free.
-    async fn pause(&self, error: &io::Error) {
+    async fn pause_after_error(&self, error: &io::Error) {
         tracing::warn!(target: "mangotray::session", %error, "accept failed");
-        async_io::Timer::after(ACCEPT_PAUSE).await;
+        async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
     }
 
     fn admit(&self, socket: TcpStream, address: net::IpAddr, executor: &Executor<'static>) {
         // Answers are written whole, so waiting to fill packets only adds delay.
         let _ = socket.set_nodelay(true);
         let stream = wire::stream(Box::new(socket));
-        match self.place(address) {
-            Ok(place) => {
+        match self.acquire_permit(address) {
+            Ok(permit) => {
                 let context = self.context.clone();
                 executor
                     .spawn(async move {
                         session::serve(stream, context).await;
-                        drop(place);
+                        drop(permit);
                     })
                     .detach();
             }
@@ -153,18 +153,21 @@
         }
     }
 
-    fn place(&self, address: net::IpAddr) -> Result<Place, refusal::Error> {
-        let mut open = self.sessions.lock();
-        let count = open.addresses.get(&address).copied().unwrap_or(0);
-        if open.total >= self.limits.connections {
-            return Err(full("connections", self.limits.connections));
+    fn acquire_permit(&self, address: net::IpAddr) -> Result<Permit, refusal::Error> {
+        let mut counts = self.sessions.lock();
+        let count = counts.addresses.get(&address).copied().unwrap_or(0);
+        if counts.total >= self.limits.connections {
+            return Err(too_many("connections", self.limits.connections));
         }
-        if count >= self.limits.address {
-            return Err(full("connections from one address", self.limits.address));
+        if count >= self.limits.connections_per_address {
+            return Err(too_many(
+                "connections from one address",
+                self.limits.connections_per_address,
+            ));
         }
-        open.total += 1;
-        open.addresses.insert(address, count + 1);
-        Ok(Place {
+        counts.total += 1;
+        counts.addresses.insert(address, count + 1);
+        Ok(Permit {
             sessions: self.sessions.clone(),
             address,
         })
@@ -172,15 +175,15 @@
 
     /// Open connections.
     #[must_use]
-    pub fn sessions(&self) -> usize {
+    pub fn session_count(&self) -> usize {
         self.sessions.lock().total
     }
 
     /// Waits until no connection is open.
-    pub async fn ended(&self) {
-        while self.sessions() > 0 {
-            let listener = self.sessions.ended.listen();
-            if self.sessions() == 0 {
+    pub async fn wait_until_idle(&self) {
+        while self.session_count() > 0 {
+            let listener = self.sessions.session_end.listen();
+            if self.session_count() == 0 {
                 return;
             }
             listener.await;
@@ -188,36 +191,36 @@
     }
 }
 
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
-fn full(what: &str, limit: usize) -> refusal::Error {
+fn too_many(connection_kind: &str, limit: usize) -> refusal::Error {
     refusal::Error::fatal(
         refusal::TOO_MANY_CONNECTIONS,
-        format_compact!("too many {what}; the limit is {limit}"),
+        format_compact!("too many {connection_kind}; the limit is {limit}"),
     )
     .hint("Close connections that are no longer needed, or connect to another proxy.")
 }
 
 impl Sessions {
-    fn lock(&self) -> sync::MutexGuard<'_, Open> {
-        self.open.lock().expect("no panic while counting")
+    fn lock(&self) -> sync::MutexGuard<'_, Counts> {
+        self.counts.lock().expect("no panic while counting")
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
-        let mut open = self.sessions.lock();
-        open.total -= 1;
-        let count = open.addresses.get_mut(&self.address);
+        let mut counts = self.sessions.lock();
+        counts.total -= 1;
+        let count = counts.addresses.get_mut(&self.address);
         let left = count.map_or(0, |count| {
             *count -= 1;
             *count
         });
         if left == 0 {
-            open.addresses.remove(&self.address);
+            counts.addresses.remove(&self.address);
         }
-        drop(open);
-        self.sessions.ended.notify(usize::MAX);
+        drop(counts);
+        self.sessions.session_end.notify(usize::MAX);
     }
 }
 
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -114,7 +114,7 @@
         let answer = self.calls.call(consul::put(path, body), limit, false).await;
         count("change", answer.is_ok());
         match answer {
-            Ok(answer) => consul::accepted(answer),
+            Ok(answer) => consul::check_change(answer),
             Err(failure) if failure.sent => Err(store::Failure::Unknown(failure.detail.into())),
             Err(failure) => Err(store::Failure::NotRun(failure.detail.into())),
         }
@@ -122,7 +122,7 @@
 
     async fn entries(&self, path: &str) -> Result<Vec<store::Entry>, store::Failure> {
         let answer = self.read(&self.calls, path, self.timeout).await?;
-        consul::rows(&answer)
+        consul::entries(&answer)
     }
 
     async fn seen(
@@ -139,7 +139,7 @@
             .read(&self.watches, &path, self.timeout + patience)
             .await?;
         let index = answer.index.unwrap_or_default();
-        let entry = consul::rows(&answer)?.pop();
+        let entry = consul::entries(&answer)?.pop();
         Ok(Seen { entry, index })
     }
 
@@ -239,8 +239,8 @@
             };
             let body = serde_json::to_vec(&session).expect("plain strings");
             let answer = self.change("/v1/session/create", body.into()).await?;
-            serde_json::from_slice::<consul::Created>(&answer.body)
-                .map(|created| created.id)
+            serde_json::from_slice::<consul::SessionId>(&answer.body)
+                .map(|session| session.id)
                 .map_err(|error| store::Failure::Unknown(error.to_string().into()))
         }
         .boxed()
--- a/src/remote.rs
+++ b/src/remote.rs
@@ -30,7 +30,7 @@
         Self {
             vm,
             address,
-            id: connection.session(),
+            id: connection.new_session(),
             connection,
             sequence: 0,
             opened: false,
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -235,7 +235,7 @@
 fn the_status_of_a_proxy_is_found_by_its_address_alone() {
     let platform = Platform::start();
     let proxy = platform.proxy("entry-7");
-    let admin = proxy.admin().to_string();
+    let admin = proxy.admin_address().to_string();
     let environment = Environment::new();
     let run = environment.client(&["status", "--admin", &admin, "--admin", NOBODY]);
     proxy.crash();
@@ -428,7 +428,7 @@
 fn an_applied_file_reaches_a_running_proxy() {
     let platform = Platform::start();
     let proxy = platform.proxy("entry-1");
-    let admin = proxy.admin().to_string();
+    let admin = proxy.admin_address().to_string();
     let environment = Environment::new().with("system.ini", CATALOG);
     let applied = environment.client(&["apply", "system.ini", "--platform", &platform.address()]);
     assert_eq!(applied.code, 0, "{applied:?}");
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -209,7 +209,11 @@
         Self::listen(name, bind(), LONG)
     }
 
-    fn listen(name: &'static str, listener: async_net::TcpListener, idle: Duration) -> Self {
+    fn listen(
+        name: &'static str,
+        listener: async_net::TcpListener,
+        idle_timeout: Duration,
+    ) -> Self {
         let executor = executor();
         let upstream = Upstream::new(name);
         let handler = sync::Arc::new(Handler {
@@ -221,7 +225,7 @@
             clock: sync::Arc::new(clock::Monotonic::new()),
             executor: executor.clone(),
             hello: hello::Hello::new(KEY),
-            idle,
+            idle_timeout,
         });
         let address = listener.local_addr().unwrap();
         let tasks = sync::Arc::new(sync::Mutex::new(Vec::new()));
@@ -291,12 +295,12 @@
     fn start(key: &str) -> Self {
         let clock = sync::Arc::new(clock::Monotonic::new());
         let executor = executor();
-        let pool = forward::Pool::new(endpoint::Means {
+        let pool = forward::Pool::new(endpoint::Resources {
             connector: Box::new(dial::Tcp),
             hello: hello::Hello::new(key),
             executor: executor.clone(),
             clock: clock.clone(),
-            silence: LONG,
+            ping_timeout: LONG,
         });
         Self {
             clock,
@@ -636,7 +640,7 @@
             let text = format!("INSERT {number}");
             let batch = entry.batch(class::Class::Write, &text, GENEROUS);
             let mut run = peer::Run::new(&batch, entry.clock.now());
-            run.session = connection.session();
+            run.session = connection.new_session();
             run.open = Some("shows".into());
             connection.run(run)
         });
@@ -773,7 +777,7 @@
         let connection = entry.connection(a.address, LONG).await;
         let run = |class, text| {
             let mut run = peer::Run::new(&entry.batch(class, text, GENEROUS), entry.clock.now());
-            run.session = connection.session();
+            run.session = connection.new_session();
             run.open = Some("shows".into());
             connection.run(run)
         };
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -94,7 +94,7 @@
         let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
         let bounds = listener::Limits {
             connections: 4,
-            address: 3,
+            connections_per_address: 3,
         };
         let listener = listener::Listener::bind(any, context, bounds);
         let listener = futures_lite::future::block_on(listener).unwrap();
@@ -103,7 +103,7 @@
             let executor = sync::Arc::new(Executor::new());
             futures_lite::future::block_on(executor.run(async {
                 listener.run(&executor).await;
-                listener.ended().await;
+                listener.wait_until_idle().await;
             }));
         });
         Self {
