--- a/src/accept.rs
+++ b/src/accept.rs
@@ -1,4 +1,4 @@
-//! Serving side of the connections between proxies.
+//! Server side of the connections between proxies.
 
 use std::collections::HashMap;
 use std::io;
@@ -21,42 +21,44 @@
 use crate::reply;
 use crate::wire;
 
-/// A connection from which nothing came for so long is given up. Its client pings
-/// several times in that span, so only a dead or cut-off client stays silent; its
-/// open transactions would otherwise hold their locks and connections for ever.
+/// Time without a request after which a connection is closed. The client pings several times in
+/// this period, so a silent client has ended or is cut off. If its connection stayed open, its open
+/// transactions would hold their locks and upstream connections forever.
 pub const IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// Most sessions that one connection may hold.
+/// Maximum number of sessions on one connection.
 const MAX_SESSIONS: usize = 65_536;
 
-/// Bytes that a frame takes at most besides its body, and a reply besides its frames.
+/// Upper bound for the bytes of an encoded frame besides its body, and of an encoded reply besides
+/// its frames.
 const FRAME_OVERHEAD_BYTES: usize = 256;
 
-/// Answers that wait to be written on one connection.
+/// Maximum number of answers that wait to be written to one connection.
 const MAX_PENDING_ANSWERS: usize = 1024;
 
 type Transport =
     hello::Framed<tarpc::ClientMessage<peer::PeerRequest>, tarpc::Response<peer::PeerResponse>>;
 
-/// Accepts peers and runs their work on this proxy's own lanes.
+/// Accepts connections from peers and runs their batches on this proxy's own lanes.
 pub struct Server {
-    /// The rest of the proxy.
+    /// Operations of this proxy that peers can call.
     pub handler: sync::Arc<dyn peer::Handler>,
-    /// Clock that received deadlines are counted on.
+    /// Clock that the deadlines of received batches refer to.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// Where requests run.
+    /// Executor that runs the requests.
     pub executor: sync::Arc<async_executor::Executor<'static>>,
-    /// Greeting that a peer must match.
+    /// Handshake that a peer must match.
     pub hello: hello::Hello,
-    /// Longest silence of a client, in use [`IDLE_TIMEOUT`].
+    /// Time without a request after which a connection is closed; [`IDLE_TIMEOUT`] except in tests.
     pub idle_timeout: time::Duration,
 }
 
 impl Server {
-    /// Serves one connection until it ends; its sessions end with it.
+    /// Serves one connection until it ends, which also ends its sessions.
     ///
     /// # Errors
-    /// When the other side is not a peer of this system, or the stream breaks.
+    /// When the client is not a peer of this installation, the stream fails, or no request arrives
+    /// within the idle timeout (`TimedOut`).
     pub async fn serve(&self, stream: Box<dyn wire::Duplex>) -> io::Result<()> {
         let transport = self.hello.accept(stream).await?;
         let request_received = atomic::AtomicBool::new(true);
@@ -86,9 +88,9 @@
         Ok(())
     }
 
-    /// Polls a request once in its order of arrival before it runs beside others: a
-    /// session is opened, found or closed in that first step, so a "close" cannot
-    /// overtake the run that opens the session and leave it behind without an owner.
+    /// Polls a request once, in order of arrival, before it runs concurrently with others. The
+    /// first poll opens, finds or closes the session, so a "close" cannot overtake the batch that
+    /// opens the session, which would then stay open without an owner.
     async fn start(&self, request: impl Future<Output = ()> + Send + 'static) {
         let mut request = Box::pin(request);
         if future::poll_once(&mut request).await.is_none() {
@@ -106,6 +108,7 @@
     }
 }
 
+/// Fails when no request has arrived for a whole idle timeout.
 async fn fail_when_idle(
     idle_timeout: time::Duration,
     request_received: &atomic::AtomicBool,
@@ -171,10 +174,10 @@
         }
     }
 
-    /// Runs a batch unless the client closes the session first. Closing gives up a
-    /// batch under way, as dropping a lane on the spot would, so that a request which
-    /// its caller canceled does not hold a slot until its deadline. A broken
-    /// connection does not: the write it left behind runs to its end.
+    /// Runs a batch unless the client closes the session first. Closing the session abandons a
+    /// running batch, as dropping a local lane does, so that a request canceled by its caller does
+    /// not hold a slot until its deadline. A lost connection does not abandon the batch: a write
+    /// that has started runs to its end.
     async fn run(&self, run: peer::Run, clock: &dyn clock::Clock) -> peer::Answer {
         let close = async {
             self.close_signal.1.recv().await.ok();
@@ -203,9 +206,9 @@
         let session = self.0.session(&run)?;
         let (sender, receiver) = async_channel::bounded(1);
         let clock = self.0.clock.clone();
-        // A task of its own, as a request that is cancelled or whose connection
-        // breaks is dropped at any point: a write cut off half way would lose its
-        // confirmation, and with it a connection to the primary.
+        // Runs in a separate task, because the future of a request that is canceled or whose
+        // connection is lost is dropped at any point. A write dropped half way would lose its
+        // confirmation, and its connection to the primary would be unusable.
         let work = async move {
             let answer = session.run(run, &*clock).await;
             sender.send(answer).await.ok();
@@ -236,8 +239,8 @@
     async fn ping(self, _: tarpc::context::Context) {}
 }
 
-/// Keeps an answer back that the connection cannot carry: writing it would fail, and
-/// with it the connection and every other session on it.
+/// Replaces a reply that exceeds the packet limit by an error. Writing it would fail and end the
+/// connection with all other sessions on it.
 fn check_size(reply: reply::Reply) -> peer::Answer {
     let frames = reply.frames.iter();
     let size: usize = frames
@@ -248,7 +251,7 @@
     }
     Err(outcome::Outcome::Unknown {
         reason: reason::Reason::TooLarge,
-        detail: "the request ran, but its answer is too large to relay".into(),
+        detail: "the request ran, but its answer is too large to be relayed".into(),
     })
 }
 
@@ -264,11 +267,11 @@
     }
 }
 
-/// Not "not run": the first message of that number may well have run.
+/// The outcome is unknown, because the first batch with this sequence number may have run.
 fn repeated_request() -> outcome::Outcome {
     outcome::Outcome::Unknown {
         reason: reason::Reason::ConnectionLost,
-        detail: "the request was received before".into(),
+        detail: "the request was already received".into(),
     }
 }
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,23 +1,23 @@
-//! Border to the machine's monotonic clock.
+//! Access to the machine's monotonic clock.
 
 use std::time;
 
 use crate::id;
 
-/// Source of monotonic time, replaceable in tests.
+/// Source of monotonic time; tests replace it.
 pub trait Clock: Send + Sync {
-    /// Time since an arbitrary epoch of this process; never goes back.
+    /// Returns the time since an arbitrary epoch of this process; it never decreases.
     fn now(&self) -> id::Time;
 }
 
-/// The machine's own monotonic clock.
+/// The machine's monotonic clock.
 #[derive(Debug)]
 pub struct Monotonic {
     epoch: time::Instant,
 }
 
 impl Monotonic {
-    /// Starts a clock whose epoch is now.
+    /// Creates a clock whose epoch is the current time.
     ///
     /// ```
     /// use mangotray::clock::{Clock, Monotonic};
--- a/src/consul.rs
+++ b/src/consul.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the platform in their published form.
+//! Requests and answers of the platform's key-value service, in the form of Consul's HTTP API.
 
 use base64::Engine;
 use base64::engine::general_purpose;
@@ -7,7 +7,7 @@
 use crate::http;
 use crate::store;
 
-/// Bytes of a key that need no escape in a path.
+/// Bytes of a key that are percent-encoded in a path.
 const ESCAPED_KEY_BYTES: &percent_encoding::AsciiSet = &percent_encoding::NON_ALPHANUMERIC
     .remove(b'/')
     .remove(b'-')
@@ -15,7 +15,7 @@
     .remove(b'.')
     .remove(b'~');
 
-/// One entry as the service writes it.
+/// One entry of the service's JSON answers.
 #[derive(serde::Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Row {
@@ -25,31 +25,31 @@
     session: Option<store::Lease>,
 }
 
-/// Body of a request for a session.
+/// Body of a request that creates a session.
 #[derive(serde::Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Session {
-    /// Time after which it ends unless renewed, with a unit.
+    /// Time after which the session ends unless it is renewed, with its unit, such as `5000ms`.
     #[serde(rename = "TTL")]
     pub ttl: String,
-    /// What happens to its entries when it ends.
+    /// Treatment of the session's entries when it ends, such as `delete`.
     pub behavior: &'static str,
 }
 
-/// Answer to a request for a session.
+/// Answer to a request that creates a session.
 #[derive(serde::Deserialize)]
 pub struct SessionId {
-    /// The session's number.
+    /// Identifier of the session.
     #[serde(rename = "ID")]
     pub id: store::Lease,
 }
 
-/// A request that reads.
+/// Builds a request that reads.
 pub fn get(path: &str) -> http::Request {
     request(hyper::Method::GET, path, bytes::Bytes::new())
 }
 
-/// A request that changes something.
+/// Builds a request that changes data.
 pub fn put(path: &str, body: bytes::Bytes) -> http::Request {
     request(hyper::Method::PUT, path, body)
 }
@@ -60,15 +60,19 @@
         .uri(path)
         .header(hyper::header::HOST, "platform")
         .body(http_body_util::Full::new(body))
-        .expect("paths are escaped")
+        .expect("paths are percent-encoded")
 }
 
-/// A key as part of a path.
+/// Percent-encodes a key for use in a path; slashes stay.
 pub fn escape(key: &str) -> percent_encoding::PercentEncode<'_> {
     percent_encoding::utf8_percent_encode(key, ESCAPED_KEY_BYTES)
 }
 
-/// Sorts answers to changes by what they prove; 404 is left to the caller.
+/// Checks the status of an answer to a change. The caller handles 404.
+///
+/// # Errors
+/// `NotRun` for the other 4xx statuses and 503, with which the service refuses a call before it
+/// runs it; `Unknown` for all other statuses, which do not tell whether the change was made.
 pub fn check_change(answer: http::Answer) -> Result<http::Answer, store::Failure> {
     let status = answer.status;
     let detail = || CompactString::from(format!("platform answered {status}"));
@@ -81,7 +85,10 @@
     Err(store::Failure::Unknown(detail()))
 }
 
-/// The entries in the answer to a read; none if it is 404.
+/// Parses the entries of an answer to a read; a 404 has none.
+///
+/// # Errors
+/// `NotRun` when the status is not a success or the body cannot be parsed.
 pub fn entries(answer: &http::Answer) -> Result<Vec<store::Entry>, store::Failure> {
     if answer.status == hyper::StatusCode::NOT_FOUND {
         return Ok(Vec::new());
@@ -89,7 +96,10 @@
     parse::<Vec<Row>>(answer)?.into_iter().map(entry).collect()
 }
 
-/// The JSON value in the answer to a read.
+/// Parses the JSON value of an answer to a read.
+///
+/// # Errors
+/// `NotRun` when the status is not a success or the body cannot be parsed.
 pub fn parse<T: serde::de::DeserializeOwned>(answer: &http::Answer) -> Result<T, store::Failure> {
     if !answer.status.is_success() {
         let detail = format!("platform answered {}", answer.status);
@@ -110,7 +120,7 @@
     })
 }
 
-/// Failure of a read whose answer cannot be understood.
+/// Failure of a read whose answer cannot be parsed.
 fn unreadable(error: &dyn std::error::Error) -> store::Failure {
     store::Failure::NotRun(error.to_string().into())
 }
--- a/src/consul/tests.rs
+++ b/src/consul/tests.rs
@@ -23,9 +23,8 @@
     }
 }
 
-// Symptom: an apply is told "not run" though its file is in force.
-// Events: a gateway passes a write on, loses its backend and answers 502 or 504.
-// Cause: those statuses say nothing about the write, so they must map to "unknown".
+// Guards against an apply that reports "not run" although its file is in force. A gateway that
+// forwards a write and then loses its backend answers 502 or 504, and the write may have been made.
 #[test]
 fn server_errors_on_changes_are_reported_as_unknown() {
     for status in [500, 502, 504] {
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,4 @@
-//! Status, fencing and promotion of an instance over SQL.
+//! Status, fence and promotion requests to an instance over SQL.
 
 use std::net;
 use std::time;
@@ -23,16 +23,16 @@
 use crate::upstream;
 use crate::upstream::Connection;
 
-/// Timeouts of the control path, and how its links are opened.
+/// Timeouts of control requests, and options of the links.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Options {
-    /// Longest wait for a status, the opening of the control link included.
+    /// Timeout of a status request, including the time to open the control link.
     #[serde(with = "humantime_serde")]
     pub probe: time::Duration,
-    /// Longest wait for a fence or a promotion.
+    /// Timeout of a fence or a promotion, including the time to open the control link.
     #[serde(with = "humantime_serde")]
     pub change: time::Duration,
-    /// For the control link and for working links alike.
+    /// Options of the control link and of the links that run callers' statements.
     pub link: link::Options,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Control path to one instance; one control request is in flight at a time.
+/// Client for the control requests of one instance; runs one control request at a time.
 pub struct Control {
     address: net::SocketAddr,
     database: CompactString,
@@ -55,7 +55,7 @@
 }
 
 impl Control {
-    /// Describes an instance; connects on the first request.
+    /// Creates a client for the instance at `address`; it connects on the first request.
     ///
     /// ```
     /// use mangotray::{control, upstream, upstream::Upstream};
@@ -90,11 +90,11 @@
 
     async fn exchange(&self, sql: &str) -> Result<status::Status, upstream::Failure> {
         let mut kept_link = self.link.lock().await;
-        // Taken out, so that a request dropped by its timeout takes the link with it.
+        // The link is moved out, so that a request dropped by its timeout drops the link as well.
         let reply = match kept_link.take() {
             None => self.exchange_on_new_link(sql).await?,
             Some(kept) => match run_query(kept, sql).await {
-                // The instance closed the kept link while it lay idle.
+                // The instance had closed the link while it was idle.
                 Err(upstream::Failure::NotRun(_)) => self.exchange_on_new_link(sql).await?,
                 other => other?,
             },
@@ -147,7 +147,11 @@
     Ok((link, reply))
 }
 
-/// Reads the one row of a control answer; an SQL error proves that nothing ran.
+/// Parses the single row of a control answer.
+///
+/// # Errors
+/// `NotRun` for an SQL error, because the instance then changed nothing; `Unknown` when the row is
+/// missing or cannot be parsed.
 fn parse_status(reply: &reply::Reply) -> Result<status::Status, upstream::Failure> {
     let refusal = reply
         .frames
@@ -172,7 +176,7 @@
         let index = columns.iter().position(|column| column.name == name);
         index
             .and_then(|index| values.get(index))
-            .ok_or_else(|| eyre::eyre!("control answer without column {name}"))
+            .ok_or_else(|| eyre::eyre!("control answer lacks column {name}"))
     };
     Ok(status::Status {
         stamp: stamp::Stamp::new(column("term")?.parse()?, column("position")?.parse()?),
@@ -192,17 +196,22 @@
 }
 
 fn find_frame(frames: &[frame::Frame], tag: u8) -> eyre::Result<&frame::Frame> {
-    frames
-        .iter()
-        .find(|frame| frame.tag == tag)
-        .ok_or_else(|| eyre::eyre!("control answer without {:?} message", char::from(tag)))
+    frames.iter().find(|frame| frame.tag == tag).ok_or_else(|| {
+        eyre::eyre!(
+            "control answer lacks a message of type {:?}",
+            char::from(tag)
+        )
+    })
 }
 
 fn parse_cells(mut data: bytes::Bytes) -> eyre::Result<Vec<CompactString>> {
     let mut cells = Vec::new();
     while data.has_remaining() {
         let length = usize::try_from(data.try_get_i32()?)?;
-        eyre::ensure!(length <= data.remaining(), "control answer is cut short");
+        eyre::ensure!(
+            length <= data.remaining(),
+            "control answer has an incomplete row"
+        );
         cells.push(CompactString::from_utf8(data.split_to(length))?);
     }
     Ok(cells)
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A whole proxy process, from settings to drained.
+//! Start and shutdown of a proxy process.
 
 use std::net;
 use std::sync;
@@ -34,19 +34,19 @@
 use crate::store;
 use crate::telemetry;
 
-/// Threads that run the tasks of one process.
+/// Number of threads that run the tasks of one proxy.
 const EXECUTOR_THREADS: usize = 4;
 
-/// Longest wait for the seats to be given back.
+/// Longest wait for the release of the seats during shutdown.
 const SEAT_RELEASE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Time between two looks at whether the seats are given back.
+/// Interval at which a drain checks whether requests have ended and seats are released.
 const DRAIN_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// Wait after a failed accept, such as for lack of file descriptors.
+/// Delay after a failed accept, such as when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// Greeting of the proxies of one installation, until keys are configured.
+/// Key of the handshake between the proxies of one installation, until keys can be configured.
 const PEER_KEY: &str = "mangotray";
 
 /// A running proxy.
@@ -60,7 +60,7 @@
     drain_timeout: time::Duration,
 }
 
-/// What the tasks of a process share.
+/// State that the tasks of a process share.
 struct Context {
     report: sync::Arc<report::Report>,
     follower: follow::Follower,
@@ -71,7 +71,7 @@
 }
 
 impl Daemon {
-    /// Starts a proxy on its own threads and returns once it listens.
+    /// Starts a proxy on its own threads and returns when it accepts connections.
     ///
     /// # Errors
     /// When an address cannot be bound.
@@ -94,57 +94,56 @@
         })
     }
 
-    /// Where callers connect.
+    /// Address to which callers connect.
     #[must_use]
     pub fn caller_address(&self) -> net::SocketAddr {
         self.caller_address
     }
 
-    /// Where operators ask for status and metrics.
+    /// Address that serves status and metrics.
     #[must_use]
     pub fn admin_address(&self) -> net::SocketAddr {
         self.admin_address
     }
 
-    /// Revision of the configuration in force.
+    /// Revision of the current configuration.
     #[must_use]
     pub fn revision(&self) -> id::Revision {
         self.context.report.revision()
     }
 
-    /// Stops at once: no task runs on. Sockets stay open until the process ends, since
-    /// tasks that are never run again still hold them; to see what callers see when a VM
-    /// dies, end a process.
+    /// Stops all tasks immediately. Sockets stay open until the process ends, because the stopped
+    /// tasks still own them; to reproduce for callers the failure of a VM, kill the process.
     pub fn crash(self) {
         self.halt();
     }
 
-    /// Stops taking callers, lets requests in flight finish and gives up the lease.
-    /// True when every session ended within the timeout.
+    /// Refuses new callers, waits for requests in flight, then releases the seats and the lease.
+    /// Returns true if all sessions and peers' requests ended within the drain timeout.
     pub async fn drain(self) -> bool {
         self.context.drain.start();
         self.context.directory.drain();
         self.context.enrolment.mark_draining().await;
         let complete = completes_within(self.drain_timeout, self.wait_until_idle()).await;
-        // Others get the seats at once; without it they wait for the lease to end.
+        // Other proxies can claim a released seat at once; otherwise they wait for the lease's end.
         completes_within(SEAT_RELEASE_TIMEOUT, self.wait_for_seat_release()).await;
         self.context.enrolment.revoke_lease().await;
         self.halt();
         complete
     }
 
-    /// Waits until neither callers nor peers have anything under way here.
+    /// Waits until no caller is connected and no peer's request is running.
     async fn wait_until_idle(&self) {
         self.listener.wait_until_idle().await;
         while self.context.directory.busy() {
             async_io::Timer::after(DRAIN_POLL_INTERVAL).await;
         }
-        // The last answers to peers are still on their way out.
+        // The last answers to peers may still be waiting to be written.
         async_io::Timer::after(DRAIN_POLL_INTERVAL).await;
     }
 
-    /// Waits until this VM's seats are given back, so that others use them at once
-    /// instead of after the end of the lease.
+    /// Waits until this VM's seats are released, so that other proxies can claim them without
+    /// waiting for the end of the lease.
     async fn wait_for_seat_release(&self) {
         let serving = |entry: &sync::Arc<entry::Entry>| entry.runtime().is_some();
         while self.context.directory.entries().values().any(serving) {
@@ -340,14 +339,14 @@
                 executor.spawn(serve).detach();
             }
             Err(error) => {
-                tracing::warn!(%error, "peer connection not accepted");
+                tracing::warn!(%error, "cannot accept peer connection");
                 async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Whether the task ended in time.
+/// Returns whether the task ended within the timeout.
 async fn completes_within(timeout: time::Duration, task: impl Future<Output = ()>) -> bool {
     let done = async {
         task.await;
--- a/src/daemon/tests.rs
+++ b/src/daemon/tests.rs
@@ -1,8 +1,8 @@
 use crate::daemon;
 use crate::settings;
 
-// Symptom: an answer larger than `answer_bytes` is relayed, and memory grows with it.
-// Cause: links to instances that are opened with a limit of their own.
+// Guards against links to instances that use their default limit instead of `answer_bytes`: larger
+// answers would be relayed and would take as much memory.
 #[test]
 fn links_get_the_configured_answer_limit() {
     let limits = settings::Limits {
--- a/src/dial.rs
+++ b/src/dial.rs
@@ -1,4 +1,4 @@
-//! Calling side of the connections between proxies.
+//! Client side of the connections between proxies.
 
 use std::io;
 use std::net;
@@ -14,37 +14,37 @@
 use crate::peer;
 use crate::wire;
 
-/// Longest time for a connection to be made and to pass its greeting.
+/// Timeout for opening a connection, including the handshake.
 pub const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// A connection whose ping stays unanswered for so long is given up; a peer that
-/// was cut off without a word would otherwise hold every request to its deadline.
+/// Time after which a connection with an unanswered ping is closed. Without it, requests to a peer
+/// that became unreachable without closing its connections would wait until their deadlines.
 pub const PING_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-/// Pings are this many times as frequent as the longest silence.
+/// Number of pings sent in one [`PING_TIMEOUT`] while they are answered at once.
 const PINGS_PER_TIMEOUT: u32 = 3;
 
-/// Time beyond the deadline that the answer of a peer is waited for, as an answer
-/// that says what became of the request is better than not knowing.
+/// Additional time after a batch's deadline to wait for the peer's answer, because an answer tells
+/// the outcome of the batch, which is unknown without it.
 pub const ANSWER_GRACE: time::Duration = time::Duration::from_millis(50);
 
-/// Deadline of calls that carry no batch.
+/// Timeout of calls that carry no batch.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// Expiry that `tarpc` itself watches; far behind this module's own, because its
-/// cancellation cannot tell a batch that ran from one that did not.
+/// Time by which the deadline given to `tarpc` exceeds this module's own timeout, so that it never
+/// expires first: a cancellation by `tarpc` does not tell whether the batch was sent.
 const RPC_DEADLINE_MARGIN: time::Duration = time::Duration::from_mins(1);
 
-/// Opens byte streams to peers: plain TCP today, TLS once there are certificates.
+/// Opens byte streams to peers: plain TCP for now, TLS when certificates are supported.
 pub trait Connector: Send + Sync {
-    /// Opens a stream to the peer at that address.
+    /// Opens a stream to the peer at `address`.
     fn connect(
         &self,
         address: net::SocketAddr,
     ) -> future::BoxFuture<'_, io::Result<Box<dyn wire::Duplex>>>;
 }
 
-/// Plain TCP.
+/// Connector for plain TCP.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
@@ -61,18 +61,18 @@
     }
 }
 
-/// Why a call has no answer.
+/// Reason why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing of it was or ever will be sent.
+    /// The call was not sent and will not be sent.
     Unsent,
-    /// It was sent, and the connection broke before the answer.
+    /// The call may have been sent, and the connection was lost before the answer.
     Lost,
-    /// It was sent, and no answer came in time.
+    /// The call may have been sent, and no answer arrived in time.
     Expired,
 }
 
-/// One multiplexed connection to a peer; carries many sessions at once.
+/// Multiplexed connection to a peer, shared by many sessions.
 pub struct Connection {
     client: peer::PeerClient,
     executor: sync::Arc<async_executor::Executor<'static>>,
@@ -82,11 +82,11 @@
 }
 
 impl Connection {
-    /// Greets the peer at the other end of the stream and starts the connection's
-    /// task; the connection ends when a ping is not answered within `silence`.
+    /// Performs the handshake over the stream and starts the connection's task. The connection ends
+    /// when a ping is not answered within `ping_timeout`.
     ///
     /// # Errors
-    /// When the stream breaks or the other end is not a peer of this system.
+    /// When the stream fails or the server is not a peer of this installation.
     pub async fn open(
         stream: Box<dyn wire::Duplex>,
         hello: &hello::Hello,
@@ -118,13 +118,13 @@
         })
     }
 
-    /// False once the connection has ended; it never comes back.
+    /// Whether the connection is open; once false, it stays false.
     #[must_use]
     pub fn alive(&self) -> bool {
         self.alive.load(atomic::Ordering::Acquire)
     }
 
-    /// Draws a number for a new session.
+    /// Assigns a number to a new session.
     #[must_use]
     pub fn new_session(&self) -> peer::Session {
         self.next_session.fetch_add(1, atomic::Ordering::Relaxed)
@@ -133,8 +133,8 @@
     /// Runs one batch at the peer.
     ///
     /// # Errors
-    /// A failure says whether the batch can still run; the peer's own refusal is
-    /// part of the answer.
+    /// The failure tells whether the batch may have run or may still run. A refusal by the peer is
+    /// an answer, not a failure.
     pub async fn run(&self, run: peer::Run) -> Result<peer::Answer, Failure> {
         if !self.alive() {
             return Err(Failure::Unsent);
@@ -158,7 +158,8 @@
     fn failure(&self, error: &client::RpcError, mark: &peer::Transmission) -> Failure {
         match error {
             client::RpcError::Send(_) => return Failure::Unsent,
-            // Before the connection's task gets to say so: nobody may choose it again.
+            // Set here already, because requests must not choose this connection again before its
+            // task has ended.
             client::RpcError::Shutdown | client::RpcError::Channel(_) => {
                 self.alive.store(false, atomic::Ordering::Release);
             }
@@ -167,7 +168,7 @@
         failure_after_abandoning(mark, Failure::Lost)
     }
 
-    /// Ends a session without waiting for it.
+    /// Ends a session at the peer without waiting for the answer.
     pub fn close(&self, session: peer::Session) {
         let client = self.client.clone();
         let task = async move {
@@ -176,7 +177,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Asks for the peer's news.
+    /// Exchanges a digest for the peer's news.
     ///
     /// # Errors
     /// When the connection breaks or no answer comes in time.
@@ -184,7 +185,7 @@
         with_call_timeout(self.client.exchange(context(CALL_TIMEOUT), digest)).await
     }
 
-    /// Pushes news to the peer.
+    /// Sends news to the peer.
     ///
     /// # Errors
     /// When the connection breaks or no answer comes in time.
@@ -192,7 +193,7 @@
         with_call_timeout(self.client.announce(context(CALL_TIMEOUT), news)).await
     }
 
-    /// Asks whether the peer, too, sees that primary as failed.
+    /// Asks whether the peer also considers this primary failed.
     ///
     /// # Errors
     /// When the connection breaks or no answer comes in time.
@@ -201,6 +202,7 @@
     }
 }
 
+/// Abandons the call; returns `Unsent` if it had not been sent by then.
 fn failure_after_abandoning(mark: &peer::Transmission, failure_if_sent: Failure) -> Failure {
     if mark.abandon() {
         Failure::Unsent
--- a/src/drain.rs
+++ b/src/drain.rs
@@ -1,11 +1,11 @@
-//! Signal that a process is shutting down gracefully.
+//! Signal that the process drains, that is, shuts down gracefully.
 
 use std::sync;
 use std::sync::atomic;
 
 use event_listener::Event;
 
-/// Shared flag that is raised once and can be awaited; clones share it.
+/// Flag that is set once and can be awaited; clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct Signal {
     inner: sync::Arc<Inner>,
@@ -18,13 +18,13 @@
 }
 
 impl Signal {
-    /// A signal that has not been raised.
+    /// Creates a signal that is not set.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Raises the signal; it never falls again.
+    /// Starts the drain; this cannot be undone.
     ///
     /// ```
     /// let signal = mangotray::drain::Signal::new();
@@ -36,7 +36,7 @@
         self.inner.event.notify(usize::MAX);
     }
 
-    /// Whether the signal has been raised.
+    /// Whether the drain has started.
     ///
     /// ```
     /// assert!(!mangotray::drain::Signal::new().started());
@@ -46,7 +46,7 @@
         self.inner.started.load(atomic::Ordering::SeqCst)
     }
 
-    /// Waits until the signal is raised.
+    /// Waits until the drain starts.
     ///
     /// ```
     /// let signal = mangotray::drain::Signal::new();
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One peer by its address: its connections, and when to try it again.
+//! Connections to one peer, and its circuit breaker.
 
 use std::net;
 use std::sync;
@@ -12,14 +12,16 @@
 use crate::hello;
 use crate::id;
 
-/// Connections to one peer; more than one, so that a large answer holds up only
-/// a part of the sessions.
+/// Number of connections to one peer. With more than one, a large answer delays only a part of the
+/// sessions.
 const CONNECTIONS_PER_PEER: usize = 2;
 
+/// Longest delay before the first retry, before random shortening.
 const INITIAL_RETRY_DELAY: time::Duration = time::Duration::from_millis(50);
+/// Longest delay before any retry.
 const MAX_RETRY_DELAY: time::Duration = time::Duration::from_secs(5);
 
-/// Whether a peer is worth trying, by what its last attempts showed.
+/// Circuit breaker of a peer, from the results of the latest attempts to connect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
     consecutive_failures: u32,
@@ -27,14 +29,14 @@
 }
 
 impl Health {
-    /// A peer whose last attempt succeeded, or that was not tried yet.
+    /// State of a peer whose last attempt succeeded or that has not been tried yet.
     pub const HEALTHY: Self = Self {
         consecutive_failures: 0,
         retry_at: id::Time::ZERO,
     };
 
-    /// False while the circuit is open: the last attempt failed, and none has
-    /// succeeded since.
+    /// Whether the circuit is closed. It is open from a failed attempt until the next successful
+    /// one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -51,14 +53,15 @@
         self.consecutive_failures == 0
     }
 
-    /// Whether the pause after the last failure is over.
+    /// Whether the retry delay after the last failure has elapsed.
     #[must_use]
     pub fn retry_due(&self, now: id::Time) -> bool {
         now >= self.retry_at
     }
 
-    /// Records a failure; `jitter` from 0 to 1 spreads the next attempts of many
-    /// proxies, which would otherwise all meet a restarted peer at one moment.
+    /// Records a failure and doubles the retry delay, up to a limit. `jitter` from 0 to 1 scales
+    /// the delay to between half and all of it, so that many proxies do not retry a restarted peer
+    /// at the same moment.
     pub fn record_failure(&mut self, now: id::Time, jitter: f64) {
         let backoff = INITIAL_RETRY_DELAY * 2_u32.saturating_pow(self.consecutive_failures.min(16));
         let delay = backoff.min(MAX_RETRY_DELAY);
@@ -66,27 +69,27 @@
         self.retry_at = now + delay.mul_f64(0.5 + jitter / 2.0);
     }
 
-    /// Records a success.
+    /// Records a success, which closes the circuit.
     pub fn record_success(&mut self) {
         *self = Self::HEALTHY;
     }
 }
 
-/// What opening a connection takes, the same for all peers.
+/// Dependencies of the connections, shared by all peers.
 pub struct Resources {
-    /// How byte streams are opened.
+    /// Opens the byte streams.
     pub connector: Box<dyn dial::Connector>,
-    /// Greeting of this installation.
+    /// Handshake of this installation.
     pub hello: hello::Hello,
-    /// Where the connections' tasks run.
+    /// Executor that runs the connections' tasks.
     pub executor: sync::Arc<async_executor::Executor<'static>>,
-    /// Clock of pauses and deadlines.
+    /// Clock of the retry delays.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// Longest silence of a peer, in use [`dial::PING_TIMEOUT`].
+    /// Time to wait for the answer to a ping; [`dial::PING_TIMEOUT`] except in tests.
     pub ping_timeout: time::Duration,
 }
 
-/// A peer by its address.
+/// Peer at one address.
 pub struct Endpoint {
     address: net::SocketAddr,
     resources: sync::Arc<Resources>,
@@ -111,7 +114,7 @@
 }
 
 impl Endpoint {
-    /// A peer that has not been tried yet.
+    /// Creates an endpoint for a peer that has not been tried yet.
     #[must_use]
     pub fn new(address: net::SocketAddr, resources: sync::Arc<Resources>) -> Self {
         Self {
@@ -124,13 +127,13 @@
         }
     }
 
-    /// What the last attempts showed.
+    /// State of the circuit breaker.
     #[must_use]
     pub fn health(&self) -> Health {
         **self.health.load()
     }
 
-    /// A live connection, opened if need be; `None` when the peer cannot be reached.
+    /// Returns a live connection, opening one if necessary; `None` when the peer cannot be reached.
     pub async fn connection(&self) -> Option<sync::Arc<dial::Connection>> {
         let number = self.next_slot.fetch_add(1, atomic::Ordering::Relaxed);
         let slot = &self.slots[number % CONNECTIONS_PER_PEER];
@@ -142,15 +145,15 @@
         if let Some(connection) = slot.live() {
             return Some(connection);
         }
-        // Whoever waited while another attempt failed does not wait for one more.
+        // An attempt failed while this call waited for the lock; it does not make another one.
         if self.health().consecutive_failures > failures {
             return None;
         }
         self.open(slot).await
     }
 
-    /// Tries a peer whose circuit is open again, beside the requests, so that none
-    /// of them waits for a peer that is still gone.
+    /// Tries to reconnect to a peer whose circuit is open. This runs in the background, so that no
+    /// request waits for a peer that is still unreachable.
     pub fn probe(self: &sync::Arc<Self>) {
         if self.probe_running.swap(true, atomic::Ordering::AcqRel) {
             return;
@@ -183,7 +186,7 @@
                 let now = self.resources.clock.now();
                 let jitter = fastrand::f64();
                 self.record(|health| health.record_failure(now, jitter));
-                tracing::warn!(address = %self.address, %error, "peer cannot be reached");
+                tracing::warn!(address = %self.address, %error, "cannot connect to peer");
                 None
             }
         }
--- a/src/handler.rs
+++ b/src/handler.rs
@@ -1,4 +1,4 @@
-//! What this proxy does for its peers.
+//! Handles the calls of other proxies.
 
 use std::sync;
 
@@ -11,11 +11,11 @@
 use crate::lane;
 use crate::peer;
 
-/// Answers the calls of other proxies.
+/// Implementation of the operations that other proxies can call.
 pub struct Handler {
-    /// Groups served here.
+    /// Groups that this proxy serves.
     pub directory: sync::Arc<directory::Directory>,
-    /// Exchange of configuration and roster.
+    /// Exchange of the configuration and the roster with other proxies.
     pub gossip: sync::Arc<gossip::Gossip>,
 }
 
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections.
+//! Accepts caller connections.
 
 use std::collections;
 use std::io;
@@ -18,12 +18,12 @@
 use crate::wire;
 use crate::writer;
 
-/// Bounds of one listener.
+/// Connection limits of one listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Connections in all.
+    /// Maximum number of connections.
     pub connections: usize,
-    /// Connections from one address.
+    /// Maximum number of connections from one IP address.
     pub connections_per_address: usize,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A socket that accepts callers until the process drains.
+/// Listening socket that accepts callers until the process drains.
 pub struct Listener {
     socket: TcpListener,
     context: sync::Arc<session::Context>,
@@ -44,7 +44,7 @@
     sessions: sync::Arc<Sessions>,
 }
 
-/// Open connections, by address.
+/// Counts of open connections, and an event that is notified when one closes.
 #[derive(Debug, Default)]
 struct Sessions {
     counts: sync::Mutex<Counts>,
@@ -57,7 +57,7 @@
     addresses: collections::HashMap<net::IpAddr, usize>,
 }
 
-/// Permit of one open connection; dropping it frees the permit.
+/// Counts as one open connection until it is dropped.
 #[derive(Debug)]
 struct Permit {
     sessions: sync::Arc<Sessions>,
@@ -65,7 +65,7 @@
 }
 
 impl Listener {
-    /// Binds a socket.
+    /// Binds a socket to `address`.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -82,15 +82,15 @@
         })
     }
 
-    /// Address that it listens on.
+    /// Local address of the socket.
     ///
     /// # Errors
-    /// When the system does not tell.
+    /// When the operating system does not return the address.
     pub fn address(&self) -> io::Result<net::SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Accepts callers until the process drains, one task on the executor for each.
+    /// Accepts callers until the process drains; each session runs in a task of its own.
     pub async fn run(&self, executor: &sync::Arc<Executor<'static>>) {
         let drain = self.context.drain.clone();
         let drain_started = async {
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Tells callers that come during the drain to go elsewhere; run it after `run`.
-    /// Left in the socket's backlog they would hang until the process ends.
+    /// Refuses callers that connect during the drain; call it after `run` has returned. In the
+    /// socket's backlog they would wait without an answer until the process ends.
     pub async fn refuse_callers(&self, executor: &sync::Arc<Executor<'static>>) {
         loop {
             match self.socket.accept().await {
@@ -123,15 +123,15 @@
         }
     }
 
-    /// An accept fails when the process is out of descriptors; trying again at once
-    /// would keep a core busy until one is free.
+    /// Logs the error and waits. An accept fails when the process has no free file descriptors;
+    /// retrying without a delay would keep a processor core busy until one is free.
     async fn pause_after_error(&self, error: &io::Error) {
-        tracing::warn!(target: "mangotray::session", %error, "accept failed");
+        tracing::warn!(target: "mangotray::session", %error, "cannot accept caller connection");
         async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
     }
 
     fn admit(&self, socket: TcpStream, address: net::IpAddr, executor: &Executor<'static>) {
-        // Answers are written whole, so waiting to fill packets only adds delay.
+        // Answers are written as a whole, so the delay of Nagle's algorithm saves no packets.
         let _ = socket.set_nodelay(true);
         let stream = wire::stream(Box::new(socket));
         match self.acquire_permit(address) {
@@ -173,7 +173,7 @@
         })
     }
 
-    /// Open connections.
+    /// Number of open connections.
     #[must_use]
     pub fn session_count(&self) -> usize {
         self.sessions.lock().total
@@ -191,6 +191,7 @@
     }
 }
 
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
 fn too_many(connection_kind: &str, limit: usize) -> refusal::Error {
@@ -203,7 +204,7 @@
 
 impl Sessions {
     fn lock(&self) -> sync::MutexGuard<'_, Counts> {
-        self.counts.lock().expect("no panic while counting")
+        self.counts.lock().expect("no panic while locked")
     }
 }
 
