--- a/desk/src/monitor.rs
+++ b/desk/src/monitor.rs
@@ -381,7 +381,8 @@
             tracing::warn!(group = %self.group.name, primary = ?self.watched,
                 "promotion held back: only an unreachable instance may have all acknowledged commits");
         }
-        let gauge = metrics::gauge!(telemetry::HELD_BACK, "group" => self.group.name.to_string());
+        let gauge =
+            metrics::gauge!(telemetry::PROMOTION_HELD_BACK, "group" => self.group.name.to_string());
         gauge.set(if held_back { 1.0 } else { 0.0 });
     }
 }
--- a/desk/src/promoter.rs
+++ b/desk/src/promoter.rs
@@ -695,7 +695,8 @@
             tracing::warn!(group = %group.name, instance = %look.id, %received, %candidate, %position, term,
                 "the replaced primary has records that the new primary lacks: they are lost if they were acknowledged");
         } else {
-            metrics::counter!(telemetry::LOSSES, "group" => group.name.to_string()).increment(1);
+            metrics::counter!(telemetry::PROMOTION_LOSSES, "group" => group.name.to_string())
+                .increment(1);
             tracing::error!(group = %group.name, instance = %look.id, %received, %candidate, %position, term,
                 "a replica has records that the new primary lacks: acknowledged commits may be lost");
         }
--- a/desk/tests/audit.rs
+++ b/desk/tests/audit.rs
@@ -117,7 +117,11 @@
 #[test]
 fn a_replica_ahead_of_the_new_primary_is_counted_as_a_loss() {
     let metrics = telemetry::Handle::install();
-    let line = format!("{}{{group=\"{}\"}} ", telemetry::LOSSES, cluster::GROUP);
+    let line = format!(
+        "{}{{group=\"{}\"}} ",
+        telemetry::PROMOTION_LOSSES,
+        cluster::GROUP
+    );
     let losses = || {
         let text = metrics.render();
         let found = text.lines().find_map(|text| text.strip_prefix(&line));
--- a/src/apply/tests.rs
+++ b/src/apply/tests.rs
@@ -77,13 +77,13 @@
 // would be reported although the file is in force.
 #[test]
 fn a_lost_answer_is_settled_by_the_id() {
-    let store = fake::Fake::new(&[fake::Fate::Lost]);
+    let store = fake::Fake::new(&[fake::Behaviour::AnswerLost]);
     assert_eq!(put(&store, "a", "x"), Ok(apply::Verdict::Applied(1)));
 }
 
 #[test]
 fn an_apply_that_cannot_be_settled_is_unknown() {
-    let store = fake::Fake::new(&[fake::Fate::Dropped; 16]);
+    let store = fake::Fake::new(&[fake::Behaviour::RequestLost; 16]);
     assert_matches!(put(&store, "a", "x"), Err(store::Failure::Unknown(_)));
 }
 
@@ -126,15 +126,15 @@
     // that is in force.
     #[test]
     fn verdicts_agree_with_the_store(
-        fates in prop::collection::vec(prop_oneof![
-            Just(fake::Fate::Answered),
-            Just(fake::Fate::Lost),
-            Just(fake::Fate::Dropped),
-            Just(fake::Fate::Late),
+        behaviours in prop::collection::vec(prop_oneof![
+            Just(fake::Behaviour::Answered),
+            Just(fake::Behaviour::AnswerLost),
+            Just(fake::Behaviour::RequestLost),
+            Just(fake::Behaviour::Delayed),
         ], 0..6),
         order in prop::collection::vec(any::<bool>(), 0..24),
     ) {
-        let store = fake::Fake::new(&fates);
+        let store = fake::Fake::new(&behaviours);
         let (one, two) = (request("one", "c"), request("two", "d"));
         let (one, two) = fake::interleave(
             &order,
--- a/src/bin/mangotrayd.rs
+++ b/src/bin/mangotrayd.rs
@@ -38,7 +38,7 @@
         writeln!(console.out, "{file} is valid: VM {}", settings.vm.name)?;
         return Ok(exit::Code::Success);
     }
-    telemetry::log(&settings.log)?;
+    telemetry::init_logging(&settings.log)?;
     // The signal handlers are installed before the listeners open: otherwise an early signal
     // would kill the process instead of draining it, with callers already connected.
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
--- a/src/command/apply/tests.rs
+++ b/src/command/apply/tests.rs
@@ -34,7 +34,7 @@
 // get an unknown outcome, or a conflict, although the file is in force.
 #[test]
 fn an_apply_whose_answers_are_lost_is_repeated_with_its_id() {
-    let store = fake::Fake::new(&[fake::Fate::Dropped; 4]);
+    let store = fake::Fake::new(&[fake::Behaviour::RequestLost; 4]);
     let request = apply::request(&arguments(), "text", 0);
     let outcome = future::block_on(apply::put(&*store, &request));
     assert!(outcome.answer_lost);
@@ -47,11 +47,11 @@
 // older file over the one in force.
 #[test]
 fn an_outage_after_a_lost_answer_leaves_the_outcome_unknown() {
-    let store = fake::Fake::new(&[fake::Fate::Lost]);
+    let store = fake::Fake::new(&[fake::Behaviour::AnswerLost]);
     let request = apply::request(&arguments(), "text", 0);
     let outage = async {
         future::yield_now().await;
-        store.state.lock().unwrap().down = true;
+        store.state.lock().unwrap().unavailable = true;
     };
     let (outcome, ()) = future::block_on(future::zip(apply::put(&*store, &request), outage));
     assert_matches!(outcome.verdict, Err(store::Failure::NotRun(_)));
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_refused_apply_is_unreachable() {
-    let store = fake::Fake::new(&[fake::Fate::Refused]);
+    let store = fake::Fake::new(&[fake::Behaviour::Refused]);
     let request = apply::request(&arguments(), "text", 0);
     let outcome = future::block_on(apply::put(&*store, &request));
     assert_eq!(code(&outcome), exit::Code::Unreachable);
--- a/src/failover.rs
+++ b/src/failover.rs
@@ -80,7 +80,7 @@
 
     fn record_gap(&self, gap: Option<time::Duration>) {
         let Some(gap) = gap else { return };
-        self.tally.failed_over(&self.group, gap);
+        self.tally.record_failover(&self.group, gap);
         tracing::info!(target: "mangotray::placement", group = %self.group,
             gap_ms = self.tally.last_gap_ms(), "failover completed");
     }
@@ -204,7 +204,7 @@
     }
 
     fn announce(&self, index: id::Index, term: id::Term) {
-        self.tally.promoted(&self.group);
+        self.tally.record_promotion(&self.group);
         tracing::warn!(target: "mangotray::placement", group = %self.group, term, index,
             "new primary");
         let terms = self.terms.clone();
--- a/src/http.rs
+++ b/src/http.rs
@@ -21,11 +21,11 @@
 
 /// Longest wait for the next piece of an answer: a packet that is lost three times in a row arrives
 /// within this time.
-const PIECE: time::Duration = time::Duration::from_millis(1500);
+const BODY_READ_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
 /// Longest time from the beginning of an answer to its end, so that one that trickles ends:
 /// two megabytes over a link of half a megabit a second.
-const LONGEST_ANSWER: time::Duration = time::Duration::from_secs(32);
+const MAX_ANSWER_DURATION: time::Duration = time::Duration::from_secs(32);
 
 /// What came back for one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,35 +46,35 @@
 /// given up loses what has come, and the next one begins anew: where the limit is for the
 /// whole, an answer that outgrows it is never received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limit {
+pub struct Timeouts {
     /// Until the answer begins, connecting included.
-    pub begin: time::Duration,
+    pub answer_start: time::Duration,
     /// Until the next piece of an answer that has begun.
-    pub piece: time::Duration,
+    pub body_read: time::Duration,
     /// For all of the call.
-    pub whole: time::Duration,
+    pub total: time::Duration,
 }
 
 /// Why a request has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     /// True when the request may have left this process.
-    pub sent: bool,
+    pub maybe_sent: bool,
     /// True when a kept-alive connection turned out to be closed.
-    pub stale: bool,
+    pub stale_connection: bool,
     /// Bytes of the answer's body that had come; none where the answer had not begun.
-    pub received: Option<usize>,
+    pub received_bytes: Option<usize>,
     /// Words for the log.
     pub detail: String,
 }
 
 /// An answer that has begun.
-pub struct Arrival<'a> {
+pub struct PartialAnswer<'a> {
     pool: &'a Pool,
     _permit: async_lock::SemaphoreGuard<'a>,
     sender: Sender,
     response: hyper::Response<body::Incoming>,
-    piece: time::Duration,
+    body_read_timeout: time::Duration,
     deadline: time::Instant,
 }
 
@@ -112,24 +112,27 @@
     /// Connections that are open and not in use.
     #[must_use]
     pub fn idle(&self) -> usize {
-        self.kept().len()
+        self.lock_idle().len()
     }
 
     /// Sends one request and collects its whole answer within `limit`.
     ///
-    /// With `fresh`, kept-alive connections are dropped and a new one is opened.
+    /// With `new_connection`, kept-alive connections are dropped and a new one is opened.
     /// Nothing is sent twice.
     ///
     /// # Errors
     ///
-    /// `Failure::sent` tells whether the request may have left this process.
+    /// `Failure::maybe_sent` tells whether the request may have left this process.
     pub async fn call(
         &self,
         request: Request,
-        limit: Limit,
-        fresh: bool,
+        timeouts: Timeouts,
+        new_connection: bool,
     ) -> Result<Answer, Failure> {
-        self.begin(request, limit, fresh).await?.finish().await
+        self.begin(request, timeouts, new_connection)
+            .await?
+            .finish()
+            .await
     }
 
     /// Sends one request and waits until its answer begins.
@@ -140,39 +143,39 @@
     pub async fn begin(
         &self,
         request: Request,
-        limit: Limit,
-        fresh: bool,
-    ) -> Result<Arrival<'_>, Failure> {
+        timeouts: Timeouts,
+        new_connection: bool,
+    ) -> Result<PartialAnswer<'_>, Failure> {
         let started = time::Instant::now();
-        let deadline = started + limit.begin;
+        let deadline = started + timeouts.answer_start;
         let permit = within(deadline, self.permits.acquire())
             .await
             .ok_or_else(|| Failure::unsent("no connection was free in time"))?;
-        let (mut sender, kept) = within(deadline, self.checkout(fresh))
+        let (mut sender, reused) = within(deadline, self.checkout(new_connection))
             .await
             .ok_or_else(|| Failure::unsent("timeout while connecting"))??;
-        let Some(response) = within(deadline, send(&mut sender, request, kept)).await else {
+        let Some(response) = within(deadline, send(&mut sender, request, reused)).await else {
             // Where one open connection went silent, others may have: each would cost a timeout.
-            self.kept().clear();
+            self.lock_idle().clear();
             return Err(Failure::lost("timeout before the answer began"));
         };
         let response = response?;
-        Ok(Arrival {
+        Ok(PartialAnswer {
             pool: self,
             _permit: permit,
             sender,
             response,
-            piece: limit.piece,
-            deadline: started + limit.whole,
+            body_read_timeout: timeouts.body_read,
+            deadline: started + timeouts.total,
         })
     }
 
     /// Takes a kept-alive connection, or opens one; true when it was kept alive.
-    async fn checkout(&self, fresh: bool) -> Result<(Sender, bool), Failure> {
-        if fresh {
-            self.kept().clear();
+    async fn checkout(&self, new_connection: bool) -> Result<(Sender, bool), Failure> {
+        if new_connection {
+            self.lock_idle().clear();
         }
-        while let Some(mut sender) = self.pop() {
+        while let Some(mut sender) = self.pop_idle() {
             if sender.ready().await.is_ok() {
                 return Ok((sender, true));
             }
@@ -180,13 +183,13 @@
         Ok((self.connect().await?, false))
     }
 
-    fn kept(&self) -> sync::MutexGuard<'_, Vec<Sender>> {
+    fn lock_idle(&self) -> sync::MutexGuard<'_, Vec<Sender>> {
         self.idle.lock().expect("no thread panics with the list")
     }
 
     // A function of its own, as the list must not stay locked while a sender is tried.
-    fn pop(&self) -> Option<Sender> {
-        self.kept().pop()
+    fn pop_idle(&self) -> Option<Sender> {
+        self.lock_idle().pop()
     }
 
     async fn connect(&self) -> Result<Sender, Failure> {
@@ -215,7 +218,7 @@
     }
 }
 
-impl Arrival<'_> {
+impl PartialAnswer<'_> {
     /// Collects the rest of the answer.
     ///
     /// # Errors
@@ -223,23 +226,25 @@
     /// When it does not come in time, or breaks off.
     pub async fn finish(self) -> Result<Answer, Failure> {
         let announced = self.response.body().size_hint().exact();
-        let (parts, mut rest) = self.response.into_parts();
+        let (parts, mut incoming) = self.response.into_parts();
         let mut body = bytes::BytesMut::new();
         loop {
             let received = body.len();
-            let deadline = self.deadline.min(time::Instant::now() + self.piece);
-            let piece = within(deadline, rest.frame())
+            let deadline = self
+                .deadline
+                .min(time::Instant::now() + self.body_read_timeout);
+            let frame = within(deadline, incoming.frame())
                 .await
                 .ok_or_else(|| Failure::incomplete("timeout", received, announced))?;
-            let Some(piece) = piece else { break };
-            let piece = piece.map_err(|error| Failure::incomplete(error, received, announced))?;
-            if let Ok(data) = piece.into_data() {
+            let Some(frame) = frame else { break };
+            let frame = frame.map_err(|error| Failure::incomplete(error, received, announced))?;
+            if let Ok(data) = frame.into_data() {
                 body.extend_from_slice(&data);
             }
         }
         // A call that is given up drops its sender, which closes the connection:
         // a late answer can never be taken for the answer to the next request.
-        self.pool.kept().push(self.sender);
+        self.pool.lock_idle().push(self.sender);
         Ok(Answer {
             status: parts.status,
             index: index(&parts.headers),
@@ -249,19 +254,19 @@
     }
 }
 
-impl Limit {
+impl Timeouts {
     /// A limit for all of a call whose answer is small.
     ///
     /// ```
-    /// let limit = mangotray::http::Limit::of_whole(std::time::Duration::from_secs(1));
-    /// assert_eq!(limit.begin, limit.whole);
+    /// let timeouts = mangotray::http::Timeouts::uniform(std::time::Duration::from_secs(1));
+    /// assert_eq!(timeouts.answer_start, timeouts.total);
     /// ```
     #[must_use]
-    pub const fn of_whole(whole: time::Duration) -> Self {
+    pub const fn uniform(timeout: time::Duration) -> Self {
         Self {
-            begin: whole,
-            piece: whole,
-            whole,
+            answer_start: timeout,
+            body_read: timeout,
+            total: timeout,
         }
     }
 
@@ -269,16 +274,16 @@
     ///
     /// ```
     /// let second = std::time::Duration::from_secs(1);
-    /// let limit = mangotray::http::Limit::of_pieces(second);
-    /// assert_eq!(limit.begin, second);
-    /// assert!(limit.whole > second);
+    /// let timeouts = mangotray::http::Timeouts::streaming(second);
+    /// assert_eq!(timeouts.answer_start, second);
+    /// assert!(timeouts.total > second);
     /// ```
     #[must_use]
-    pub fn of_pieces(begin: time::Duration) -> Self {
+    pub fn streaming(answer_start: time::Duration) -> Self {
         Self {
-            begin,
-            piece: PIECE,
-            whole: begin + LONGEST_ANSWER,
+            answer_start,
+            body_read: BODY_READ_TIMEOUT,
+            total: answer_start + MAX_ANSWER_DURATION,
         }
     }
 }
@@ -286,25 +291,25 @@
 impl Failure {
     fn unsent(detail: impl fmt::Display) -> Self {
         Self {
-            sent: false,
-            stale: false,
-            received: None,
+            maybe_sent: false,
+            stale_connection: false,
+            received_bytes: None,
             detail: detail.to_string(),
         }
     }
 
     fn lost(detail: impl fmt::Display) -> Self {
         Self {
-            sent: true,
+            maybe_sent: true,
             ..Self::unsent(detail)
         }
     }
 
     fn incomplete(detail: impl fmt::Display, received: usize, announced: Option<u64>) -> Self {
-        let whole = announced.map_or_else(String::new, |bytes| format!(" of {bytes}"));
-        let detail = format!("{detail} after {received}{whole} bytes of the answer");
+        let total = announced.map_or_else(String::new, |bytes| format!(" of {bytes}"));
+        let detail = format!("{detail} after {received}{total} bytes of the answer");
         Self {
-            received: Some(received),
+            received_bytes: Some(received),
             ..Self::lost(detail)
         }
     }
@@ -313,16 +318,16 @@
 async fn send(
     sender: &mut Sender,
     request: Request,
-    kept: bool,
+    reused: bool,
 ) -> Result<hyper::Response<body::Incoming>, Failure> {
     sender
         .try_send_request(request)
         .await
         .map_err(|mut error| Failure {
             // The request comes back only when none of it was written.
-            sent: error.take_message().is_none(),
-            stale: kept,
-            received: None,
+            maybe_sent: error.take_message().is_none(),
+            stale_connection: reused,
+            received_bytes: None,
             detail: error.into_error().to_string(),
         })
 }
--- a/src/launch.rs
+++ b/src/launch.rs
@@ -63,13 +63,13 @@
 
 fn flag(
     name: &'static str,
-    value: &'static str,
+    value_name: &'static str,
     section: &'static str,
     key: &'static str,
 ) -> impl Parser<settings::Override> {
     bpaf::long(name)
         .help(format!("In place of `{key}` in [{section}]").as_str())
-        .argument::<CompactString>(value)
+        .argument::<CompactString>(value_name)
         .map(move |value| settings::Override {
             section,
             key,
--- a/src/launch/tests.rs
+++ b/src/launch/tests.rs
@@ -3,13 +3,13 @@
 use crate::launch;
 
 #[test]
-fn the_parser_holds_together() {
+fn the_parser_satisfies_the_invariants_of_bpaf() {
     launch::options().check_invariants(true);
 }
 
 #[test]
 fn each_flag_names_its_section_and_key() {
-    let words = [
+    let arguments = [
         "--settings",
         "vm.ini",
         "--check",
@@ -18,18 +18,18 @@
         "--platform",
         "127.0.0.1:1",
     ];
-    let parsed = launch::options().run_inner(words.as_slice()).unwrap();
+    let parsed = launch::options().run_inner(arguments.as_slice()).unwrap();
     assert!(parsed.check);
     let places: Vec<_> = parsed
         .overrides
         .iter()
-        .map(|o| (o.section, o.key))
+        .map(|flag| (flag.section, flag.key))
         .collect();
     assert_eq!(places, [("log", "filter"), ("platform", "address")]);
 }
 
 #[test]
-fn the_settings_file_is_needed() {
+fn the_settings_file_is_required() {
     assert_matches!(
         launch::options().run_inner(&["--check"]),
         Err(bpaf::ParseFailure::Stderr(_))
--- a/src/link.rs
+++ b/src/link.rs
@@ -27,7 +27,7 @@
 use crate::upstream;
 use crate::wire;
 
-const INCARNATION: &str = "group_incarnation";
+const INCARNATION_PARAMETER: &str = "group_incarnation";
 
 /// How links are opened and how much they accept.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -93,7 +93,9 @@
     ) -> eyre::Result<Self> {
         let mut socket = async_net::TcpStream::connect(address).await?;
         socket.set_nodelay(true)?;
-        socket.write_all(&greeting(&options.user, database)).await?;
+        socket
+            .write_all(&startup_packet(&options.user, database))
+            .await?;
         let mut link = Self {
             stream: wire::established(wire::stream(Box::new(socket)), options.limit),
             incarnation: 0,
@@ -108,12 +110,12 @@
     async fn authenticate(&mut self) -> eyre::Result<()> {
         let mut incarnation = None;
         loop {
-            let frame = self.next().await?;
+            let frame = self.next_frame().await?;
             match frame.tag {
-                startup::MESSAGE_TYPE_BYTE_AUTHENTICATION => accept(&frame)?,
+                startup::MESSAGE_TYPE_BYTE_AUTHENTICATION => check_authentication(&frame)?,
                 startup::MESSAGE_TYPE_BYTE_PARAMETER_STATUS => {
                     let status = frame.decode::<startup::ParameterStatus>()?;
-                    if status.name == INCARNATION {
+                    if status.name == INCARNATION_PARAMETER {
                         incarnation = Some(status.value.parse()?);
                     }
                 }
@@ -125,11 +127,12 @@
                 _ => {}
             }
         }
-        self.incarnation = incarnation.ok_or_else(|| eyre::eyre!("no {INCARNATION} reported"))?;
+        self.incarnation =
+            incarnation.ok_or_else(|| eyre::eyre!("no {INCARNATION_PARAMETER} reported"))?;
         Ok(())
     }
 
-    async fn next(&mut self) -> io::Result<frame::Frame> {
+    async fn next_frame(&mut self) -> io::Result<frame::Frame> {
         self.stream
             .next()
             .await
@@ -140,7 +143,7 @@
     /// without a trace, and the caller would be told "unknown" for something that
     /// never left. The closing is already in the socket, so it is looked for first.
     fn check_idle(&mut self) -> Result<(), upstream::Failure> {
-        while let Some(event) = self.next().now_or_never() {
+        while let Some(event) = self.next_frame().now_or_never() {
             match event {
                 Ok(frame) if is_asynchronous(frame.tag) => {}
                 Ok(frame) if frame.tag == response::MESSAGE_TYPE_BYTE_ERROR_RESPONSE => {
@@ -175,11 +178,11 @@
         request: &mut Request,
     ) -> Result<(), upstream::Failure> {
         let socket = self.stream.get_mut().get_mut();
-        while request.rest.has_remaining() {
-            match pin::Pin::new(&mut *socket).poll_write(context, &request.rest) {
+        while request.unsent.has_remaining() {
+            match pin::Pin::new(&mut *socket).poll_write(context, &request.unsent) {
                 task::Poll::Pending => break,
                 task::Poll::Ready(Ok(bytes)) if bytes > 0 => request.advance(bytes),
-                task::Poll::Ready(_) if request.untouched => {
+                task::Poll::Ready(_) if request.nothing_sent => {
                     return Err(not_run("connection lost before sending"));
                 }
                 task::Poll::Ready(_) => return Err(unknown("connection lost while sending")),
@@ -196,7 +199,7 @@
         loop {
             let event = task::ready!(self.stream.poll_next(context));
             let event = event.unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()));
-            let frame = event.map_err(|error| lost(&error))?;
+            let frame = event.map_err(|error| receive_failure(&error))?;
             if let Some(reply) = answer.add(frame)? {
                 return task::Poll::Ready(Ok(reply));
             }
@@ -229,9 +232,9 @@
 
 /// What is still to be sent.
 struct Request {
-    rest: bytes::Bytes,
+    unsent: bytes::Bytes,
     /// No byte has left yet.
-    untouched: bool,
+    nothing_sent: bool,
 }
 
 impl Request {
@@ -241,20 +244,20 @@
             frame.write(&mut buffer);
         }
         Self {
-            rest: buffer.freeze(),
-            untouched: true,
+            unsent: buffer.freeze(),
+            nothing_sent: true,
         }
     }
 
     fn advance(&mut self, bytes: usize) {
-        self.rest.advance(bytes);
-        self.untouched = false;
+        self.unsent.advance(bytes);
+        self.nothing_sent = false;
     }
 }
 
 /// Asks for the settings that callers are told. Otherwise the instance's own defaults
 /// would apply, and a caller that relies on what it was told would misread its answer.
-fn greeting(user: &str, database: &str) -> bytes::BytesMut {
+fn startup_packet(user: &str, database: &str) -> bytes::BytesMut {
     let mut message = startup::Startup::new();
     message.parameters.insert("user".into(), user.into());
     message
@@ -268,7 +271,7 @@
     buffer
 }
 
-fn accept(frame: &frame::Frame) -> eyre::Result<()> {
+fn check_authentication(frame: &frame::Frame) -> eyre::Result<()> {
     match frame.decode::<startup::Authentication>()? {
         startup::Authentication::Ok => Ok(()),
         _ => eyre::bail!("the instance asks for a password"),
@@ -284,16 +287,16 @@
     )
 }
 
-fn not_run(words: impl std::fmt::Display) -> upstream::Failure {
-    upstream::Failure::NotRun(format_compact!("{words}"))
+fn not_run(message: impl std::fmt::Display) -> upstream::Failure {
+    upstream::Failure::NotRun(format_compact!("{message}"))
 }
 
-fn unknown(words: impl std::fmt::Display) -> upstream::Failure {
-    upstream::Failure::Unknown(format_compact!("{words}"))
+fn unknown(message: impl std::fmt::Display) -> upstream::Failure {
+    upstream::Failure::Unknown(format_compact!("{message}"))
 }
 
 /// A frame over the limit is refused by its length field, before it is read.
-fn lost(error: &io::Error) -> upstream::Failure {
+fn receive_failure(error: &io::Error) -> upstream::Failure {
     if error.kind() == io::ErrorKind::InvalidData {
         return unknown(format_args!("{}: {error}", assembly::TOO_LARGE_MESSAGE));
     }
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -15,7 +15,7 @@
     let (mut socket, _) = listener.accept().await.unwrap();
     let mut request = [0; 1024];
     socket.read(&mut request).await.unwrap();
-    socket.write_all(&greeting_answer()).await.unwrap();
+    socket.write_all(&startup_answer()).await.unwrap();
     for answer in answers {
         if socket.read(&mut request).await.unwrap() == 0 {
             return;
@@ -24,8 +24,8 @@
     }
 }
 
-fn greeting_answer() -> Vec<u8> {
-    let incarnation = startup::ParameterStatus::new(INCARNATION.into(), "7".into());
+fn startup_answer() -> Vec<u8> {
+    let incarnation = startup::ParameterStatus::new(INCARNATION_PARAMETER.into(), "7".into());
     [
         encode(&startup::Authentication::Ok),
         encode(&incarnation),
@@ -42,7 +42,7 @@
     buffer.to_vec()
 }
 
-fn complete() -> Vec<u8> {
+fn complete_answer() -> Vec<u8> {
     let stamp = startup::ParameterStatus::new(assembly::STAMP_PARAMETER.into(), "3/9".into());
     let zone = startup::ParameterStatus::new("TimeZone".into(), "UTC".into());
     [
@@ -63,10 +63,10 @@
 }
 
 /// Runs as many batches as given against a server with these answers.
-fn converse(
+fn run_batches(
     limit: usize,
     answers: Vec<Vec<u8>>,
-    runs: usize,
+    batches: usize,
 ) -> Vec<Result<reply::Reply, upstream::Failure>> {
     future::block_on(async {
         let listener = async_net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -79,7 +79,7 @@
             let mut link = Link::open(address, "db", &options).await.unwrap();
             assert_eq!(link.incarnation(), 7);
             let mut results = Vec::new();
-            for _ in 0..runs {
+            for _ in 0..batches {
                 results.push(link.run(&query()).await);
             }
             results
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn gives_the_whole_answer_without_private_reports() {
-    let results = converse(1024, vec![complete(), complete()], 2);
+fn gives_the_whole_answer_without_proxy_parameters() {
+    let results = run_batches(1024, vec![complete_answer(), complete_answer()], 2);
     for result in results {
         let reply = result.unwrap();
         let tags: Vec<_> = reply.frames.iter().map(|frame| frame.tag).collect();
@@ -106,9 +106,9 @@
 /// Cause: relaying frames before the answer is whole, or using the link again.
 #[test]
 fn an_answer_cut_anywhere_is_unknown_and_ends_the_link() {
-    let answer = complete();
+    let answer = complete_answer();
     for cut in 0..answer.len() {
-        let results = converse(1024, vec![answer[..cut].to_vec()], 2);
+        let results = run_batches(1024, vec![answer[..cut].to_vec()], 2);
         assert_matches!(results[0], Err(upstream::Failure::Unknown(_)), "{cut}");
         assert_matches!(results[1], Err(upstream::Failure::NotRun(_)), "{cut}");
     }
@@ -131,32 +131,32 @@
             assert!(link.run(&frames).now_or_never().is_none());
             link.run(&frames).await
         };
-        let (result, ()) = future::zip(client, serve(listener, vec![complete()])).await;
+        let (result, ()) = future::zip(client, serve(listener, vec![complete_answer()])).await;
         assert_matches!(result, Err(upstream::Failure::NotRun(_)));
     });
 }
 
 #[test]
-fn an_answer_over_the_limit_is_named_so() {
-    let many = complete();
-    let results = converse(many.len() - 1, vec![many.clone()], 2);
-    assert_matches!(&results[0], Err(upstream::Failure::Unknown(words)) if words.starts_with(assembly::TOO_LARGE_MESSAGE));
+fn an_answer_over_the_limit_is_reported_as_too_large() {
+    let answer = complete_answer();
+    let results = run_batches(answer.len() - 1, vec![answer.clone()], 2);
+    assert_matches!(&results[0], Err(upstream::Failure::Unknown(message)) if message.starts_with(assembly::TOO_LARGE_MESSAGE));
     assert_matches!(results[1], Err(upstream::Failure::NotRun(_)));
     let row = data::DataRow::new(bytes::BytesMut::from(&[0; 2000][..]), 1);
-    let results = converse(1024, vec![encode(&row)], 1);
-    assert_matches!(&results[0], Err(upstream::Failure::Unknown(words)) if words.starts_with(assembly::TOO_LARGE_MESSAGE));
-    assert_matches!(converse(many.len(), vec![many], 1)[0], Ok(_));
+    let results = run_batches(1024, vec![encode(&row)], 1);
+    assert_matches!(&results[0], Err(upstream::Failure::Unknown(message)) if message.starts_with(assembly::TOO_LARGE_MESSAGE));
+    assert_matches!(run_batches(answer.len(), vec![answer], 1)[0], Ok(_));
 }
 
 #[test]
-fn gives_the_first_sqlstate() {
+fn reports_the_first_sqlstate() {
     let error = |code: &str| {
         let fields = vec![(b'C', code.to_owned()), (b'M', "words".to_owned())];
         encode(&response::ErrorResponse::new(fields))
     };
     let ready = response::ReadyForQuery::new(response::TransactionStatus::Error);
     let answer = [error("23505"), error("25P02"), encode(&ready)].concat();
-    let reply = converse(1024, vec![answer], 1).remove(0).unwrap();
+    let reply = run_batches(1024, vec![answer], 1).remove(0).unwrap();
     assert_eq!(reply.error.as_deref(), Some("23505"));
     assert_eq!(reply.transaction, transaction::State::Failed);
     assert_eq!(reply.stamp, None);
@@ -167,31 +167,31 @@
 /// Cause: a proxy that reads nothing before all is sent.
 #[test]
 fn reads_while_it_sends() {
-    const LONG: usize = 32 << 20;
+    const QUERY_BYTES: usize = 32 << 20;
     future::block_on(async {
         let listener = async_net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let client = async {
             let options = Options {
-                limit: 2 * LONG,
+                limit: 2 * QUERY_BYTES,
                 ..Options::default()
             };
             let mut link = Link::open(address, "db", &options).await.unwrap();
-            let query = simplequery::Query::new(" ".repeat(LONG));
+            let query = simplequery::Query::new(" ".repeat(QUERY_BYTES));
             link.run(&[frame::Frame::encode(&query)]).await.unwrap()
         };
         let server = async {
             let (mut socket, _) = listener.accept().await.unwrap();
             let mut request = vec![0; 1024];
             socket.read(&mut request).await.unwrap();
-            socket.write_all(&greeting_answer()).await.unwrap();
+            socket.write_all(&startup_answer()).await.unwrap();
             socket.read_exact(&mut request).await.unwrap();
-            let row = data::DataRow::new(bytes::BytesMut::zeroed(LONG), 1);
+            let row = data::DataRow::new(bytes::BytesMut::zeroed(QUERY_BYTES), 1);
             socket.write_all(&encode(&row)).await.unwrap();
             // Header and final zero of the query, less the part that was read first.
-            let rest = LONG + assembly::FRAME_HEADER_BYTES + 1 - 1024;
+            let rest = QUERY_BYTES + assembly::FRAME_HEADER_BYTES + 1 - 1024;
             socket.read_exact(&mut vec![0; rest]).await.unwrap();
-            socket.write_all(&complete()).await.unwrap();
+            socket.write_all(&complete_answer()).await.unwrap();
         };
         let timeout = async {
             async_io::Timer::after(time::Duration::from_mins(1)).await;
@@ -207,17 +207,17 @@
 // Cause: a link that asks for nothing gets the instance's defaults.
 #[test]
 fn a_link_asks_for_the_settings_that_callers_are_told() {
-    let packet = greeting("mangotray", "dome");
-    let words: Vec<_> = packet[8..].split(|byte| *byte == 0).collect();
-    let asked: Vec<_> = words
+    let packet = startup_packet("mangotray", "dome");
+    let strings: Vec<_> = packet[8..].split(|byte| *byte == 0).collect();
+    let requested: Vec<_> = strings
         .chunks_exact(2)
         .map(|pair| (pair[0], pair[1]))
         .collect();
     for (name, value) in local::FIXED_SETTINGS {
         assert!(
-            asked.contains(&(name.as_bytes(), value.as_bytes())),
+            requested.contains(&(name.as_bytes(), value.as_bytes())),
             "{name}"
         );
     }
-    assert!(asked.contains(&(b"database", b"dome")));
+    assert!(requested.contains(&(b"database", b"dome")));
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -18,13 +18,13 @@
 use crate::telemetry;
 
 /// Calls in flight at once, watches apart.
-const CONNECTIONS: usize = 8;
+const MAX_CALLS: usize = 8;
 
 /// Watches that wait at once; apart, so that they never hold up a write.
-const WATCHES: usize = 4;
+const MAX_WATCHES: usize = 4;
 
 /// Time for a call to be answered.
-const TIMEOUT: time::Duration = time::Duration::from_secs(2);
+const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 /// How the client reaches the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,9 +50,9 @@
     pub const fn new(address: net::SocketAddr) -> Self {
         Self {
             address,
-            timeout: TIMEOUT,
-            connections: CONNECTIONS,
-            watches: WATCHES,
+            timeout: CALL_TIMEOUT,
+            connections: MAX_CALLS,
+            watches: MAX_WATCHES,
         }
     }
 }
@@ -66,7 +66,7 @@
 }
 
 /// An entry and the index to wait on for its next change.
-struct Seen {
+struct IndexedEntry {
     entry: Option<store::Entry>,
     index: u64,
 }
@@ -98,24 +98,31 @@
         path: &str,
         timeout: time::Duration,
     ) -> Result<http::Answer, store::Failure> {
-        let limit = http::Limit::of_pieces(timeout);
-        let first = pool.call(consul::get(path), limit, false).await;
+        let timeouts = http::Timeouts::streaming(timeout);
+        let first = pool.call(consul::get(path), timeouts, false).await;
         let answer = match first {
-            Err(failure) if failure.stale => pool.call(consul::get(path), limit, true).await,
+            Err(failure) if failure.stale_connection => {
+                pool.call(consul::get(path), timeouts, true).await
+            }
             answer => answer,
         };
-        count("read", answer.is_ok());
+        count_call("read", answer.is_ok());
         answer.map_err(|failure| store::Failure::NotRun(failure.detail.into()))
     }
 
     /// Changes something; sent at most once.
     async fn change(&self, path: &str, body: bytes::Bytes) -> Result<http::Answer, store::Failure> {
-        let limit = http::Limit::of_whole(self.timeout);
-        let answer = self.calls.call(consul::put(path, body), limit, false).await;
-        count("change", answer.is_ok());
+        let timeouts = http::Timeouts::uniform(self.timeout);
+        let answer = self
+            .calls
+            .call(consul::put(path, body), timeouts, false)
+            .await;
+        count_call("change", answer.is_ok());
         match answer {
             Ok(answer) => consul::check_change(answer),
-            Err(failure) if failure.sent => Err(store::Failure::Unknown(failure.detail.into())),
+            Err(failure) if failure.maybe_sent => {
+                Err(store::Failure::Unknown(failure.detail.into()))
+            }
             Err(failure) => Err(store::Failure::NotRun(failure.detail.into())),
         }
     }
@@ -125,44 +132,42 @@
         consul::entries(&answer)
     }
 
-    async fn seen(
+    async fn read_indexed(
         &self,
         key: &str,
         after: Option<(u64, time::Duration)>,
-    ) -> Result<Seen, store::Failure> {
-        let (query, patience) = match after {
+    ) -> Result<IndexedEntry, store::Failure> {
+        let (query, wait) = match after {
             Some((index, wait)) => (format!("?index={index}&wait={}ms", wait.as_millis()), wait),
             None => (String::new(), time::Duration::ZERO),
         };
         let path = format!("/v1/kv/{}{query}", consul::escape(key));
-        let answer = self
-            .read(&self.watches, &path, self.timeout + patience)
-            .await?;
+        let answer = self.read(&self.watches, &path, self.timeout + wait).await?;
         let index = answer.index.unwrap_or_default();
         let entry = consul::entries(&answer)?.pop();
-        Ok(Seen { entry, index })
+        Ok(IndexedEntry { entry, index })
     }
 
-    async fn changed(
+    async fn wait_for_change(
         &self,
         key: &str,
         seen: store::Version,
-        patience: time::Duration,
+        timeout: time::Duration,
     ) -> Result<Option<store::Entry>, store::Failure> {
-        let deadline = time::Instant::now() + patience;
+        let deadline = time::Instant::now() + timeout;
         // An absent key has no version of its own to wait on: read its index first.
         let mut index = seen;
         if seen == 0 {
-            let found = self.seen(key, None).await?;
+            let found = self.read_indexed(key, None).await?;
             if found.entry.is_some() {
                 return Ok(found.entry);
             }
             index = found.index;
         }
         loop {
-            let rest = deadline.saturating_duration_since(time::Instant::now());
-            let found = self.seen(key, Some((index, rest))).await?;
-            if found.version() != seen || rest.is_zero() {
+            let time_left = deadline.saturating_duration_since(time::Instant::now());
+            let found = self.read_indexed(key, Some((index, time_left))).await?;
+            if found.version() != seen || time_left.is_zero() {
                 return Ok(found.entry);
             }
             index = found.index;
@@ -170,7 +175,7 @@
     }
 }
 
-impl Seen {
+impl IndexedEntry {
     fn version(&self) -> store::Version {
         self.entry.as_ref().map_or(0, |entry| entry.version)
     }
@@ -223,9 +228,9 @@
         &'a self,
         key: &'a str,
         seen: store::Version,
-        patience: time::Duration,
+        timeout: time::Duration,
     ) -> future::BoxFuture<'a, Result<Option<store::Entry>, store::Failure>> {
-        self.changed(key, seen, patience).boxed()
+        self.wait_for_change(key, seen, timeout).boxed()
     }
 
     fn grant(
@@ -274,7 +279,7 @@
     }
 }
 
-fn count(kind: &'static str, answered: bool) {
+fn count_call(kind: &'static str, answered: bool) {
     let outcome = if answered { "answered" } else { "failed" };
     metrics::counter!(telemetry::STORE_CALLS, "kind" => kind, "outcome" => outcome).increment(1);
 }
--- a/src/platform/fake.rs
+++ b/src/platform/fake.rs
@@ -12,15 +12,15 @@
 
 /// What a fake store does with one swap.
 #[derive(Clone, Copy, Debug)]
-pub enum Fate {
+pub enum Behaviour {
     /// Carries it out and answers.
     Answered,
     /// Carries it out; the answer is lost.
-    Lost,
+    AnswerLost,
     /// Does not carry it out; the answer is lost.
-    Dropped,
+    RequestLost,
     /// Loses the answer and carries the swap out later, before the next swap.
-    Late,
+    Delayed,
     /// Refuses it.
     Refused,
 }
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Swap {
     value: bytes::Bytes,
-    expect: store::Version,
+    expected: store::Version,
 }
 
 /// Store of one key; each call yields first, so that claimers interleave.
@@ -42,15 +42,15 @@
     version: store::Version,
     pub value: bytes::Bytes,
     /// Fates of the next swaps; then all are answered.
-    pub fates: collections::VecDeque<Fate>,
-    late: Vec<Swap>,
+    pub behaviours: collections::VecDeque<Behaviour>,
+    delayed: Vec<Swap>,
     /// Whether reads are refused.
-    pub down: bool,
+    pub unavailable: bool,
 }
 
 impl State {
     fn swap(&mut self, swap: Swap) -> store::Swap {
-        if swap.expect != self.version {
+        if swap.expected != self.version {
             return store::Swap::Conflict;
         }
         self.version += 1;
@@ -58,20 +58,20 @@
         store::Swap::Stored
     }
 
-    fn meet(&mut self, swap: Swap) -> Result<store::Swap, store::Failure> {
+    fn handle(&mut self, swap: Swap) -> Result<store::Swap, store::Failure> {
         let unknown = Err(store::Failure::Unknown("lost".into()));
-        match self.fates.pop_front().unwrap_or(Fate::Answered) {
-            Fate::Answered => Ok(self.swap(swap)),
-            Fate::Lost => {
+        match self.behaviours.pop_front().unwrap_or(Behaviour::Answered) {
+            Behaviour::Answered => Ok(self.swap(swap)),
+            Behaviour::AnswerLost => {
                 self.swap(swap);
                 unknown
             }
-            Fate::Dropped => unknown,
-            Fate::Late => {
-                self.late.push(swap);
+            Behaviour::RequestLost => unknown,
+            Behaviour::Delayed => {
+                self.delayed.push(swap);
                 unknown
             }
-            Fate::Refused => Err(store::Failure::NotRun("refused".into())),
+            Behaviour::Refused => Err(store::Failure::NotRun("refused".into())),
         }
     }
 }
@@ -84,7 +84,7 @@
         async move {
             lite::yield_now().await;
             let state = self.state.lock().unwrap();
-            if state.down {
+            if state.unavailable {
                 return Err(store::Failure::NotRun("down".into()));
             }
             Ok((state.version > 0).then(|| store::Entry {
@@ -101,17 +101,17 @@
         &'a self,
         _key: &'a str,
         value: bytes::Bytes,
-        expect: store::Version,
+        expected: store::Version,
         _lease: Option<&'a str>,
     ) -> future::BoxFuture<'a, Result<store::Swap, store::Failure>> {
         async move {
             lite::yield_now().await;
             let mut state = self.state.lock().unwrap();
-            let late = std::mem::take(&mut state.late);
-            for swap in late {
+            let delayed = std::mem::take(&mut state.delayed);
+            for swap in delayed {
                 state.swap(swap);
             }
-            state.meet(Swap { value, expect })
+            state.handle(Swap { value, expected })
         }
         .boxed()
     }
@@ -127,7 +127,7 @@
         &'a self,
         _key: &'a str,
         _seen: store::Version,
-        _patience: time::Duration,
+        _timeout: time::Duration,
     ) -> future::BoxFuture<'a, Result<Option<store::Entry>, store::Failure>> {
         unreachable!("one key")
     }
@@ -149,32 +149,32 @@
 }
 
 impl Fake {
-    /// A store whose first swaps meet the given fates.
-    pub fn new(fates: &[Fate]) -> sync::Arc<Self> {
+    /// A store whose first swaps meet the given behaviours.
+    pub fn new(behaviours: &[Behaviour]) -> sync::Arc<Self> {
         let fake = Self::default();
-        fake.state.lock().unwrap().fates.extend(fates);
+        fake.state.lock().unwrap().behaviours.extend(behaviours);
         sync::Arc::new(fake)
     }
 }
 
 /// Polls two futures in the order of `first`, then in turns to their end.
 pub fn interleave<A, B>(
-    first: &[bool],
-    a: impl Future<Output = A>,
-    b: impl Future<Output = B>,
+    poll_order: &[bool],
+    left: impl Future<Output = A>,
+    right: impl Future<Output = B>,
 ) -> (A, B) {
-    let mut a = Box::pin(future::maybe_done(a));
-    let mut b = Box::pin(future::maybe_done(b));
+    let mut left = Box::pin(future::maybe_done(left));
+    let mut right = Box::pin(future::maybe_done(right));
     lite::block_on(async {
-        for first in first {
-            if *first {
-                lite::poll_once(&mut a).await;
+        for poll_left in poll_order {
+            if *poll_left {
+                lite::poll_once(&mut left).await;
             } else {
-                lite::poll_once(&mut b).await;
+                lite::poll_once(&mut right).await;
             }
         }
-        future::join(&mut a, &mut b).await;
+        future::join(&mut left, &mut right).await;
     });
-    let a = a.as_mut().take_output().expect("joined");
-    (a, b.as_mut().take_output().expect("joined"))
+    let left = left.as_mut().take_output().expect("joined");
+    (left, right.as_mut().take_output().expect("joined"))
 }
--- a/src/tally.rs
+++ b/src/tally.rs
@@ -6,21 +6,21 @@
 use crate::id;
 use crate::telemetry;
 
-const NONE: u64 = u64::MAX;
+const NO_GAP: u64 = u64::MAX;
 
 /// Counts since this proxy began to serve the group.
 #[derive(Debug)]
 pub struct Tally {
     promotions: atomic::AtomicU64,
     /// In milliseconds.
-    gap: atomic::AtomicU64,
+    gap_ms: atomic::AtomicU64,
 }
 
 impl Default for Tally {
     fn default() -> Self {
         Self {
             promotions: atomic::AtomicU64::new(0),
-            gap: atomic::AtomicU64::new(NONE),
+            gap_ms: atomic::AtomicU64::new(NO_GAP),
         }
     }
 }
@@ -30,10 +30,10 @@
     ///
     /// ```
     /// let tally = mangotray::tally::Tally::default();
-    /// tally.promoted(&"campaign-core-1".into());
+    /// tally.record_promotion(&"campaign-core-1".into());
     /// assert_eq!(tally.promotions(), 1);
     /// ```
-    pub fn promoted(&self, group: &id::Group) {
+    pub fn record_promotion(&self, group: &id::Group) {
         self.promotions.fetch_add(1, atomic::Ordering::Relaxed);
         let group = group.to_string();
         metrics::counter!(telemetry::PROMOTIONS, "group" => group).increment(1);
@@ -44,12 +44,12 @@
     /// ```
     /// use std::time::Duration;
     /// let tally = mangotray::tally::Tally::default();
-    /// tally.failed_over(&"campaign-core-1".into(), Duration::from_millis(700));
+    /// tally.record_failover(&"campaign-core-1".into(), Duration::from_millis(700));
     /// assert_eq!(tally.last_gap_ms(), Some(700));
     /// ```
-    pub fn failed_over(&self, group: &id::Group, gap: time::Duration) {
-        let millis = u64::try_from(gap.as_millis()).unwrap_or(NONE - 1);
-        self.gap.store(millis, atomic::Ordering::Relaxed);
+    pub fn record_failover(&self, group: &id::Group, gap: time::Duration) {
+        let millis = u64::try_from(gap.as_millis()).unwrap_or(NO_GAP - 1);
+        self.gap_ms.store(millis, atomic::Ordering::Relaxed);
         let group = group.to_string();
         metrics::histogram!(telemetry::FAILOVER_GAP, "group" => group).record(gap.as_secs_f64());
     }
@@ -63,7 +63,7 @@
     /// Length of the last failover in milliseconds; `None` before the first.
     #[must_use]
     pub fn last_gap_ms(&self) -> Option<u64> {
-        let millis = self.gap.load(atomic::Ordering::Relaxed);
-        (millis != NONE).then_some(millis)
+        let millis = self.gap_ms.load(atomic::Ordering::Relaxed);
+        (millis != NO_GAP).then_some(millis)
     }
 }
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -11,7 +11,7 @@
 
 /// Requests answered or refused; labels `class` and `outcome`.
 pub const REQUESTS: &str = "mangotray_requests_total";
-/// Reads served; label `source` is [`REPLICA`] or [`PRIMARY`].
+/// Reads served; label `source` is [`SOURCE_REPLICA`] or [`SOURCE_PRIMARY`].
 pub const READS: &str = "mangotray_reads_total";
 /// Time from the last sight of a well primary to that of the next term's; label `group`.
 pub const FAILOVER_GAP: &str = "mangotray_failover_gap_seconds";
@@ -28,24 +28,24 @@
 /// Promotions that this process carried through; label `group`.
 pub const PROMOTIONS: &str = "mangotray_promotions_total";
 /// Replicas found to have records that the instance promoted instead lacks; label `group`.
-pub const LOSSES: &str = "mangotray_promotion_losses_total";
+pub const PROMOTION_LOSSES: &str = "mangotray_promotion_losses_total";
 /// 1 while a promotion of the group is held back on this node; label `group`.
-pub const HELD_BACK: &str = "mangotray_promotion_held_back";
+pub const PROMOTION_HELD_BACK: &str = "mangotray_promotion_held_back";
 /// Calls to the platform's service; labels `kind` and `outcome`.
 pub const STORE_CALLS: &str = "mangotray_store_calls_total";
 /// Bytes of answers of the platform's service, given up ones included; labels `kind` and `outcome`.
-pub const STORE_BYTES: &str = "mangotray_store_answer_bytes_total";
+pub const STORE_ANSWER_BYTES: &str = "mangotray_store_answer_bytes_total";
 /// Era of the platform's store, which rises when it comes back from an older copy.
 pub const STORE_ERA: &str = "mangotray_store_era";
 /// Sessions offered to another proxy; label `result`.
 pub const FORWARDS: &str = "mangotray_forwards_total";
 
 /// Value of label `source` for a read that a replica served.
-pub const REPLICA: &str = "replica";
+pub const SOURCE_REPLICA: &str = "replica";
 /// Value of label `source` for a read that the primary served.
-pub const PRIMARY: &str = "primary";
+pub const SOURCE_PRIMARY: &str = "primary";
 
-const GAP_BUCKETS: [f64; 9] = [0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 12.0, 30.0];
+const FAILOVER_GAP_BUCKETS_SECONDS: [f64; 9] = [0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 12.0, 30.0];
 
 static RECORDER: sync::OnceLock<Handle> = sync::OnceLock::new();
 
@@ -96,17 +96,17 @@
 }
 
 type Builder = metrics_exporter_prometheus::PrometheusBuilder;
-type Built = Result<Builder, metrics_exporter_prometheus::BuildError>;
+type BuildResult = Result<Builder, metrics_exporter_prometheus::BuildError>;
 
 fn recorder() -> metrics_exporter_prometheus::PrometheusRecorder {
-    with_buckets(Builder::new(), FAILOVER_GAP, &GAP_BUCKETS)
+    with_buckets(Builder::new(), FAILOVER_GAP, &FAILOVER_GAP_BUCKETS_SECONDS)
         .expect("bucket lists are not empty")
         .build_recorder()
 }
 
-fn with_buckets(builder: Builder, name: &str, values: &[f64]) -> Built {
+fn with_buckets(builder: Builder, name: &str, buckets: &[f64]) -> BuildResult {
     let matcher = metrics_exporter_prometheus::Matcher::Full(name.to_owned());
-    builder.set_buckets_for_metric(matcher, values)
+    builder.set_buckets_for_metric(matcher, buckets)
 }
 
 fn describe() {
@@ -131,7 +131,7 @@
             "Promotions that this process carried through, by group",
         ),
         (
-            LOSSES,
+            PROMOTION_LOSSES,
             "Replicas with records that the instance promoted instead lacks, by group",
         ),
         (
@@ -139,7 +139,7 @@
             "Calls to the platform's service, by kind and outcome",
         ),
         (
-            STORE_BYTES,
+            STORE_ANSWER_BYTES,
             "Bytes of answers of the platform's service, by kind and outcome",
         ),
         (FORWARDS, "Sessions offered to another proxy, by result"),
@@ -162,7 +162,7 @@
         ),
         (CONFIG_REVISION, "Revision of the configuration in force"),
         (
-            HELD_BACK,
+            PROMOTION_HELD_BACK,
             "1 while a promotion is held back on this node, by group",
         ),
         (
@@ -192,20 +192,20 @@
 ///
 /// ```
 /// let log = mangotray::settings::Log::default();
-/// assert!(mangotray::telemetry::log(&log).is_ok());
-/// assert!(mangotray::telemetry::log(&log).is_err());
+/// assert!(mangotray::telemetry::init_logging(&log).is_ok());
+/// assert!(mangotray::telemetry::init_logging(&log).is_err());
 /// ```
-pub fn log(log: &settings::Log) -> eyre::Result<()> {
-    let filter = tracing_subscriber::EnvFilter::builder().parse(&log.filter)?;
+pub fn init_logging(settings: &settings::Log) -> eyre::Result<()> {
+    let filter = tracing_subscriber::EnvFilter::builder().parse(&settings.filter)?;
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .with_ansi(std::io::stderr().is_terminal());
-    let started = match log.format {
+    let started = match settings.format {
         settings::Format::Text => builder.try_init(),
         settings::Format::Json => builder.json().flatten_event(true).try_init(),
     };
-    started.map_err(|e| eyre::eyre!(e))
+    started.map_err(|error| eyre::eyre!(error))
 }
 
 #[cfg(test)]
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -6,7 +6,7 @@
     let handle = recorder.handle();
     metrics::with_local_recorder(&recorder, || {
         telemetry::describe();
-        metrics::counter!(telemetry::READS, "source" => telemetry::REPLICA).increment(2);
+        metrics::counter!(telemetry::READS, "source" => telemetry::SOURCE_REPLICA).increment(2);
         metrics::histogram!(telemetry::FAILOVER_GAP).record(0.7);
     });
     let text = handle.render();
--- a/src/term/tests.rs
+++ b/src/term/tests.rs
@@ -14,13 +14,13 @@
     term::Registry::new(store, "dome-sched-1", vm.into(), incarnation)
 }
 
-fn fates() -> impl Strategy<Value = Vec<fake::Fate>> {
+fn behaviours() -> impl Strategy<Value = Vec<fake::Behaviour>> {
     let fate = prop_oneof![
-        Just(fake::Fate::Answered),
-        Just(fake::Fate::Lost),
-        Just(fake::Fate::Dropped),
-        Just(fake::Fate::Late),
-        Just(fake::Fate::Refused),
+        Just(fake::Behaviour::Answered),
+        Just(fake::Behaviour::AnswerLost),
+        Just(fake::Behaviour::RequestLost),
+        Just(fake::Behaviour::Delayed),
+        Just(fake::Behaviour::Refused),
     ];
     prop::collection::vec(fate, 0..24)
 }
@@ -46,12 +46,12 @@
     // that the store has not confirmed as its own.
     #[test]
     fn no_term_is_handed_out_twice(
-        fates in fates(),
+        behaviours in behaviours(),
         first in prop::collection::vec(any::<bool>(), 0..64),
         a in prop::collection::vec(any::<bool>(), 1..6),
         b in prop::collection::vec(any::<bool>(), 1..6),
     ) {
-        let store = fake::Fake::new(&fates);
+        let store = fake::Fake::new(&behaviours);
         let (one, two) = (registry(&store, "vm-1", 1), registry(&store, "vm-2", 2));
         let (one, two) = fake::interleave(&first, claims(&one, &a), claims(&two, &b));
         let terms: Vec<u64> = one.into_iter().chain(two).collect();
@@ -62,12 +62,12 @@
     // The same with concurrent claims by one process, which probers may make.
     #[test]
     fn concurrent_claims_of_one_registry_are_unique(
-        fates in fates(),
+        behaviours in behaviours(),
         first in prop::collection::vec(any::<bool>(), 0..64),
         a in prop::collection::vec(any::<bool>(), 1..6),
         b in prop::collection::vec(any::<bool>(), 1..6),
     ) {
-        let store = fake::Fake::new(&fates);
+        let store = fake::Fake::new(&behaviours);
         let shared = registry(&store, "vm-1", 1);
         let (one, two) = fake::interleave(&first, claims(&shared, &a), claims(&shared, &b));
         let terms: Vec<u64> = one.into_iter().chain(two).collect();
@@ -87,7 +87,7 @@
 // swaps are lost while reads work, so the claim has to find its own attempt by reading the record.
 #[test]
 fn a_claim_whose_answer_was_lost_is_found_by_reading_back() {
-    let store = fake::Fake::new(&[fake::Fate::Lost; 2]);
+    let store = fake::Fake::new(&[fake::Behaviour::AnswerLost; 2]);
     let registry = registry(&store, "vm-1", 1);
     assert_eq!(lite::block_on(registry.claim(4)), Ok(5));
     assert_eq!(lite::block_on(registry.claim(4)), Ok(6));
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_claim_whose_swap_has_no_answer_is_unknown() {
-    let store = fake::Fake::new(&[fake::Fate::Dropped; 64]);
+    let store = fake::Fake::new(&[fake::Behaviour::RequestLost; 64]);
     let registry = registry(&store, "vm-1", 1);
     assert_matches!(
         lite::block_on(registry.claim(0)),
@@ -111,7 +111,7 @@
     let holder = registry(&store, "vm-1", 1);
     let term = lite::block_on(holder.reserve(0)).unwrap();
     assert_eq!(lite::block_on(holder.reserve(0)), Ok(term));
-    store.state.lock().unwrap().down = true;
+    store.state.lock().unwrap().unavailable = true;
     assert_matches!(
         lite::block_on(holder.claim(0)),
         Err(store::Failure::NotRun(_))
