--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! Small pool of kept-alive HTTP connections to one address.
+//! Pool of kept-alive HTTP connections to one address.
 
 use std::fmt;
 use std::net;
@@ -11,64 +11,65 @@
 use hyper::body::Body;
 use hyper::client::conn::http1;
 
-/// Request as the pool sends it.
+/// Request with its whole body.
 pub type Request = hyper::Request<http_body_util::Full<bytes::Bytes>>;
 
 type Sender = http1::SendRequest<http_body_util::Full<bytes::Bytes>>;
 
-/// Header that carries the index of the data that was read.
+/// Response header with the index of the returned data.
 pub const INDEX_HEADER: &str = "x-consul-index";
 
-/// Longest wait for the next piece of an answer: a packet that is lost three times in a row arrives
-/// within this time.
+/// Longest wait for the next part of an answer's body. A packet that is lost three times in a row
+/// still arrives within this time.
 const BODY_READ_TIMEOUT: time::Duration = time::Duration::from_millis(1500);
 
-/// Longest time from the beginning of an answer to its end, so that one that trickles ends:
-/// two megabytes over a link of half a megabit a second.
+/// Longest time to receive an answer's body, so that a very slow answer is abandoned. It allows two
+/// megabytes over a link of half a megabit per second.
 const MAX_ANSWER_DURATION: time::Duration = time::Duration::from_secs(32);
 
-/// What came back for one request.
+/// Response to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Status of the response.
+    /// HTTP status.
     pub status: hyper::StatusCode,
-    /// Index of the data, when the service gave one.
+    /// Index of the data, if the service sent one.
     pub index: Option<u64>,
-    /// Headers of the response.
+    /// HTTP headers.
     pub headers: hyper::HeaderMap,
     /// Whole body.
     pub body: bytes::Bytes,
 }
 
-/// How long a call may take.
+/// Timeouts of one call.
 ///
-/// How long a whole answer takes depends on its size and on what else the link carries. A call that is
-/// given up loses what has come, and the next one begins anew: where the limit is for the
-/// whole, an answer that outgrows it is never received.
+/// The time to receive an answer depends on its size and on the other traffic on the link. An
+/// abandoned call discards the part that was received, and the next call starts from the
+/// beginning. With a fixed total timeout, an answer that becomes too large is therefore never
+/// received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Until the answer begins, connecting included.
+    /// Time until the answer begins, including the time to connect.
     pub answer_start: time::Duration,
-    /// Until the next piece of an answer that has begun.
+    /// Time until the next part of an answer that has begun.
     pub body_read: time::Duration,
-    /// For all of the call.
+    /// Time for the whole call.
     pub total: time::Duration,
 }
 
-/// Why a request has no answer.
+/// Reason why a request has no complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// True when the request may have left this process.
+    /// Whether the request may have been sent.
     pub maybe_sent: bool,
-    /// True when a kept-alive connection turned out to be closed.
+    /// Whether the request failed on a kept-alive connection, which the service may have closed.
     pub stale_connection: bool,
-    /// Bytes of the answer's body that had come; none where the answer had not begun.
+    /// Number of bytes received of the answer's body; `None` if the answer had not begun.
     pub received_bytes: Option<usize>,
-    /// Words for the log.
+    /// Description for the log.
     pub detail: String,
 }
 
-/// An answer that has begun.
+/// Answer that has begun and is not completely received.
 pub struct PartialAnswer<'a> {
     pool: &'a Pool,
     _permit: async_lock::SemaphoreGuard<'a>,
@@ -78,7 +79,7 @@
     deadline: time::Instant,
 }
 
-/// Bounded set of connections; one request at a time on each.
+/// Bounded set of connections, each of which carries one request at a time.
 pub struct Pool {
     address: net::SocketAddr,
     executor: sync::Arc<async_executor::Executor<'static>>,
@@ -87,7 +88,7 @@
 }
 
 impl Pool {
-    /// Builds a pool of at most `connections`; nothing is opened yet.
+    /// Creates a pool of at most `connections`, without opening any.
     ///
     /// ```
     /// use std::sync;
@@ -109,20 +110,21 @@
         }
     }
 
-    /// Connections that are open and not in use.
+    /// Number of open connections that are not in use.
     #[must_use]
     pub fn idle(&self) -> usize {
         self.lock_idle().len()
     }
 
-    /// Sends one request and collects its whole answer within `limit`.
+    /// Sends one request and receives its whole answer.
     ///
-    /// With `new_connection`, kept-alive connections are dropped and a new one is opened.
-    /// Nothing is sent twice.
+    /// With `new_connection`, the idle connections are closed and a new one is opened. The request
+    /// is sent at most once.
     ///
     /// # Errors
     ///
-    /// `Failure::maybe_sent` tells whether the request may have left this process.
+    /// When a timeout elapses or the connection fails; `Failure::maybe_sent` tells whether the
+    /// request may have been sent.
     pub async fn call(
         &self,
         request: Request,
@@ -139,7 +141,7 @@
     ///
     /// # Errors
     ///
-    /// As those of [`Pool::call`].
+    /// The same as for [`Pool::call`].
     pub async fn begin(
         &self,
         request: Request,
@@ -155,7 +157,7 @@
             .await
             .ok_or_else(|| Failure::unsent("timeout while connecting"))??;
         let Some(response) = within(deadline, send(&mut sender, request, reused)).await else {
-            // Where one open connection went silent, others may have: each would cost a timeout.
+            // The other idle connections may not answer either, and each would cost a timeout.
             self.lock_idle().clear();
             return Err(Failure::lost("timeout before the answer began"));
         };
@@ -170,7 +172,7 @@
         })
     }
 
-    /// Takes a kept-alive connection, or opens one; true when it was kept alive.
+    /// Takes an idle connection or opens one; returns whether it is a reused one.
     async fn checkout(&self, new_connection: bool) -> Result<(Sender, bool), Failure> {
         if new_connection {
             self.lock_idle().clear();
@@ -184,10 +186,10 @@
     }
 
     fn lock_idle(&self) -> sync::MutexGuard<'_, Vec<Sender>> {
-        self.idle.lock().expect("no thread panics with the list")
+        self.idle.lock().expect("no panic while locked")
     }
 
-    // A function of its own, as the list must not stay locked while a sender is tried.
+    // A separate function, so that the list is not locked while `checkout` waits for the sender.
     fn pop_idle(&self) -> Option<Sender> {
         self.lock_idle().pop()
     }
@@ -219,11 +221,11 @@
 }
 
 impl PartialAnswer<'_> {
-    /// Collects the rest of the answer.
+    /// Receives the rest of the answer.
     ///
     /// # Errors
     ///
-    /// When it does not come in time, or breaks off.
+    /// When the body is incomplete after a timeout or a connection failure.
     pub async fn finish(self) -> Result<Answer, Failure> {
         let announced = self.response.body().size_hint().exact();
         let (parts, mut incoming) = self.response.into_parts();
@@ -242,8 +244,8 @@
                 body.extend_from_slice(&data);
             }
         }
-        // A call that is given up drops its sender, which closes the connection:
-        // a late answer can never be taken for the answer to the next request.
+        // An abandoned call drops its sender, which closes the connection, so that a late answer
+        // is never taken for the answer to the next request.
         self.pool.lock_idle().push(self.sender);
         Ok(Answer {
             status: parts.status,
@@ -255,7 +257,7 @@
 }
 
 impl Timeouts {
-    /// A limit for all of a call whose answer is small.
+    /// Returns timeouts for a call with a small answer: `timeout` applies to the whole call.
     ///
     /// ```
     /// let timeouts = mangotray::http::Timeouts::uniform(std::time::Duration::from_secs(1));
@@ -270,7 +272,8 @@
         }
     }
 
-    /// A limit for a call whose answer may be of any size: it may take as long as it goes on.
+    /// Returns timeouts for a call with an answer of any size, which may take long while parts of
+    /// it keep arriving. `answer_start` is the time until the answer begins.
     ///
     /// ```
     /// let second = std::time::Duration::from_secs(1);
@@ -324,7 +327,7 @@
         .try_send_request(request)
         .await
         .map_err(|mut error| Failure {
-            // The request comes back only when none of it was written.
+            // The request is returned only if no part of it was written.
             maybe_sent: error.take_message().is_none(),
             stale_connection: reused,
             received_bytes: None,
@@ -336,7 +339,7 @@
     headers.get(INDEX_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-/// Result of `future`, or `None` once the deadline has passed.
+/// Returns the result of `future`, or `None` when the deadline has passed.
 async fn within<T>(deadline: time::Instant, future: impl Future<Output = T>) -> Option<T> {
     let timer = async {
         async_io::Timer::at(deadline).await;
--- a/src/launch.rs
+++ b/src/launch.rs
@@ -7,18 +7,18 @@
 
 use crate::settings;
 
-/// How a daemon is started.
+/// Command line of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Launch {
-    /// File with the settings.
+    /// Path of the settings file.
     pub settings: path::PathBuf,
-    /// Only check the settings.
+    /// Whether to check the settings and exit.
     pub check: bool,
-    /// Values that go before the file's.
+    /// Values that override those of the settings file.
     pub overrides: Vec<settings::Override>,
 }
 
-/// The parser with its help texts.
+/// Returns the parser with its help texts.
 ///
 /// ```
 /// use mangotray::launch;
@@ -28,11 +28,11 @@
 #[must_use]
 pub fn options() -> bpaf::OptionParser<Launch> {
     let settings = bpaf::long("settings")
-        .help("File with the settings of this VM")
+        .help("Settings file of this VM")
         .argument::<path::PathBuf>("FILE")
         .complete_shell(bpaf::ShellComp::File { mask: None });
     let check = bpaf::long("check")
-        .help("Check the settings, print all mistakes and exit")
+        .help("Check the settings, print all errors and exit")
         .switch();
     let overrides = overrides();
     bpaf::construct!(Launch {
@@ -42,7 +42,7 @@
     })
     .to_options()
     .descr("Serves callers of database groups.")
-    .footer("Flags go before the file's values, which go before the defaults.")
+    .footer("Flags override the values of the file, which override the defaults.")
     .version(env!("CARGO_PKG_VERSION"))
 }
 
@@ -68,7 +68,7 @@
     key: &'static str,
 ) -> impl Parser<settings::Override> {
     bpaf::long(name)
-        .help(format!("In place of `{key}` in [{section}]").as_str())
+        .help(format!("Overrides `{key}` in [{section}]").as_str())
         .argument::<CompactString>(value_name)
         .map(move |value| settings::Override {
             section,
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,4 +1,4 @@
-//! A working connection to an instance over the `PostgreSQL` wire protocol.
+//! Connection to an instance over the `PostgreSQL` wire protocol.
 
 use std::future;
 use std::io;
@@ -27,17 +27,18 @@
 use crate::upstream;
 use crate::wire;
 
+/// Parameter with which an instance reports its incarnation during the handshake.
 const INCARNATION_PARAMETER: &str = "group_incarnation";
 
-/// How links are opened and how much they accept.
+/// Options of links.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Options {
-    /// User name of the startup packet.
+    /// User name in the startup packet.
     pub user: CompactString,
-    /// Longest wait for the connection and its handshake.
+    /// Timeout for connecting, including the handshake.
     #[serde(with = "humantime_serde")]
     pub timeout: time::Duration,
-    /// Largest answer to one batch, in bytes.
+    /// Maximum size of the answer to one batch, in bytes.
     pub limit: usize,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// One connection; it answers one batch at a time and is unusable after any failure.
+/// Connection that runs one batch at a time; it is unusable after any failure.
 pub struct Link {
     stream: wire::Stream,
     incarnation: id::Incarnation,
@@ -60,7 +61,7 @@
 }
 
 impl Link {
-    /// Connects and completes the handshake.
+    /// Connects and performs the handshake.
     ///
     /// ```
     /// use mangotray::{link, upstream};
@@ -71,7 +72,7 @@
     /// ```
     ///
     /// # Errors
-    /// Always `Failure::NotRun`: no statement has been sent yet.
+    /// Always `Failure::NotRun`, because no statement has been sent.
     pub async fn open(
         address: net::SocketAddr,
         database: &str,
@@ -139,9 +140,9 @@
             .unwrap_or_else(|| Err(io::ErrorKind::UnexpectedEof.into()))
     }
 
-    /// A connection that the instance closed while it lay idle would swallow a batch
-    /// without a trace, and the caller would be told "unknown" for something that
-    /// never left. The closing is already in the socket, so it is looked for first.
+    /// Checks, without waiting, that the instance has not closed the idle connection. A batch
+    /// written to a closed connection is lost, and the caller would be told "unknown" although it
+    /// never ran. The end of the stream is then already in the socket's receive buffer.
     fn check_idle(&mut self) -> Result<(), upstream::Failure> {
         while let Some(event) = self.next_frame().now_or_never() {
             match event {
@@ -156,9 +157,9 @@
         Ok(())
     }
 
-    /// Sends the batch and collects its answer at the same time: an instance that
-    /// answers a long batch while reading it would otherwise wait for the proxy to
-    /// read, while the proxy waits for the instance to read.
+    /// Sends the batch and receives its answer concurrently. Otherwise, an instance that answers a
+    /// long batch while reading it would wait for the proxy to read, while the proxy waits for the
+    /// instance to read.
     async fn exchange(
         &mut self,
         frames: &[frame::Frame],
@@ -217,8 +218,8 @@
         frames: &'a [frame::Frame],
     ) -> BoxFuture<'a, Result<reply::Reply, upstream::Failure>> {
         Box::pin(async move {
-            // Set again only after a whole answer: a run that was dropped or failed
-            // half way leaves frames behind, which the next batch would take for its own.
+            // Set again only after a whole answer. A run that was dropped or has failed leaves
+            // frames in the stream, which the next batch would take for its own answer.
             if !std::mem::replace(&mut self.usable, false) {
                 return Err(not_run("connection is no longer usable"));
             }
@@ -230,10 +231,10 @@
     }
 }
 
-/// What is still to be sent.
+/// Batch that is being sent.
 struct Request {
     unsent: bytes::Bytes,
-    /// No byte has left yet.
+    /// Whether no byte has been written yet.
     nothing_sent: bool,
 }
 
@@ -255,8 +256,8 @@
     }
 }
 
-/// Asks for the settings that callers are told. Otherwise the instance's own defaults
-/// would apply, and a caller that relies on what it was told would misread its answer.
+/// Encodes the startup packet. It requests the parameter values that the proxy reports to callers;
+/// with other defaults of the instance, callers would misread its answers.
 fn startup_packet(user: &str, database: &str) -> bytes::BytesMut {
     let mut message = startup::Startup::new();
     message.parameters.insert("user".into(), user.into());
@@ -267,14 +268,14 @@
     let in_force = in_force.map(|(name, value)| ((*name).into(), (*value).into()));
     message.parameters.extend(in_force);
     let mut buffer = bytes::BytesMut::new();
-    pgwire::messages::Message::encode(&message, &mut buffer).expect("names within limits");
+    pgwire::messages::Message::encode(&message, &mut buffer).expect("names fit into a packet");
     buffer
 }
 
 fn check_authentication(frame: &frame::Frame) -> eyre::Result<()> {
     match frame.decode::<startup::Authentication>()? {
         startup::Authentication::Ok => Ok(()),
-        _ => eyre::bail!("the instance asks for a password"),
+        _ => eyre::bail!("the instance requires authentication"),
     }
 }
 
@@ -295,13 +296,14 @@
     upstream::Failure::Unknown(format_compact!("{message}"))
 }
 
-/// A frame over the limit is refused by its length field, before it is read.
+/// Describes a failure to receive. A frame whose length field exceeds the limit is rejected before
+/// its body is read, with the kind `InvalidData`.
 fn receive_failure(error: &io::Error) -> upstream::Failure {
     if error.kind() == io::ErrorKind::InvalidData {
         return unknown(format_args!("{}: {error}", assembly::TOO_LARGE_MESSAGE));
     }
     unknown(format_args!(
-        "connection lost before the whole answer: {error}"
+        "connection lost before the end of the answer: {error}"
     ))
 }
 
--- a/src/link/tests.rs
+++ b/src/link/tests.rs
@@ -9,8 +9,8 @@
 use crate::transaction;
 use crate::upstream::Connection;
 
-/// A server that answers the handshake and then each request with the given bytes;
-/// closes after the last.
+/// Runs a server that answers the handshake and then each request with the given bytes, and closes
+/// the connection after the last one.
 async fn serve(listener: async_net::TcpListener, answers: Vec<Vec<u8>>) {
     let (mut socket, _) = listener.accept().await.unwrap();
     let mut request = [0; 1024];
@@ -62,7 +62,7 @@
     vec![frame::Frame::encode(&query)]
 }
 
-/// Runs as many batches as given against a server with these answers.
+/// Runs the given number of batches against a server with these answers.
 fn run_batches(
     limit: usize,
     answers: Vec<Vec<u8>>,
@@ -101,9 +101,9 @@
     }
 }
 
-/// Symptom: a caller gets half an answer, or the rest of somebody else's.
-/// Events: the connection breaks after any number of bytes of the answer.
-/// Cause: relaying frames before the answer is whole, or using the link again.
+/// Guards against a caller that gets a part of an answer or the rest of another caller's. The
+/// connection is lost after any number of bytes; an incomplete answer must not be relayed, and the
+/// link must not be used again.
 #[test]
 fn an_answer_cut_anywhere_is_unknown_and_ends_the_link() {
     let answer = complete_answer();
@@ -114,9 +114,8 @@
     }
 }
 
-/// Symptom: the second caller sees the first one's answer.
-/// Events: the first caller's deadline passes before the answer; the answer comes late.
-/// Cause: giving a link with an answer under way to the next request.
+/// Guards against a caller that gets the answer of the previous one. When a deadline passes, the
+/// run is dropped and its answer arrives late, so the link must not be given to the next request.
 #[test]
 fn a_link_dropped_while_it_runs_is_never_used_again() {
     let listening = async_net::TcpListener::bind("127.0.0.1:0");
@@ -162,9 +161,9 @@
     assert_eq!(reply.stamp, None);
 }
 
-/// Symptom: a long pipelined batch hangs until its deadline.
-/// Events: the instance answers while it reads; its answers fill both sockets' buffers.
-/// Cause: a proxy that reads nothing before all is sent.
+/// Guards against a long pipelined batch that waits until its deadline. The instance answers while
+/// it reads, and its answers fill the buffers of both sockets; the proxy must read before it has
+/// sent the whole batch.
 #[test]
 fn reads_while_it_sends() {
     const QUERY_BYTES: usize = 32 << 20;
@@ -188,7 +187,7 @@
             socket.read_exact(&mut request).await.unwrap();
             let row = data::DataRow::new(bytes::BytesMut::zeroed(QUERY_BYTES), 1);
             socket.write_all(&encode(&row)).await.unwrap();
-            // Header and final zero of the query, less the part that was read first.
+            // Header and final zero byte of the query, minus the bytes that were read before.
             let rest = QUERY_BYTES + assembly::FRAME_HEADER_BYTES + 1 - 1024;
             socket.read_exact(&mut vec![0; rest]).await.unwrap();
             socket.write_all(&complete_answer()).await.unwrap();
@@ -202,9 +201,9 @@
     });
 }
 
-// Symptom: times come back in the instance's own zone, though the caller was told UTC.
-// Events: the instance's default differs from what the proxy reports; a link is opened.
-// Cause: a link that asks for nothing gets the instance's defaults.
+// Guards against answers that do not match the parameters reported to callers, such as times in the
+// instance's zone although the proxy reports UTC. A link that requests no values gets the
+// instance's defaults.
 #[test]
 fn a_link_asks_for_the_settings_that_callers_are_told() {
     let packet = startup_packet("mangotray", "dome");
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,9 +1,9 @@
 //! Client of the platform's key-value service and VM list over HTTP.
 //!
-//! The calls are those of the published Consul KV HTTP API, with two liberties: one
-//! write may both compare (`cas`) and bind to a session (`acquire`), and `/v1/vms`
-//! gives the VM list. Statuses 429, 503 and 4xx are answers of a service that has
-//! refused a call before it carried it out; 500, 502 and 504 say nothing of the kind.
+//! The calls are those of the published Consul KV HTTP API, with two extensions: one write may both
+//! compare (`cas`) and bind to a session (`acquire`), and `/v1/vms` returns the VM list. With the
+//! statuses 4xx (429 included) and 503, the service refuses a call before it runs it. The statuses
+//! 500, 502 and 504 do not tell whether the call was run.
 
 use std::net;
 use std::sync;
@@ -17,30 +17,32 @@
 use crate::store;
 use crate::telemetry;
 
-/// Calls in flight at once, watches apart.
+/// Maximum number of concurrent calls, except watches.
 const MAX_CALLS: usize = 8;
 
-/// Watches that wait at once; apart, so that they never hold up a write.
+/// Maximum number of concurrent watches. They have a pool of their own, so that they never delay a
+/// write.
 const MAX_WATCHES: usize = 4;
 
-/// Time for a call to be answered.
+/// Default timeout of a call.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// How the client reaches the platform.
+/// Options of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Address of the service.
     pub address: net::SocketAddr,
-    /// Time for one call, from its start to the last byte of the answer.
+    /// Timeout of a call: for a change until the last byte of the answer, for a read until the
+    /// answer begins. For a watch, the time that it waits is added.
     pub timeout: time::Duration,
-    /// Calls in flight at once, watches apart.
+    /// Maximum number of concurrent calls, except watches.
     pub connections: usize,
-    /// Watches that wait at once.
+    /// Maximum number of concurrent watches.
     pub watches: usize,
 }
 
 impl Options {
-    /// Usual options for a service at `address`.
+    /// Returns the default options for a service at `address`.
     ///
     /// ```
     /// let address = "127.0.0.1:8500".parse().unwrap();
@@ -57,7 +59,7 @@
     }
 }
 
-/// Client that never repeats a call that changes anything.
+/// Client that sends each changing call at most once.
 #[derive(Debug)]
 pub struct Client {
     calls: http::Pool,
@@ -65,14 +67,14 @@
     timeout: time::Duration,
 }
 
-/// An entry and the index to wait on for its next change.
+/// Entry, and the index from which to wait for its next change.
 struct IndexedEntry {
     entry: Option<store::Entry>,
     index: u64,
 }
 
 impl Client {
-    /// Builds a client whose connections run on `executor`; nothing is opened yet.
+    /// Creates a client whose connections run on `executor`, without opening any.
     ///
     /// ```
     /// use mangotray::platform;
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Reads; repeated once, on a new connection, if a kept-alive one was closed.
+    /// Sends a read; repeats it once on a new connection if it failed on a kept-alive one.
     async fn read(
         &self,
         pool: &http::Pool,
@@ -110,7 +112,7 @@
         answer.map_err(|failure| store::Failure::NotRun(failure.detail.into()))
     }
 
-    /// Changes something; sent at most once.
+    /// Sends a change at most once.
     async fn change(&self, path: &str, body: bytes::Bytes) -> Result<http::Answer, store::Failure> {
         let timeouts = http::Timeouts::uniform(self.timeout);
         let answer = self
@@ -155,7 +157,7 @@
         timeout: time::Duration,
     ) -> Result<Option<store::Entry>, store::Failure> {
         let deadline = time::Instant::now() + timeout;
-        // An absent key has no version of its own to wait on: read its index first.
+        // An absent key has no version to wait on, so the index of its answer is read first.
         let mut index = seen;
         if seen == 0 {
             let found = self.read_indexed(key, None).await?;
@@ -218,7 +220,9 @@
             match answer.body.trim_ascii() {
                 b"true" => Ok(store::Swap::Stored),
                 b"false" => Ok(store::Swap::Conflict),
-                _ => Err(store::Failure::Unknown("answer is no boolean".into())),
+                _ => Err(store::Failure::Unknown(
+                    "the answer is not a boolean".into(),
+                )),
             }
         }
         .boxed()
--- a/src/platform/fake.rs
+++ b/src/platform/fake.rs
@@ -1,4 +1,4 @@
-//! Store of one key with a fate for each swap, for tests.
+//! Store of one key for tests, with a given behaviour for each swap.
 
 use std::collections;
 use std::sync;
@@ -10,18 +10,18 @@
 
 use crate::store;
 
-/// What a fake store does with one swap.
+/// Behaviour of the fake store for one swap.
 #[derive(Clone, Copy, Debug)]
 pub enum Behaviour {
-    /// Carries it out and answers.
+    /// Runs the swap and answers.
     Answered,
-    /// Carries it out; the answer is lost.
+    /// Runs the swap; the answer is lost.
     AnswerLost,
-    /// Does not carry it out; the answer is lost.
+    /// Loses the request, so that the swap never runs.
     RequestLost,
-    /// Loses the answer and carries the swap out later, before the next swap.
+    /// Loses the answer and runs the swap later, before the next one.
     Delayed,
-    /// Refuses it.
+    /// Refuses the swap.
     Refused,
 }
 
@@ -31,7 +31,7 @@
     expected: store::Version,
 }
 
-/// Store of one key; each call yields first, so that claimers interleave.
+/// Store of one key; each call yields first, so that concurrent calls interleave.
 #[derive(Debug, Default)]
 pub struct Fake {
     pub state: sync::Mutex<State>,
@@ -41,7 +41,7 @@
 pub struct State {
     version: store::Version,
     pub value: bytes::Bytes,
-    /// Fates of the next swaps; then all are answered.
+    /// Behaviours of the next swaps; all later swaps are answered.
     pub behaviours: collections::VecDeque<Behaviour>,
     delayed: Vec<Swap>,
     /// Whether reads are refused.
@@ -149,7 +149,7 @@
 }
 
 impl Fake {
-    /// A store whose first swaps meet the given behaviours.
+    /// Creates a store with the given behaviours for its first swaps.
     pub fn new(behaviours: &[Behaviour]) -> sync::Arc<Self> {
         let fake = Self::default();
         fake.state.lock().unwrap().behaviours.extend(behaviours);
@@ -157,7 +157,8 @@
     }
 }
 
-/// Polls two futures in the order of `first`, then in turns to their end.
+/// Polls the left future for each true and the right one for each false in `poll_order`, then both
+/// to their ends.
 pub fn interleave<A, B>(
     poll_order: &[bool],
     left: impl Future<Output = A>,
--- a/src/tally.rs
+++ b/src/tally.rs
@@ -1,4 +1,4 @@
-//! Failovers of one group that this proxy has met, for operators.
+//! Counts of promotions and failovers of one group, for operators.
 
 use std::sync::atomic;
 use std::time;
@@ -6,13 +6,14 @@
 use crate::id;
 use crate::telemetry;
 
+/// Value of `gap_ms` before the first failover.
 const NO_GAP: u64 = u64::MAX;
 
-/// Counts since this proxy began to serve the group.
+/// Counts since this proxy started to serve the group.
 #[derive(Debug)]
 pub struct Tally {
     promotions: atomic::AtomicU64,
-    /// In milliseconds.
+    /// Length of the last failover in milliseconds, or [`NO_GAP`].
     gap_ms: atomic::AtomicU64,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl Tally {
-    /// Notes a promotion that this proxy carried through.
+    /// Records a promotion that this proxy completed.
     ///
     /// ```
     /// let tally = mangotray::tally::Tally::default();
@@ -39,7 +40,7 @@
         metrics::counter!(telemetry::PROMOTIONS, "group" => group).increment(1);
     }
 
-    /// Notes the length of a failover, whichever proxy carried it through.
+    /// Records the length of a failover that any proxy completed.
     ///
     /// ```
     /// use std::time::Duration;
@@ -54,7 +55,7 @@
         metrics::histogram!(telemetry::FAILOVER_GAP, "group" => group).record(gap.as_secs_f64());
     }
 
-    /// Promotions that this proxy carried through.
+    /// Number of promotions that this proxy completed.
     #[must_use]
     pub fn promotions(&self) -> u64 {
         self.promotions.load(atomic::Ordering::Relaxed)
--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -1,8 +1,8 @@
 //! Logs and metrics of a process.
 //!
-//! Metric names stand here and nowhere else. Labels take their values from fixed sets
-//! (`source`, `class`, `outcome`, `result`, `kind`) or from the operators' file (`group`), never from
-//! callers, so that the number of series stays bounded.
+//! Metric names are defined here only. Label values come from fixed sets (`source`, `class`,
+//! `outcome`, `result`, `kind`) or from the operators' file (`group`), never from callers, so that
+//! the number of time series is bounded.
 
 use std::io::IsTerminal;
 use std::sync;
@@ -13,36 +13,38 @@
 pub const REQUESTS: &str = "mangotray_requests_total";
 /// Reads served; label `source` is [`SOURCE_REPLICA`] or [`SOURCE_PRIMARY`].
 pub const READS: &str = "mangotray_reads_total";
-/// Time from the last sight of a well primary to that of the next term's; label `group`.
+/// Time from the last observation of a working primary to the first of the next term's primary;
+/// label `group`.
 pub const FAILOVER_GAP: &str = "mangotray_failover_gap_seconds";
-/// Caller connections open now.
+/// Open caller connections.
 pub const CALLERS: &str = "mangotray_callers";
-/// Caller connections refused for want of room.
+/// Caller connections refused because a connection limit was reached.
 pub const CALLERS_REFUSED: &str = "mangotray_callers_refused_total";
-/// Requests running or waiting before instances now; label `group`.
+/// Requests that are running on instances or waiting for one; label `group`.
 pub const QUEUE_DEPTH: &str = "mangotray_queue_depth";
-/// Connections open to upstreams now; label `group`.
+/// Open connections to upstreams; label `group`.
 pub const UPSTREAM_CONNECTIONS: &str = "mangotray_upstream_connections";
-/// Revision of the configuration in force.
+/// Revision of the current configuration.
 pub const CONFIG_REVISION: &str = "mangotray_config_revision";
-/// Promotions that this process carried through; label `group`.
+/// Promotions that this process completed; label `group`.
 pub const PROMOTIONS: &str = "mangotray_promotions_total";
-/// Replicas found to have records that the instance promoted instead lacks; label `group`.
+/// Replicas found to have records that the promoted instance lacks; label `group`.
 pub const PROMOTION_LOSSES: &str = "mangotray_promotion_losses_total";
 /// 1 while a promotion of the group is held back on this node; label `group`.
 pub const PROMOTION_HELD_BACK: &str = "mangotray_promotion_held_back";
-/// Calls to the platform's service; labels `kind` and `outcome`.
+/// Calls to the platform's key-value service; labels `kind` and `outcome`.
 pub const STORE_CALLS: &str = "mangotray_store_calls_total";
-/// Bytes of answers of the platform's service, given up ones included; labels `kind` and `outcome`.
+/// Bytes of answers of the platform's key-value service, including abandoned ones; labels `kind`
+/// and `outcome`.
 pub const STORE_ANSWER_BYTES: &str = "mangotray_store_answer_bytes_total";
-/// Era of the platform's store, which rises when it comes back from an older copy.
+/// Era of the platform's store, which rises when the store is restored from an older copy.
 pub const STORE_ERA: &str = "mangotray_store_era";
 /// Sessions offered to another proxy; label `result`.
 pub const FORWARDS: &str = "mangotray_forwards_total";
 
-/// Value of label `source` for a read that a replica served.
+/// Value of label `source` for reads served by a replica.
 pub const SOURCE_REPLICA: &str = "replica";
-/// Value of label `source` for a read that the primary served.
+/// Value of label `source` for reads served by the primary.
 pub const SOURCE_PRIMARY: &str = "primary";
 
 const FAILOVER_GAP_BUCKETS_SECONDS: [f64; 9] = [0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 12.0, 30.0];
@@ -56,12 +58,12 @@
 }
 
 impl Handle {
-    /// Installs the process's recorder, or finds the one installed before.
+    /// Installs the process's metrics recorder, or returns the one installed before.
     ///
-    /// Several daemons in one process share one recorder.
+    /// All daemons in one process share one recorder.
     ///
     /// # Panics
-    /// If another recorder was installed around this function.
+    /// If a recorder was installed without this function.
     ///
     /// ```
     /// use mangotray::telemetry;
@@ -73,7 +75,7 @@
         RECORDER.get_or_init(Self::build).clone()
     }
 
-    /// Writes all metrics in the Prometheus text format.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// ```
     /// let handle = mangotray::telemetry::Handle::install();
@@ -124,23 +126,23 @@
         (READS, "Reads served, by source"),
         (
             CALLERS_REFUSED,
-            "Caller connections refused for want of room",
+            "Caller connections refused because a connection limit was reached",
         ),
         (
             PROMOTIONS,
-            "Promotions that this process carried through, by group",
+            "Promotions that this process completed, by group",
         ),
         (
             PROMOTION_LOSSES,
-            "Replicas with records that the instance promoted instead lacks, by group",
+            "Replicas with records that the promoted instance lacks, by group",
         ),
         (
             STORE_CALLS,
-            "Calls to the platform's service, by kind and outcome",
+            "Calls to the platform's key-value service, by kind and outcome",
         ),
         (
             STORE_ANSWER_BYTES,
-            "Bytes of answers of the platform's service, by kind and outcome",
+            "Bytes of answers of the platform's key-value service, by kind and outcome",
         ),
         (FORWARDS, "Sessions offered to another proxy, by result"),
     ];
@@ -151,23 +153,23 @@
 
 fn describe_gauges() {
     let gauges = [
-        (CALLERS, "Caller connections open now"),
+        (CALLERS, "Open caller connections"),
         (
             QUEUE_DEPTH,
-            "Requests running or waiting before instances now, by group",
+            "Requests that are running on instances or waiting for one, by group",
         ),
         (
             UPSTREAM_CONNECTIONS,
-            "Connections open to upstreams now, by group",
+            "Open connections to upstreams, by group",
         ),
-        (CONFIG_REVISION, "Revision of the configuration in force"),
+        (CONFIG_REVISION, "Revision of the current configuration"),
         (
             PROMOTION_HELD_BACK,
             "1 while a promotion is held back on this node, by group",
         ),
         (
             STORE_ERA,
-            "Era of the platform's store; it rises when the store comes back from an older copy",
+            "Era of the platform's store; it rises when the store is restored from an older copy",
         ),
     ];
     for (name, text) in gauges {
@@ -178,17 +180,17 @@
 fn describe_histograms() {
     let histograms = [(
         FAILOVER_GAP,
-        "Time from the last sight of a well primary to that of the next term's, by group",
+        "Time from the last observation of a working primary to the first of the next term's, by group",
     )];
     for (name, text) in histograms {
         metrics::describe_histogram!(name, metrics::Unit::Seconds, text);
     }
 }
 
-/// Starts logging to standard error; colour only on a terminal.
+/// Starts logging to standard error, with colours only on a terminal.
 ///
 /// # Errors
-/// When the filter cannot be parsed or logging was started before.
+/// When the filter cannot be parsed or logging has already been started.
 ///
 /// ```
 /// let log = mangotray::settings::Log::default();
