--- a/src/admission.rs
+++ b/src/admission.rs
@@ -74,8 +74,8 @@
     pub ticket: Ticket,
     /// Reason for the refusal.
     pub reason: reason::Reason,
-    /// Estimated delay after which a retry may succeed, without jitter: the code that passes it
-    /// to callers adds that.
+    /// Estimated delay after which a retry may succeed. Jitter is added before the delay is sent
+    /// to the caller.
     pub retry: Option<time::Duration>,
 }
 
@@ -234,14 +234,16 @@
 
     /// Refuses the tickets that can no longer be answered in time and fills free slots.
     pub fn expire(&mut self, now: id::Time) -> Change {
-        // Uses the same time as `next_expiry`, so that a call at that time removes at least one ticket.
+        // Uses the same time as `next_expiry`, so that a call at that time removes at least one
+        // ticket.
         let due = self.waiting.take_due(now + self.expected_service());
         let refused = due.into_iter().map(deadline_refusal).collect();
         let run = std::iter::from_fn(|| self.dispatch(now)).collect();
         Change { run, refused }
     }
 
-    /// Removes a waiting request whose caller has gone; returns false if it was not waiting.
+    /// Removes a waiting request whose caller has disconnected; returns false if it was not
+    /// waiting.
     pub fn remove(&mut self, request: id::Request) -> bool {
         self.waiting.remove(request)
     }
--- a/src/backlog.rs
+++ b/src/backlog.rs
@@ -8,7 +8,8 @@
 use crate::admission;
 use crate::id;
 
-/// Number of tickets of other classes that may be served before a waiting class is served once.
+/// Number of tickets of other classes that may be served in succession while a class waits; the
+/// waiting class is then served once.
 pub const MAX_SKIPS: u32 = 8;
 
 const CLASSES: [admission::Priority; 3] = [
@@ -61,7 +62,7 @@
     /// this one, a stream of new callers could keep the turn from ending and starve the
     /// tickets that wait for the next.
     turns: [u64; CLASSES.len()],
-    /// Per class, tickets of other classes that were served in succession while it waited.
+    /// Per class, number of tickets of other classes served in succession while it waited.
     skips: [u32; CLASSES.len()],
     sequence: u64,
 }
--- a/src/board.rs
+++ b/src/board.rs
@@ -29,7 +29,8 @@
     pub last: Option<Observation>,
     /// Number of probes that failed since then.
     pub failures: u32,
-    /// Time since which the instance has been behind the leader without advancing, if it is.
+    /// Time since which the instance has been behind the leader without advancing; `None` if it is
+    /// not behind.
     pub behind: Option<id::Time>,
 }
 
@@ -45,6 +46,7 @@
 /// Observations of all instances of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Board {
+    /// Observed state of each instance, by index.
     seen: Vec<Instance>,
 }
 
@@ -149,8 +151,9 @@
     ///
     /// Every confirmed write is on a majority of instances. In any majority of statuses taken at or
     /// after `since` at least one instance therefore has it, and the highest stamp of that majority
-    /// covers it. Of all such majorities the one with the lowest highest stamp is used. An instance
-    /// that lost its log does not count, because its status no longer shows the writes that it had.
+    /// covers it. Of all such majorities, the one whose highest stamp is lowest is used. An
+    /// instance that lost its log does not count, because its status no longer shows the writes
+    /// that it had.
     /// Returns `None` if fewer than a majority of statuses are fresh enough.
     ///
     /// ```
--- a/src/confirmation.rs
+++ b/src/confirmation.rs
@@ -32,6 +32,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Estimate {
     average: Option<time::Duration>,
+    /// Time of the last write that was allowed in spite of the estimate.
     trial: Option<id::Time>,
 }
 
--- a/src/detect.rs
+++ b/src/detect.rs
@@ -8,7 +8,7 @@
 use crate::board;
 use crate::id;
 
-/// Limits of the failure detector.
+/// Failure detector of a primary, with its limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Detector {
     /// Time without an answer after which a primary is suspected.
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// The primary is in place, or the evidence against it does not suffice yet.
+    /// The primary works, or there is not enough evidence of a failure yet.
     Healthy,
     /// Fewer than a majority of instances answer; this proxy itself may be cut off.
     Blind,
--- a/src/directory.rs
+++ b/src/directory.rs
@@ -260,7 +260,7 @@
     }
 }
 
-/// Access to all groups, for callers.
+/// Opens lanes to all groups, for the sessions of callers.
 pub struct CallerLanes(pub sync::Arc<Directory>);
 
 impl lane::Factory for CallerLanes {
@@ -278,8 +278,8 @@
     }
 }
 
-/// Access to the groups that this proxy serves itself, for work that peers forward. Such work
-/// is not forwarded again, or proxies with different views could forward it in a loop.
+/// Opens lanes to the groups that this proxy serves itself, for work that peers forward. Such work
+/// is not forwarded again; otherwise, proxies with different views could forward it in a loop.
 pub struct PeerLanes(pub sync::Arc<Directory>);
 
 impl lane::Factory for PeerLanes {
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -40,13 +40,13 @@
         }
     }
 
-    /// The runtime, if there is one and it may use the instances now.
+    /// The runtime, if the group has one that may use the instances now.
     #[must_use]
     pub fn usable_runtime(&self) -> Option<sync::Arc<group::Group>> {
         self.runtime.load_full().filter(|group| group.usable())
     }
 
-    /// The runtime, if there is one, whether or not it may use the instances now.
+    /// The runtime, if the group has one, whether or not it may use the instances now.
     #[must_use]
     pub fn runtime(&self) -> Option<sync::Arc<group::Group>> {
         self.runtime.load_full()
--- a/src/evidence.rs
+++ b/src/evidence.rs
@@ -14,7 +14,7 @@
 /// Time for which an observation of a lease is valid.
 pub const MAX_LEASE_AGE: time::Duration = time::Duration::from_secs(15);
 
-/// Heartbeat or lease entry of a VM.
+/// Identity and state of a VM's process, from a heartbeat or from the VM's lease entry.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
     /// Name of the VM.
@@ -86,7 +86,7 @@
         self.missed_since.get_or_insert(now);
     }
 
-    /// Records that the VM's lease entry was seen.
+    /// Records that the VM's lease entry was found.
     pub fn record_lease(&mut self, heartbeat: &Heartbeat, now: id::Time) {
         self.update_from(heartbeat);
         self.lease = Some(Lease::Present(now));
@@ -172,13 +172,14 @@
             .is_some_and(|missed| missed + limit <= now)
     }
 
-    /// Returns whether the VM's lease was last seen in place, less than [`MAX_LEASE_AGE`] ago.
+    /// Returns whether the last check of the VM's lease, less than [`MAX_LEASE_AGE`] ago, found it.
     #[must_use]
     pub fn has_lease(&self, now: id::Time) -> bool {
         matches!(self.lease, Some(Lease::Present(at)) if now < at + MAX_LEASE_AGE)
     }
 
-    /// Returns whether the VM's lease was last found missing, less than [`MAX_LEASE_AGE`] ago.
+    /// Returns whether the last check of the VM's lease, less than [`MAX_LEASE_AGE`] ago, found
+    /// none.
     #[must_use]
     pub fn lacks_lease(&self, now: id::Time) -> bool {
         matches!(self.lease, Some(Lease::Missing(at)) if now < at + MAX_LEASE_AGE)
--- a/src/failover.rs
+++ b/src/failover.rs
@@ -43,7 +43,7 @@
     pub terms: sync::Arc<term::Registry>,
     /// Monotonic clock.
     pub clock: sync::Arc<dyn clock::Clock>,
-    /// Limits of the failure detector.
+    /// Failure detector of the primary.
     pub detector: detect::Detector,
     /// Default policy, or a baseline to compare it with.
     pub policy: policy::Policy,
@@ -247,7 +247,7 @@
     declaration.instances[leader.index].leaving && others.count() >= board.majority()
 }
 
-/// Waits for fresh observations before a term is claimed: a leader that is seen now need not be
+/// Waits for fresh observations before a term is claimed: a leader that they still show need not be
 /// replaced.
 ///
 /// Proxies that start together suspect the primary at the same time, and the second would fence
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -38,7 +38,7 @@
     retired: sync::Mutex<Vec<sync::Arc<entry::Entry>>>,
 }
 
-/// Catalog and candidates to which the directory's entries were last updated.
+/// Catalog and candidates from which the directory's entries were last updated.
 #[derive(Default)]
 struct Applied {
     catalog: catalog::Catalog,
@@ -119,13 +119,13 @@
         self.lock().suspects(self.now())
     }
 
-    /// Mark that identifies the roster held here, if any.
+    /// Age and checksum of the roster held here, if any.
     #[must_use]
     pub fn digest(&self) -> Option<roster::Digest> {
         self.lock().digest(self.now())
     }
 
-    /// Update for a peer that holds the roster identified by `peer`, if it needs one.
+    /// Update for a peer that holds the roster with the digest `peer`, if it needs one.
     #[must_use]
     pub fn update_for(&self, peer: Option<roster::Digest>) -> Option<roster::Update> {
         self.lock().update_for(peer, self.now())
--- a/src/forward.rs
+++ b/src/forward.rs
@@ -88,18 +88,18 @@
 enum State {
     /// No transaction is open; the next batch may go to any member.
     Idle,
-    /// A transaction is open at the current remote.
+    /// A transaction is open in the current remote session.
     Pinned,
     /// A batch is in flight. At the start of a run it means that the previous run was dropped
     /// before it finished, so the state of the remote session is unknown.
     Busy { pinned: bool },
-    /// The transaction was lost together with its remote. Statements are refused until the
+    /// The transaction was lost together with its remote session. Statements are refused until the
     /// caller ends it; on another proxy each would run in a transaction of its own.
     Lost,
 }
 
 impl State {
-    /// The state after an answer, when the remote still holds the session.
+    /// The state after an answer, when the peer still holds the session.
     fn after(pinned: bool, class: class::Class, answer: &peer::Answer) -> Self {
         match answer {
             Ok(reply) if reply.transaction == transaction::State::Idle => Self::Idle,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Runs a batch of an open transaction at the remote that holds the transaction.
+    /// Runs a batch of an open transaction in the remote session that holds the transaction.
     async fn forward_pinned(&mut self, batch: &batch::Batch) -> peer::Answer {
         let attempt = self.attempt(batch).await;
         let session_ended = resend::session_ended(&attempt);
--- a/src/gap.rs
+++ b/src/gap.rs
@@ -12,7 +12,9 @@
 /// one probe interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Meter {
+    /// Highest term of which a primary was observed.
     term: id::Term,
+    /// Time until which a replica followed the current primary.
     last_followed_at: Option<id::Time>,
 }
 
--- a/src/group.rs
+++ b/src/group.rs
@@ -169,7 +169,8 @@
         self.pools.iter().for_each(pool::Pool::revoke);
     }
 
-    /// Whether the connections in use are within the share.
+    /// Closes idle connections that exceed a reduced share; returns whether the connections in use
+    /// are within it.
     #[must_use]
     pub fn trim_to_share(&self) -> bool {
         self.pools.iter().all(pool::Pool::trim_to_share)
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -24,6 +24,8 @@
 /// not raise the limit.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Estimate {
+    /// Time since which all answering replicas have been behind without advancing; `None` if they
+    /// are not.
     standing: Option<id::Time>,
     longest: time::Duration,
 }
--- a/src/loss.rs
+++ b/src/loss.rs
@@ -80,7 +80,7 @@
                     refusal::RESOLUTION_UNKNOWN,
                     "canceled on the caller's request while it ran (outcome unknown)",
                 )
-                .hint("Read back what it was to change before repeating it.")
+                .hint("Read back the data that it was to change before repeating it.")
             },
             Self::Canceled => refusal::Error {
                 detail: Some("outcome=not-run reason=canceled".into()),
--- a/src/path.rs
+++ b/src/path.rs
@@ -273,7 +273,7 @@
         // state.
         let permit = pool.permit();
         if permit.is_none() && ticket.priority != admission::Priority::Write {
-            return Delivery::Unsent("the instance has failed too often of late".into());
+            return Delivery::Unsent("the circuit breaker of the instance refuses requests".into());
         }
         let delivery = self.attempt(target, held, slot, batch).await;
         if let Some((permit, success)) = permit.zip(self.success(&delivery, batch)) {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -203,7 +203,9 @@
 impl serde::Serialize for Transmission {
     fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if !self.transition(WRITTEN) {
-            return Err(serde::ser::Error::custom("the sender has given up"));
+            return Err(serde::ser::Error::custom(
+                "the message was abandoned by its sender",
+            ));
         }
         serializer.serialize_unit()
     }
@@ -223,7 +225,7 @@
     pub sign: evidence::Heartbeat,
     /// Report on the asking proxy's configuration; `None` if only the witness report is requested.
     pub report: Option<spread::Report>,
-    /// Digest of the roster that the asking proxy holds, if any.
+    /// Age and checksum of the roster that the asking proxy holds, if any.
     pub roster: Option<roster::Digest>,
 }
 
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -156,8 +156,8 @@
         lock(&self.breaker).admits(self.clock.now())
     }
 
-    /// Permit of the circuit breaker for one request, whose result must be passed to `record_result`;
-    /// `None` if the breaker does not admit it.
+    /// Permit of the circuit breaker for one request, whose result must be passed to
+    /// `record_result`; `None` if the breaker does not admit it.
     #[must_use]
     pub fn permit(&self) -> Option<breaker::Permit> {
         lock(&self.breaker).permit(self.clock.now())
@@ -191,7 +191,7 @@
             None => self.upstream.open().await?,
         };
         if incarnation.is_some_and(|wanted| connection.incarnation() != wanted) {
-            let detail = "the instance was started anew since it was chosen";
+            let detail = "the instance was restarted after it was chosen";
             return Err(upstream::Failure::NotRun(detail.into()));
         }
         Ok(Guard {
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -22,12 +22,12 @@
 /// Interval between checks whether the group is being served.
 const START_POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Which proxies a lane may use.
+/// Proxies that a lane may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// This proxy's own connections to the instances, or any peer.
+    /// This proxy, through its own connections to the instances, and all peers.
     Fleet,
-    /// This proxy's own connections to the instances only.
+    /// This proxy only, through its own connections to the instances.
     Local,
 }
 
@@ -85,7 +85,7 @@
             .as_ref()
             .is_ok_and(|reply| reply.transaction != transaction::State::Idle);
         if answer.is_err() && self.in_transaction {
-            // The transaction is over; dropping the lane rolls back what is left of it.
+            // The transaction has ended; dropping the lane rolls it back if it is still open.
             self.target = None;
         }
         self.in_transaction = in_transaction;
@@ -146,7 +146,7 @@
 }
 
 fn not_served() -> outcome::Outcome {
-    let detail = "the group is not served here".into();
+    let detail = "this proxy does not serve the group".into();
     outcome::Outcome::not_run(reason::Reason::NoServer, detail, None)
 }
 
--- a/src/remote.rs
+++ b/src/remote.rs
@@ -1,4 +1,4 @@
-//! A lane's session at one VM of the serving set.
+//! Session of a forwarding lane at a proxy that serves the group.
 
 use std::net;
 use std::sync;
@@ -14,8 +14,10 @@
     vm: id::Vm,
     address: net::SocketAddr,
     connection: sync::Arc<dial::Connection>,
+    /// Identifier of the session on the connection.
     id: peer::Session,
     sequence: peer::Sequence,
+    /// Whether the peer may have opened the session.
     opened: bool,
 }
 
--- a/src/resend.rs
+++ b/src/resend.rs
@@ -15,7 +15,7 @@
 /// Result of an attempt at one peer.
 pub type Attempt = Result<peer::Answer, dial::Failure>;
 
-/// What to do after an attempt for a batch outside of a transaction.
+/// Next step after an attempt for a batch outside of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The answer is final.
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -130,8 +130,8 @@
     /// Maximum delay.
     pub const MAX_DELAY: time::Duration = time::Duration::from_millis(500);
 
-    /// Returns the next delay: random between `MIN_DELAY` and three times the previous delay, and at
-    /// most `MAX_DELAY`.
+    /// Returns the next delay: random between `MIN_DELAY` and three times the previous delay, and
+    /// at most `MAX_DELAY`.
     pub fn next_delay(&mut self, random: &mut fastrand::Rng) -> time::Duration {
         let span = (self.previous * 3).saturating_sub(Self::MIN_DELAY);
         let pause = Self::MIN_DELAY + span.mul_f64(random.f64());
@@ -154,7 +154,7 @@
     pub deadline: id::Time,
 }
 
-/// What to do after a failed attempt.
+/// Next step after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
--- a/src/roster.rs
+++ b/src/roster.rs
@@ -21,7 +21,7 @@
     pub listings: Vec<store::Listing>,
 }
 
-/// Age and checksum of a roster, which proxies exchange to compare their rosters.
+/// Age and checksum of a roster, which proxies exchange to compare the rosters they hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Digest {
     /// Time since the start of the store read that returned this roster.
--- a/src/route.rs
+++ b/src/route.rs
@@ -24,7 +24,7 @@
     pub load: usize,
 }
 
-/// Why an instance was chosen. The names appear in logs and are stable.
+/// Reason for the choice of an instance. The names appear in logs and are stable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
--- a/src/share.rs
+++ b/src/share.rs
@@ -7,7 +7,7 @@
 //! - The owner uses a seat until `end`. After `end`, it uses the seat at a time `t` only while
 //!   a majority of the seat's witnesses had no contact with the store between `end` and
 //!   `t - reach`.
-//! - A claimant that found the lease gone waits until all but a minority of the same witnesses
+//! - A claimant that found the lease ended waits until all but a minority of the same witnesses
 //!   had contact with the store after that. It then writes itself into the record by
 //!   compare-and-swap and waits for `guard` before it uses the seat.
 //!
@@ -37,12 +37,14 @@
         /// The complete new record.
         seats: Vec<seat::Seat>,
     },
-    /// Check at the store whether this owner's lease is gone; if so, call [`View::record_lease_end`].
+    /// Check at the store whether this owner's lease has ended; if so, call
+    /// [`View::record_lease_end`].
     Check {
         /// Entry of the owner to check.
         owner: seat::Seat,
     },
-    /// Start no new work on the seat; call [`View::record_drained`] when its connections are closed.
+    /// Start no new work on the seat; call [`View::record_drained`] when its connections are
+    /// closed.
     Drain {
         /// The seat to return.
         seat: seat::Index,
@@ -158,7 +160,7 @@
         self.record = record;
     }
 
-    /// Records that another owner's lease was found gone, by an answer received at `answered`.
+    /// Records that another owner's lease was found ended, by an answer received at `answered`.
     pub fn record_lease_end(&mut self, lease: &store::Lease, answered: id::Time) {
         self.suspects
             .entry(lease.clone())
@@ -178,14 +180,14 @@
     }
 
     /// Records that the platform has destroyed a VM, which will send no further reports. Call it
-    /// before each `next_step`: it applies only to the leases that were found gone so far.
+    /// before each `next_step`: it applies only to the leases that were found ended so far.
     pub fn record_destroyed(&mut self, vm: &id::Vm) {
         for suspect in self.suspects.values_mut() {
             suspect.record_destroyed(vm);
         }
     }
 
-    /// Records that this VM no longer uses a seat that it was told to drain.
+    /// Records that this VM no longer uses a seat for which it got [`Step::Drain`].
     pub fn record_drained(&mut self, seat: seat::Index) {
         if let Some(own_seat) = self.own_seats.get_mut(&seat)
             && own_seat.phase == Phase::Draining
@@ -214,7 +216,7 @@
     }
 
     /// VMs whose reports this view needs; to be polled during an outage of the store and while
-    /// another owner's lease is gone.
+    /// another owner's lease has ended.
     #[must_use]
     pub fn witnesses(&self) -> collections::BTreeSet<id::Vm> {
         let proposed = self.proposals.iter().map(|proposal| &proposal.entry);
--- a/src/share/tests.rs
+++ b/src/share/tests.rs
@@ -61,7 +61,7 @@
 }
 
 /// A takeover without witnesses gives a seat two users at the end of an outage. A claimant reaches
-/// the store again before the owner's witnesses do and finds the lease gone, which the owner has
+/// the store again before the owner's witnesses do and finds the lease ended, which the owner has
 /// no means to detect.
 #[test]
 fn without_witnesses_a_seat_has_two_users() {
--- a/src/share/tests/simulation.rs
+++ b/src/share/tests/simulation.rs
@@ -20,7 +20,7 @@
     RenewalFromAnswer,
     /// The owner requires a majority of the reachable witnesses instead of all witnesses.
     ReachableMajority,
-    /// A seat is taken over as soon as its owner's lease is gone, without reports of witnesses.
+    /// A seat is taken over as soon as its owner's lease has ended, without reports of witnesses.
     NoWitness,
 }
 
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -40,8 +40,8 @@
 /// Final decision on a request: a slot or a refusal.
 type Decision = Result<Slot, admission::Refusal>;
 
-/// Decisions to be sent to waiters. They are sent after the state is unlocked: if the waiter has
-/// gone, its slot is dropped at once, which locks the state again.
+/// Decisions to be sent to waiters. They are sent after the state is unlocked: if the waiter no
+/// longer exists, its slot is dropped at once, which locks the state again.
 type Notifications = Vec<(async_channel::Sender<Decision>, Decision)>;
 
 /// Permission to run on the instance; released on drop.
@@ -58,7 +58,7 @@
     }
 }
 
-/// A ticket that waits; removed from the queue on drop, when the caller has gone.
+/// A ticket that waits; removed from the queue on drop, when the caller has disconnected.
 struct Waiter<'a> {
     shared: &'a sync::Arc<Shared>,
     number: id::Request,
@@ -263,7 +263,7 @@
 
 fn notify(notifications: Notifications) {
     for (sender, decision) in notifications {
-        // Fails if the waiter has gone; the slot is then released on drop.
+        // Fails if the waiter no longer exists; the slot is then released on drop.
         drop(sender.try_send(decision));
     }
 }
--- a/src/spread/tests.rs
+++ b/src/spread/tests.rs
@@ -198,7 +198,10 @@
         network.run(ms(2_100 + 10_000));
         assert_eq!(network.count_behind(3), 0, "seed {seed}");
         network.run(ms(60_000));
-        assert_eq!(network.reads, 0, "the store was heard of, seed {seed}");
+        assert_eq!(
+            network.reads, 0,
+            "nodes read the store without need, seed {seed}"
+        );
     }
 }
 
