--- a/src/telemetry.rs
+++ b/src/telemetry.rs
@@ -126,23 +126,23 @@
         (READS, "Reads served, by source"),
         (
             CALLERS_REFUSED,
-            "Caller connections refused because a connection limit was reached",
+            "Caller connections refused for want of room",
         ),
         (
             PROMOTIONS,
-            "Promotions that this process completed, by group",
+            "Promotions that this process carried through, by group",
         ),
         (
             PROMOTION_LOSSES,
-            "Replicas with records that the promoted instance lacks, by group",
+            "Replicas with records that the instance promoted instead lacks, by group",
         ),
         (
             STORE_CALLS,
-            "Calls to the platform's key-value service, by kind and outcome",
+            "Calls to the platform's service, by kind and outcome",
         ),
         (
             STORE_ANSWER_BYTES,
-            "Bytes of answers of the platform's key-value service, by kind and outcome",
+            "Bytes of answers of the platform's service, by kind and outcome",
         ),
         (FORWARDS, "Sessions offered to another proxy, by result"),
     ];
@@ -153,23 +153,23 @@
 
 fn describe_gauges() {
     let gauges = [
-        (CALLERS, "Open caller connections"),
+        (CALLERS, "Caller connections open now"),
         (
             QUEUE_DEPTH,
-            "Requests that are running on instances or waiting for one, by group",
+            "Requests running or waiting before instances now, by group",
         ),
         (
             UPSTREAM_CONNECTIONS,
-            "Open connections to upstreams, by group",
+            "Connections open to upstreams now, by group",
         ),
-        (CONFIG_REVISION, "Revision of the current configuration"),
+        (CONFIG_REVISION, "Revision of the configuration in force"),
         (
             PROMOTION_HELD_BACK,
             "1 while a promotion is held back on this node, by group",
         ),
         (
             STORE_ERA,
-            "Era of the platform's store; it rises when the store is restored from an older copy",
+            "Era of the platform's store; it rises when the store comes back from an older copy",
         ),
     ];
     for (name, text) in gauges {
@@ -180,7 +180,7 @@
 fn describe_histograms() {
     let histograms = [(
         FAILOVER_GAP,
-        "Time from the last observation of a working primary to the first of the next term's, by group",
+        "Time from the last sight of a well primary to that of the next term's, by group",
     )];
     for (name, text) in histograms {
         metrics::describe_histogram!(name, metrics::Unit::Seconds, text);
