--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -9,7 +9,7 @@
 use mangotray::settings;
 use serde::de;
 
-const KNOWN: &str = "known are: ";
+const KNOWN_PREFIX: &str = "known are: ";
 
 fn handbook() -> String {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/OPERATIONS.md");
@@ -17,14 +17,16 @@
 }
 
 /// What the faults of a text list as known.
-fn known(faults: &[fault::Fault]) -> Vec<String> {
-    let lists = faults.iter().filter_map(|f| f.reason.split_once(KNOWN));
+fn known_names(faults: &[fault::Fault]) -> Vec<String> {
+    let lists = faults
+        .iter()
+        .filter_map(|fault| fault.reason.split_once(KNOWN_PREFIX));
     let names = lists.flat_map(|(_, list)| list.split(", "));
     names.map(str::to_owned).collect()
 }
 
 /// Names of an enum's values, from the error about one that does not exist.
-fn variants<T: de::DeserializeOwned>() -> Vec<String> {
+fn variant_names<T: de::DeserializeOwned>() -> Vec<String> {
     let error = serde_json::from_str::<T>("\"no such value\"")
         .err()
         .unwrap();
@@ -43,11 +45,11 @@
 #[test]
 fn every_setting_is_documented() {
     let handbook = handbook();
-    let sections = known(&settings::Settings::parse("[unknown]\n").unwrap_err());
+    let sections = known_names(&settings::Settings::parse("[unknown]\n").unwrap_err());
     assert!(sections.len() >= 5, "{sections:?}");
     for section in sections {
         let faults = settings::Settings::parse(&format!("[{section}]\nunknown = 1\n"));
-        let keys = known(&faults.unwrap_err());
+        let keys = known_names(&faults.unwrap_err());
         assert!(!keys.is_empty(), "{section}");
         for key in keys {
             assert_row(&handbook, &format!("| `[{section}]` | `{key}` |"));
@@ -58,11 +60,11 @@
 #[test]
 fn every_key_of_the_operators_file_is_documented() {
     let handbook = handbook();
-    let sections = known(&declaration::Declaration::parse("[unknown]\n").unwrap_err());
+    let sections = known_names(&declaration::Declaration::parse("[unknown]\n").unwrap_err());
     assert!(sections.len() >= 3, "{sections:?}");
     for section in sections {
         let faults = declaration::Declaration::parse(&format!("{section}\nunknown = 1\n"));
-        let keys = known(&faults.unwrap_err());
+        let keys = known_names(&faults.unwrap_err());
         assert!(!keys.is_empty(), "{section}");
         for key in keys {
             assert_row(&handbook, &format!("| `{section}` | `{key}` |"));
@@ -73,7 +75,10 @@
 #[test]
 fn every_cause_of_a_route_and_of_a_refusal_is_documented() {
     let handbook = handbook();
-    let causes = [variants::<route::Reason>(), variants::<reason::Reason>()];
+    let causes = [
+        variant_names::<route::Reason>(),
+        variant_names::<reason::Reason>(),
+    ];
     for causes in &causes {
         assert!(causes.len() >= 7, "{causes:?}");
     }
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -19,7 +19,7 @@
 use mangotray_lab::cluster;
 use mangotray_lab::platform;
 
-static NEXT: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
+static NEXT_DIRECTORY: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
 
 /// Stand-ins and proxies; everything ends with it.
 pub struct Environment {
@@ -42,10 +42,12 @@
     pub fn start(proxies: usize, options: cluster::Options) -> Self {
         let executor = sync::Arc::new(async_executor::Executor::new());
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let threads = (0..2).map(|_| drive(&executor, &stopped)).collect();
+        let threads = (0..2)
+            .map(|_| spawn_executor_thread(&executor, &stopped))
+            .collect();
         let platform = platform::Platform::start(platform::Options::default(), &executor).unwrap();
         let cluster = cluster::Cluster::start(options, &executor).unwrap();
-        let number = NEXT.fetch_add(1, atomic::Ordering::Relaxed);
+        let number = NEXT_DIRECTORY.fetch_add(1, atomic::Ordering::Relaxed);
         let name = format!("environment-{}-{number}", process::id());
         let directory = path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
         fs::create_dir_all(&directory).unwrap();
@@ -94,7 +96,7 @@
 
     /// The file that declares the group.
     #[allow(dead_code)]
-    pub fn text(&self) -> String {
+    pub fn catalog_text(&self) -> String {
         let catalog = catalog::Catalog {
             groups: vec![self.cluster.declaration()],
             vms: Vec::new(),
@@ -104,15 +106,15 @@
 
     /// Writes a file of its own for this test.
     #[allow(dead_code)]
-    pub fn write(&self, name: &str, text: &str) -> path::PathBuf {
+    pub fn write_file(&self, name: &str, content: &str) -> path::PathBuf {
         let file = self.directory.join(name);
-        fs::write(&file, text).unwrap();
+        fs::write(&file, content).unwrap();
         file
     }
 
     /// The operators' file as the platform holds it.
     #[allow(dead_code)]
-    pub fn stored(&self) -> apply::File {
+    pub fn stored_file(&self) -> apply::File {
         let entries = self.platform.entries();
         let entry = entries.iter().find(|entry| entry.key == apply::KEY);
         apply::File::decode(&entry.unwrap().value).unwrap()
@@ -141,7 +143,7 @@
              [listen]\ncallers = 127.0.0.1:0\npeers = 127.0.0.1:0\nadmin = 127.0.0.1:0\n\
              [platform]\naddress = {}\n[log]\nfilter = warn\n{}",
             self.platform.address(),
-            peers(seeds)
+            peers_section(seeds)
         );
         let file = self.directory.join(format!("entry-{index}.ini"));
         fs::write(&file, settings).unwrap();
@@ -200,7 +202,7 @@
 }
 
 /// Section of the settings that names peers.
-fn peers(seeds: &[net::SocketAddr]) -> String {
+fn peers_section(seeds: &[net::SocketAddr]) -> String {
     let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
     match seeds.as_slice() {
         [] => String::new(),
@@ -208,7 +210,7 @@
     }
 }
 
-fn drive(
+fn spawn_executor_thread(
     executor: &sync::Arc<async_executor::Executor<'static>>,
     stopped: &async_channel::Receiver<()>,
 ) -> thread::JoinHandle<()> {
@@ -235,14 +237,14 @@
         address.ip(),
         address.port()
     );
-    let give_up = time::Instant::now() + time::Duration::from_secs(20);
+    let deadline = time::Instant::now() + time::Duration::from_secs(20);
     loop {
         match tokio_postgres::connect(&parameters, tokio_postgres::NoTls).await {
             Ok((client, connection)) => {
                 tokio::spawn(connection);
                 return client;
             }
-            Err(error) if time::Instant::now() > give_up => panic!("no connection: {error}"),
+            Err(error) if time::Instant::now() > deadline => panic!("no connection: {error}"),
             Err(_) => tokio::time::sleep(time::Duration::from_millis(50)).await,
         }
     }
--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -3,14 +3,16 @@
 
 #[path = "matrix/cell.rs"]
 mod cell;
+#[path = "matrix/cluster.rs"]
+mod cluster;
 #[path = "matrix/fault.rs"]
 mod fault;
 #[path = "matrix/follower.rs"]
 mod follower;
+#[path = "matrix/harness.rs"]
+mod harness;
 #[path = "matrix/instance.rs"]
 mod instance;
-#[path = "matrix/life.rs"]
-mod life;
 #[path = "matrix/operation.rs"]
 mod operation;
 #[path = "matrix/page.rs"]
@@ -19,31 +21,29 @@
 mod plan;
 #[path = "matrix/pool.rs"]
 mod pool;
+#[path = "matrix/process.rs"]
+mod process;
 #[path = "matrix/proxy.rs"]
 mod proxy;
 #[path = "matrix/repair.rs"]
 mod repair;
-#[path = "matrix/scene.rs"]
-mod scene;
 #[path = "matrix/shutdown.rs"]
 mod shutdown;
 #[path = "matrix/store.rs"]
 mod store;
 #[path = "matrix/upstream.rs"]
 mod upstream;
-#[path = "matrix/world.rs"]
-mod world;
 
 use std::sync;
 
 /// Cells at once.
-const AT_ONCE: usize = 40;
+const MAX_CONCURRENT_CELLS: usize = 40;
 
 /// Where the matrix is shown.
-const PAGE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/FAULTS.md");
+const PAGE_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/FAULTS.md");
 
 /// Set to write the page instead of comparing it.
-const WRITE: &str = "MANGOTRAY_WRITE";
+const WRITE_VARIABLE: &str = "MANGOTRAY_WRITE";
 
 /// All faults at all steps, and pairs of faults for promotions.
 fn cells() -> Vec<cell::Cell> {
@@ -64,13 +64,16 @@
 }
 
 fn pairs(operation: operation::Operation) -> Vec<cell::Cell> {
-    let at = |point| {
+    let step_at = |point| {
         let mut steps = operation.steps().iter();
         *steps
             .find(|step| step.point == point)
             .expect("a step of it")
     };
-    let (step, later) = (at(operation::Point::Loads), at(operation::Point::Promotes));
+    let (step, later) = (
+        step_at(operation::Point::Loads),
+        step_at(operation::Point::Promotes),
+    );
     let faults = fault::Fault::ALL.iter();
     faults
         .flat_map(|fault| {
@@ -87,7 +90,7 @@
 
 fn run(cells: &[&cell::Cell]) -> Vec<cell::Finding> {
     pool::block_on(|pool| async move {
-        let permits = sync::Arc::new(async_lock::Semaphore::new(AT_ONCE));
+        let permits = sync::Arc::new(async_lock::Semaphore::new(MAX_CONCURRENT_CELLS));
         let tasks = cells.iter().map(|cell| {
             let (cell, runner, permits) = (**cell, pool.clone(), permits.clone());
             pool.spawn(async move {
@@ -101,14 +104,14 @@
 }
 
 /// What is wrong with a finding; the first step must be reached in every cell.
-fn faulty(cell: &cell::Cell, finding: &cell::Finding) -> Option<String> {
+fn failure(cell: &cell::Cell, finding: &cell::Finding) -> Option<String> {
     let allowed = match plan::plan(cell) {
-        plan::Plan::Run(allowed) | plan::Plan::Faulty(allowed, _) => allowed,
+        plan::Plan::Run(allowed) | plan::Plan::KnownFault(allowed, _) => allowed,
         plan::Plan::NotApplicable(_) => return None,
     };
     let pairs = usize::from(cell.second.is_some());
-    let good = allowed.contains(&finding.class) && finding.missed <= pairs;
-    (!good || !finding.broken.is_empty()).then(|| {
+    let good = allowed.contains(&finding.class) && finding.unreached_faults <= pairs;
+    (!good || !finding.violations.is_empty()).then(|| {
         let second = cell.second.map(|(_, fault)| fault.name());
         let place = format!("{} / {}", cell.operation.name(), cell.step.name);
         format!(
@@ -125,26 +128,29 @@
         .iter()
         .partition(|cell| !matches!(plan::plan(cell), plan::Plan::NotApplicable(_)));
     let findings = run(&apply);
-    let missed = findings.iter().filter(|finding| finding.missed > 0).count();
+    let unreached = findings
+        .iter()
+        .filter(|finding| finding.unreached_faults > 0)
+        .count();
     println!("{} cells run, {} not applicable", apply.len(), skip.len());
-    println!("{missed} pairs whose second step was not reached");
-    let faulty: Vec<_> = apply
+    println!("{unreached} pairs whose second step was not reached");
+    let failures: Vec<_> = apply
         .iter()
         .zip(&findings)
-        .filter_map(|(cell, finding)| faulty(cell, finding))
+        .filter_map(|(cell, finding)| failure(cell, finding))
         .collect();
-    assert!(faulty.is_empty(), "{}", faulty.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
 fn the_page_is_current() {
     let page = page::page(&cells());
-    if std::env::var_os(WRITE).is_some() {
-        std::fs::write(PAGE, &page).expect("the page can be written");
+    if std::env::var_os(WRITE_VARIABLE).is_some() {
+        std::fs::write(PAGE_PATH, &page).expect("the page can be written");
     }
-    let found = std::fs::read_to_string(PAGE).unwrap_or_default();
+    let found = std::fs::read_to_string(PAGE_PATH).unwrap_or_default();
     assert!(
         found == page,
-        "docs/FAULTS.md is not current; set {WRITE}=1 to write it"
+        "docs/FAULTS.md is not current; set {WRITE_VARIABLE}=1 to write it"
     );
 }
--- a/tests/matrix/cell.rs
+++ b/tests/matrix/cell.rs
@@ -11,45 +11,45 @@
 use mangotray::id;
 use mangotray::outcome;
 use mangotray::stamp;
-use mangotray::store as border;
+use mangotray::store as platform_store;
 
 use crate::fault;
 use crate::follower;
+use crate::harness;
 use crate::instance;
 use crate::operation;
 use crate::operation::Kind;
 use crate::operation::Operation;
 use crate::proxy;
-use crate::scene;
 use crate::shutdown;
 use crate::upstream;
 
 /// Time for one batch of the operation.
-const DEADLINE: time::Duration = time::Duration::from_millis(2_500);
+const BATCH_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
 
 /// Time for one try of a write while a promotion goes on.
-const TRY: time::Duration = time::Duration::from_millis(500);
+const ATTEMPT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
 /// Time after which a promotion is given up until the fault ends.
-const PROMOTION: time::Duration = time::Duration::from_secs(5);
+const PROMOTION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// Time in which everything works again once the fault has ended.
-const RECOVERY: time::Duration = time::Duration::from_secs(20);
+const RECOVERY_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// Time between two looks.
-const LOOK_EVERY: time::Duration = time::Duration::from_millis(10);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 /// The request that the operation makes.
-const OWN: u64 = 100;
+const OPERATION_REQUEST: u64 = 100;
 
 /// The file that the operation puts in force.
-const FILE: &str = "own";
+const OPERATION_FILE: &str = "own";
 
 /// Time that a write takes while a proxy shuts down under it.
-const EFFORT: time::Duration = time::Duration::from_millis(150);
+const DRAIN_WRITE_DURATION: time::Duration = time::Duration::from_millis(150);
 
 /// The replica that has missed the last write before a read.
-const STALE: id::Index = 2;
+const STALE_REPLICA: id::Index = 2;
 
 /// What became of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,7 +61,7 @@
     /// The caller was told that it cannot be known, or lost its proxy.
     Unknown,
     /// Done once the fault had ended.
-    Later,
+    DoneAfterFault,
 }
 
 impl Class {
@@ -71,7 +71,7 @@
             Self::Done => "done",
             Self::NotRun => "not run",
             Self::Unknown => "unknown",
-            Self::Later => "done after the fault",
+            Self::DoneAfterFault => "done after the fault",
         }
     }
 }
@@ -91,9 +91,9 @@
 pub struct Finding {
     pub class: Class,
     /// Broken promises.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Faults whose step was not reached.
-    pub missed: usize,
+    pub unreached_faults: usize,
 }
 
 /// A write that was tried.
@@ -104,45 +104,45 @@
 
 struct Run {
     cell: Cell,
-    scene: sync::Arc<scene::Scene>,
+    harness: sync::Arc<harness::Harness>,
     attempts: Vec<Attempt>,
-    broken: Vec<String>,
+    violations: Vec<String>,
     /// Stamp of the last confirmed write.
     token: stamp::Stamp,
-    next: u64,
+    next_request: u64,
     /// Records that reads have shown.
-    shown: collections::BTreeSet<u64>,
-    followed: sync::Arc<follower::Pair>,
+    read_requests: collections::BTreeSet<u64>,
+    followers: sync::Arc<follower::Pair>,
     /// Registration of the proxy that is to shut down.
-    enrolled: Option<sync::Arc<enrol::Enrolment>>,
+    enrolment: Option<sync::Arc<enrol::Enrolment>>,
 }
 
 impl Cell {
     /// Runs the cell.
     pub async fn run(self, pool: proxy::Executor) -> Finding {
-        let scene = scene::Scene::new(&pool);
+        let harness = harness::Harness::new(&pool);
         let mut run = Run {
             cell: self,
-            followed: scene.follow(),
-            shown: collections::BTreeSet::new(),
-            enrolled: None,
-            scene,
+            followers: harness.follow(),
+            read_requests: collections::BTreeSet::new(),
+            enrolment: None,
+            harness,
             attempts: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             token: stamp::Stamp::default(),
-            next: 1,
+            next_request: 1,
         };
         run.prepare().await;
-        run.arm();
+        run.schedule_faults();
         let class = run.operate().await;
-        let missed = run.scene.world.disarm();
-        run.scene.heal();
+        let unreached_faults = run.harness.cluster.cancel_pending();
+        run.harness.heal();
         run.recover().await;
         run.check();
         Finding {
             class,
-            broken: run.broken,
-            missed,
+            violations: run.violations,
+            unreached_faults,
         }
     }
 }
@@ -150,7 +150,7 @@
 impl Run {
     /// Makes one write confirmed through another proxy than the one at work.
     async fn prepare(&mut self) {
-        let proxies = self.scene.proxies();
+        let proxies = self.harness.proxies();
         let ready = || {
             let held = proxies
                 .iter()
@@ -158,51 +158,52 @@
             let boards = proxies.iter().map(|proxy| proxy.group.watch.board());
             held && boards.into_iter().all(|board| board.leader().is_some())
         };
-        self.wait("the start", RECOVERY, ready).await;
+        self.wait("the start", RECOVERY_TIMEOUT, ready).await;
         let stale = matches!(
             self.cell.operation,
             Operation::Read | Operation::TokenRead | Operation::AgedRead
         );
         if stale {
-            self.scene.world.lock().linked[STALE] = false;
+            self.harness.cluster.lock().peer_link_up[STALE_REPLICA] = false;
         }
-        if self.write(&proxies[1], RECOVERY).await != Class::Done {
-            self.broken.push("the first write failed".to_owned());
+        if self.write(&proxies[1], RECOVERY_TIMEOUT).await != Class::Done {
+            self.violations.push("the first write failed".to_owned());
         }
         if self.cell.operation == Operation::Drain {
             self.enrol().await;
         }
         if self.cell.operation == Operation::AgedRead {
-            async_io::Timer::after(proxy::AGE).await;
+            async_io::Timer::after(proxy::MAX_READ_AGE).await;
         }
     }
 
-    fn arm(&self) {
+    fn schedule_faults(&self) {
         {
-            let mut state = self.scene.world.lock();
-            state.answered = false;
-            state.ran = false;
+            let mut state = self.harness.cluster.lock();
+            state.batch_answered = false;
+            state.batch_committed = false;
         }
-        self.scene.arm(self.cell.step.point, self.cell.fault);
+        self.harness
+            .schedule_fault(self.cell.step.point, self.cell.fault);
         if let Some((step, fault)) = self.cell.second {
-            self.scene.arm(step.point, fault);
+            self.harness.schedule_fault(step.point, fault);
         }
     }
 
     async fn operate(&mut self) -> Class {
-        let proxy = self.scene.proxies()[0].clone();
+        let proxy = self.harness.proxies()[0].clone();
         match self.cell.operation {
-            Operation::Write => self.own_write(&proxy).await,
+            Operation::Write => self.single_write(&proxy).await,
             Operation::Transaction => self.transaction(&proxy).await,
             Operation::Read | Operation::TokenRead | Operation::AgedRead => {
-                self.read(&proxy, true, DEADLINE).await
+                self.read(&proxy, true, BATCH_TIMEOUT).await
             }
             Operation::Promotion => {
-                self.scene.world.lock().instances[0].stop();
+                self.harness.cluster.lock().instances[0].stop();
                 self.promotion().await
             }
             Operation::Replacement => {
-                let proxies = self.scene.proxies().into_iter();
+                let proxies = self.harness.proxies().into_iter();
                 proxies.for_each(|proxy| proxy.declare(Some(0)));
                 self.promotion().await
             }
@@ -211,48 +212,49 @@
         }
     }
 
-    async fn own_write(&mut self, proxy: &sync::Arc<proxy::Proxy>) -> Class {
+    async fn single_write(&mut self, proxy: &sync::Arc<proxy::Proxy>) -> Class {
         let mut session = proxy.session();
-        let batch = session.batch(Kind::Write, OWN, DEADLINE);
+        let batch = session.batch(Kind::Write, OPERATION_REQUEST, BATCH_TIMEOUT);
         let answer = session.run(batch, true).await;
-        let class = self.class(answer, Kind::Write, OWN);
-        self.note(OWN, class)
+        let class = self.classify(answer, Kind::Write, OPERATION_REQUEST);
+        self.record_attempt(OPERATION_REQUEST, class)
     }
 
     async fn transaction(&mut self, proxy: &sync::Arc<proxy::Proxy>) -> Class {
         let mut session = proxy.session();
         for kind in [Kind::Begin, Kind::Insert, Kind::Commit] {
-            let batch = session.batch(kind, OWN, DEADLINE);
+            let batch = session.batch(kind, OPERATION_REQUEST, BATCH_TIMEOUT);
             let answer = session.run(batch, kind == Kind::Begin).await;
-            let class = self.class(answer, kind, OWN);
+            let class = self.classify(answer, kind, OPERATION_REQUEST);
             if class != Class::Done || kind == Kind::Commit {
-                return self.note(OWN, class);
+                return self.record_attempt(OPERATION_REQUEST, class);
             }
         }
         unreachable!("the commit returns")
     }
 
     async fn apply(&mut self, proxy: &sync::Arc<proxy::Proxy>) -> Class {
-        let client = self.scene.client(proxy.number);
-        let put = async move { apply::put(&client, &scene::request(FILE)).await };
-        let run = async { Some(proxy.life.work(put).await) };
+        let client = self.harness.client(proxy.number);
+        let put = async move { apply::put(&client, &harness::request(OPERATION_FILE)).await };
+        let run = async { Some(proxy.process.run(put).await) };
         let end = async {
-            proxy.life.ended().await;
+            proxy.process.wait_for_end().await;
             None
         };
         let answer = futures_lite::future::or(run, end).await;
-        let files = self.scene.service.files();
-        let held = files.iter().find(|file| file.id == FILE);
+        let files = self.harness.service.applied_files();
+        let held = files.iter().find(|file| file.id == OPERATION_FILE);
         match answer {
             Some(Ok(apply::Verdict::Applied(revision))) => {
                 if held.is_none_or(|file| file.revision != revision) {
-                    self.broken.push(format!("the apply is not in {files:?}"));
+                    self.violations
+                        .push(format!("the apply is not in {files:?}"));
                 }
                 Class::Done
             }
-            Some(Ok(apply::Verdict::Lost(_)) | Err(border::Failure::NotRun(_))) => {
+            Some(Ok(apply::Verdict::Lost(_)) | Err(platform_store::Failure::NotRun(_))) => {
                 if held.is_some() {
-                    self.broken
+                    self.violations
                         .push(format!("an apply that was lost is in {files:?}"));
                 }
                 Class::NotRun
@@ -263,147 +265,158 @@
 
     /// As the daemon does: tells the others, lets the work end, gives its lease back.
     async fn drain(&mut self, proxy: &sync::Arc<proxy::Proxy>) -> Class {
-        let enrolment = self.enrolled.take().expect("prepared");
-        let patience = DEADLINE;
+        let enrolment = self.enrolment.take().expect("prepared");
+        let timeout = BATCH_TIMEOUT;
         let mut session = proxy.session();
-        let batch = session.batch(Kind::Write, OWN, patience);
-        let telling = enrolment.clone();
-        let tell = proxy
-            .life
-            .work(async move { telling.mark_draining().await });
-        let tell = futures_lite::future::or(tell, proxy.life.ended());
-        let (answer, ()) = future::join(session.run(batch, false), tell).await;
-        let class = self.class(answer, Kind::Write, OWN);
+        let batch = session.batch(Kind::Write, OPERATION_REQUEST, timeout);
+        let marking = enrolment.clone();
+        let mark = proxy
+            .process
+            .run(async move { marking.mark_draining().await });
+        let mark = futures_lite::future::or(mark, proxy.process.wait_for_end());
+        let (answer, ()) = future::join(session.run(batch, false), mark).await;
+        let class = self.classify(answer, Kind::Write, OPERATION_REQUEST);
         let leave = proxy
-            .life
-            .work(async move { enrolment.revoke_lease().await });
-        futures_lite::future::or(leave, proxy.life.ended()).await;
-        if !proxy.life.gone() {
-            let left = !self.scene.service.holds(&shutdown::key(proxy));
-            if !left && self.cell.fault != fault::Fault::StoreDown {
-                self.broken.push("the lease was not given back".to_owned());
+            .process
+            .run(async move { enrolment.revoke_lease().await });
+        futures_lite::future::or(leave, proxy.process.wait_for_end()).await;
+        if !proxy.process.has_ended() {
+            let revoked = !self
+                .harness
+                .service
+                .has_key(&shutdown::registration_key(proxy));
+            if !revoked && self.cell.fault != fault::Fault::StoreDown {
+                self.violations
+                    .push("the lease was not given back".to_owned());
             }
             proxy.group.revoke();
             let settled = || proxy.group.trim_to_share();
-            self.wait("the end of all work", RECOVERY, settled).await;
-            proxy.life.end();
+            self.wait("the end of all work", RECOVERY_TIMEOUT, settled)
+                .await;
+            proxy.process.end();
         }
-        self.note(OWN, class)
+        self.record_attempt(OPERATION_REQUEST, class)
     }
 
     async fn enrol(&mut self) {
-        let proxy = self.scene.proxies()[0].clone();
-        let enrolment = shutdown::enrolment(&self.scene, &proxy);
-        let (service, key) = (self.scene.service.clone(), shutdown::key(&proxy));
-        self.wait("the registration", RECOVERY, || service.holds(&key))
-            .await;
-        self.enrolled = Some(enrolment);
-        self.scene.world.lock().effort = EFFORT;
+        let proxy = self.harness.proxies()[0].clone();
+        let enrolment = shutdown::enrolment(&self.harness, &proxy);
+        let (service, key) = (
+            self.harness.service.clone(),
+            shutdown::registration_key(&proxy),
+        );
+        self.wait("the registration", RECOVERY_TIMEOUT, || {
+            service.has_key(&key)
+        })
+        .await;
+        self.enrolment = Some(enrolment);
+        self.harness.cluster.lock().write_duration = DRAIN_WRITE_DURATION;
     }
 
-    async fn write(&mut self, proxy: &sync::Arc<proxy::Proxy>, patience: time::Duration) -> Class {
-        let request = self.next;
-        self.next += 1;
+    async fn write(&mut self, proxy: &sync::Arc<proxy::Proxy>, timeout: time::Duration) -> Class {
+        let request = self.next_request;
+        self.next_request += 1;
         let mut session = proxy.session();
-        let batch = session.batch(Kind::Write, request, patience);
+        let batch = session.batch(Kind::Write, request, timeout);
         let answer = session.run(batch, false).await;
         if let Some(Ok(reply)) = &answer {
             self.token = reply.stamp.unwrap_or(self.token);
         }
-        let class = self.class(answer, Kind::Write, request);
-        self.note(request, class)
+        let class = self.classify(answer, Kind::Write, request);
+        self.record_attempt(request, class)
     }
 
     async fn read(
         &mut self,
         proxy: &sync::Arc<proxy::Proxy>,
-        started: bool,
-        patience: time::Duration,
+        is_first_batch: bool,
+        timeout: time::Duration,
     ) -> Class {
         let before: Vec<u64> = self.confirmed().collect();
         let mut session = proxy.session();
-        let plain = session.batch(Kind::Read, OWN, patience);
+        let plain = session.batch(Kind::Read, OPERATION_REQUEST, timeout);
         let batch = match self.cell.operation {
-            Operation::TokenRead if started => proxy::with_token(plain, self.token),
-            Operation::AgedRead if started => proxy::aged(plain),
+            Operation::TokenRead if is_first_batch => proxy::with_token(plain, self.token),
+            Operation::AgedRead if is_first_batch => proxy::with_accepted_age(plain),
             _ => plain,
         };
-        let answer = session.run(batch, started).await;
+        let answer = session.run(batch, is_first_batch).await;
         if let Some(Ok(reply)) = &answer {
-            let rows = upstream::rows(reply, Kind::Read, OWN).unwrap_or_default();
-            self.shown.extend(&rows);
+            let rows = upstream::rows(reply, Kind::Read, OPERATION_REQUEST).unwrap_or_default();
+            self.read_requests.extend(&rows);
             let missing: Vec<_> = before.iter().filter(|held| !rows.contains(held)).collect();
             if !missing.is_empty() {
-                self.broken.push(format!("a read lacks {missing:?}"));
+                self.violations.push(format!("a read lacks {missing:?}"));
             }
         }
-        self.class(answer, Kind::Read, OWN)
+        self.classify(answer, Kind::Read, OPERATION_REQUEST)
     }
 
     /// Writes until one is confirmed in a later term than the first.
     async fn promotion(&mut self) -> Class {
-        let end = self.now() + PROMOTION;
+        let end = self.now() + PROMOTION_TIMEOUT;
         while self.now() < end {
-            async_io::Timer::after(LOOK_EVERY).await;
+            async_io::Timer::after(POLL_INTERVAL).await;
             let replaced = self
-                .scene
-                .world
+                .harness
+                .cluster
                 .lock()
                 .primary()
                 .is_some_and(|index| index != 0);
-            let running = self.scene.proxies().into_iter();
-            let running: Vec<_> = running.filter(|proxy| proxy.life.runs()).collect();
+            let running = self.harness.proxies().into_iter();
+            let running: Vec<_> = running.filter(|proxy| proxy.process.is_running()).collect();
             let Some(proxy) = running.get(self.attempts.len() % running.len().max(1)) else {
                 continue;
             };
-            if replaced && self.write(proxy, TRY).await == Class::Done {
+            if replaced && self.write(proxy, ATTEMPT_TIMEOUT).await == Class::Done {
                 return Class::Done;
             }
         }
-        Class::Later
+        Class::DoneAfterFault
     }
 
     /// Everything works again, also through a proxy that knows nothing of the past.
     async fn recover(&mut self) {
-        let fresh = self.scene.enter(0);
-        let end = self.now() + RECOVERY;
-        while self.write(&fresh, DEADLINE).await != Class::Done {
+        let fresh = self.harness.start_proxy(0);
+        let end = self.now() + RECOVERY_TIMEOUT;
+        while self.write(&fresh, BATCH_TIMEOUT).await != Class::Done {
             if self.now() >= end {
-                self.broken
+                self.violations
                     .push("no write succeeds after the fault".to_owned());
                 return;
             }
         }
-        if self.read(&fresh, false, RECOVERY).await != Class::Done {
-            self.broken
+        if self.read(&fresh, false, RECOVERY_TIMEOUT).await != Class::Done {
+            self.violations
                 .push("no read succeeds after the fault".to_owned());
         }
-        let (nodes, service) = (self.followed.clone(), self.scene.service.clone());
+        let (nodes, service) = (self.followers.clone(), self.harness.service.clone());
         let current = || {
-            let newest = service.files().last().map(|file| file.revision);
-            let adopted = nodes.adopted();
+            let newest = service.applied_files().last().map(|file| file.revision);
+            let adopted = nodes.adopted_revisions();
             adopted
                 .iter()
                 .all(|adopted| adopted.last().copied() == newest)
         };
-        self.wait("the file in force", RECOVERY, current).await;
-        let world = self.scene.world.clone();
-        let converged = || world.lock().converged();
-        self.wait("one log", RECOVERY, converged).await;
+        self.wait("the file in force", RECOVERY_TIMEOUT, current)
+            .await;
+        let cluster = self.harness.cluster.clone();
+        let converged = || cluster.lock().converged();
+        self.wait("one log", RECOVERY_TIMEOUT, converged).await;
         if !converged() {
-            let statuses = world
+            let statuses = cluster
                 .lock()
                 .instances
                 .iter()
                 .map(instance::Instance::status)
                 .collect::<Vec<_>>();
-            self.broken.push(format!("left with {statuses:?}"));
+            self.violations.push(format!("left with {statuses:?}"));
         }
     }
 
     fn check(&mut self) {
-        let mut broken = Vec::new();
-        let state = self.scene.world.lock();
+        let mut violations = Vec::new();
+        let state = self.harness.cluster.lock();
         let log: Vec<u64> = state
             .primary()
             .map(|index| state.instances[index].writes().collect())
@@ -411,53 +424,59 @@
         for Attempt { request, class } in &self.attempts {
             let count = log.iter().filter(|held| *held == request).count();
             if *class == Class::Done && count != 1 {
-                broken.push(format!("confirmed write {request} is there {count} times"));
+                violations.push(format!("confirmed write {request} is there {count} times"));
             }
-            if *class == Class::NotRun && state.ever.contains(request) {
-                broken.push(format!("write {request} ran, though told not run"));
+            if *class == Class::NotRun && state.appended_requests.contains(request) {
+                violations.push(format!("write {request} ran, though told not run"));
             }
         }
         let distinct: collections::BTreeSet<_> = log.iter().collect();
-        if distinct.len() != log.len() || !state.doubled.is_empty() {
-            broken.push(format!("records stand twice: {:?}", state.doubled));
+        if distinct.len() != log.len() || !state.duplicate_requests.is_empty() {
+            violations.push(format!(
+                "records stand twice: {:?}",
+                state.duplicate_requests
+            ));
         }
-        let vanished: Vec<_> = self
-            .shown
+        let missing: Vec<_> = self
+            .read_requests
             .iter()
             .filter(|shown| !log.contains(shown))
             .collect();
-        if !vanished.is_empty() {
-            broken.push(format!("reads showed {vanished:?}, which are gone"));
+        if !missing.is_empty() {
+            violations.push(format!("reads showed {missing:?}, which are gone"));
         }
-        for (term, instances) in &state.reigns {
+        for (term, instances) in &state.primaries_by_term {
             if instances.len() > 1 {
-                broken.push(format!("term {term} has primaries {instances:?}"));
+                violations.push(format!("term {term} has primaries {instances:?}"));
             }
         }
         drop(state);
-        self.broken.extend(broken);
+        self.violations.extend(violations);
         self.check_revisions();
     }
 
     fn check_revisions(&mut self) {
-        let files = self.scene.service.files();
+        let files = self.harness.service.applied_files();
         let revisions: Vec<_> = files.iter().map(|file| file.revision).collect();
-        let rises = |revisions: &[id::Revision]| revisions.is_sorted_by(|one, two| one < two);
-        if !rises(&revisions) {
-            self.broken.push(format!("revisions went {revisions:?}"));
+        let strictly_increasing =
+            |revisions: &[id::Revision]| revisions.is_sorted_by(|one, two| one < two);
+        if !strictly_increasing(&revisions) {
+            self.violations
+                .push(format!("revisions went {revisions:?}"));
         }
-        for adopted in self.followed.adopted() {
-            if !rises(&adopted) || adopted.last() != revisions.last() {
-                let words = format!("a node adopted {adopted:?} of {revisions:?}");
-                self.broken.push(words);
+        for adopted in self.followers.adopted_revisions() {
+            if !strictly_increasing(&adopted) || adopted.last() != revisions.last() {
+                let violation = format!("a node adopted {adopted:?} of {revisions:?}");
+                self.violations.push(violation);
             }
         }
-        let applied = scene::lock(&self.scene.applied);
-        let in_force = |answer: &&scene::Applied| matches!(answer, Ok(apply::Verdict::Applied(_)));
+        let applied = harness::lock(&self.harness.apply_results);
+        let in_force =
+            |answer: &&harness::ApplyResult| matches!(answer, Ok(apply::Verdict::Applied(_)));
         let count = applied.iter().filter(in_force).count();
         if count > revisions.len() {
-            let words = format!("{count} applies in force, revisions {revisions:?}");
-            self.broken.push(words);
+            let violation = format!("{count} applies in force, revisions {revisions:?}");
+            self.violations.push(violation);
         }
     }
 
@@ -467,18 +486,18 @@
             .map(|attempt| attempt.request)
     }
 
-    fn note(&mut self, request: u64, class: Class) -> Class {
+    fn record_attempt(&mut self, request: u64, class: Class) -> Class {
         self.attempts.push(Attempt { request, class });
         class
     }
 
-    fn class(&mut self, answer: Option<proxy::Answer>, kind: Kind, request: u64) -> Class {
+    fn classify(&mut self, answer: Option<proxy::Answer>, kind: Kind, request: u64) -> Class {
         match answer {
             None | Some(Err(outcome::Outcome::Unknown { .. })) => Class::Unknown,
             Some(Err(outcome::Outcome::NotRun { .. })) => Class::NotRun,
             Some(Ok(reply)) => {
                 if upstream::rows(&reply, kind, request).is_none() {
-                    self.broken
+                    self.violations
                         .push(format!("{reply:?} is not {kind:?} {request}"));
                 }
                 if reply.error.is_some() {
@@ -489,18 +508,18 @@
         }
     }
 
-    async fn wait(&mut self, what: &str, patience: time::Duration, check: impl Fn() -> bool) {
-        let end = self.now() + patience;
-        while !check() {
+    async fn wait(&mut self, event: &str, timeout: time::Duration, condition: impl Fn() -> bool) {
+        let end = self.now() + timeout;
+        while !condition() {
             if self.now() >= end {
-                self.broken.push(format!("{what} never came"));
+                self.violations.push(format!("{event} never came"));
                 return;
             }
-            async_io::Timer::after(LOOK_EVERY).await;
+            async_io::Timer::after(POLL_INTERVAL).await;
         }
     }
 
     fn now(&self) -> id::Time {
-        self.scene.world.clock.now()
+        self.harness.cluster.clock.now()
     }
 }
--- a/tests/matrix/world.rs
+++ b/tests/matrix/cluster.rs
@@ -1,4 +1,4 @@
-//! A database group in memory, with its links and a trap for one step.
+//! A database group in memory, with its links and an injection for one step.
 
 use std::collections;
 use std::sync;
@@ -16,28 +16,28 @@
 pub const INSTANCES: usize = 3;
 
 /// Time between two rounds of replication.
-const SHIP_EVERY: time::Duration = time::Duration::from_millis(2);
+const REPLICATION_INTERVAL: time::Duration = time::Duration::from_millis(2);
 
 /// Time between two records that a replica applies while it is far behind.
-const SLOW_RECORD: time::Duration = time::Duration::from_millis(120);
+const SLOW_RECORD_INTERVAL: time::Duration = time::Duration::from_millis(120);
 
 /// Records that other sessions have left unshipped when replicas fall behind.
-const BACKLOG: u64 = 5;
+const BACKLOG_RECORDS: u64 = 5;
 
 /// First number of such records; far above those of the cell's own requests.
-const FILLER: u64 = 1_000_000;
+const FIRST_BACKLOG_REQUEST: u64 = 1_000_000;
 
 /// What happens when a step is reached, told which proxy reached it; answers how long
 /// the call that reached it is held up. It strikes in the moment of the step: nobody else
 /// comes past, or ships a record, in between.
-pub type Blow = Box<dyn FnOnce(&mut State, usize) -> time::Duration + Send>;
+pub type Action = Box<dyn FnOnce(&mut State, usize) -> time::Duration + Send>;
 
 /// A fault waiting for its step.
-pub struct Trap {
+pub struct Injection {
     /// The step.
     pub point: operation::Point,
     /// The fault.
-    pub blow: Blow,
+    pub action: Action,
 }
 
 /// All of the group that can change.
@@ -45,38 +45,38 @@
     /// The instances.
     pub instances: Vec<instance::Instance>,
     /// Whether the instance reaches its peers.
-    pub linked: [bool; INSTANCES],
+    pub peer_link_up: [bool; INSTANCES],
     /// Whether the proxies reach the instance.
-    pub reachable: [bool; INSTANCES],
+    pub proxy_link_up: [bool; INSTANCES],
     /// Whether replicas apply one record at a time.
-    pub slow: bool,
+    pub slow_replicas: bool,
     /// Instances that were made primary, by term.
-    pub reigns: collections::BTreeMap<id::Term, collections::BTreeSet<id::Index>>,
+    pub primaries_by_term: collections::BTreeMap<id::Term, collections::BTreeSet<id::Index>>,
     /// Every request's record that was ever in any log.
-    pub ever: collections::BTreeSet<u64>,
+    pub appended_requests: collections::BTreeSet<u64>,
     /// Records that stood twice in one log.
-    pub doubled: collections::BTreeSet<u64>,
+    pub duplicate_requests: collections::BTreeSet<u64>,
     /// Proxies whose next answer is lost.
-    pub deaf: collections::BTreeSet<usize>,
+    pub proxies_losing_answer: collections::BTreeSet<usize>,
     /// Whether the awaited batch has been answered by an instance.
-    pub answered: bool,
+    pub batch_answered: bool,
     /// Time that an instance takes for a write.
-    pub effort: time::Duration,
+    pub write_duration: time::Duration,
     /// Whether the awaited batch has committed.
-    pub ran: bool,
-    traps: Vec<Trap>,
-    fences: usize,
-    shipped: time::Duration,
+    pub batch_committed: bool,
+    injections: Vec<Injection>,
+    fence_count: usize,
+    last_shipment: time::Duration,
 }
 
 /// The group.
-pub struct World {
+pub struct Cluster {
     state: sync::Mutex<State>,
     /// Time of all cells' parts.
     pub clock: sync::Arc<clock::Monotonic>,
 }
 
-impl World {
+impl Cluster {
     pub fn new() -> sync::Arc<Self> {
         let instances = (0..INSTANCES)
             .map(|index| instance::Instance::new(index == 0))
@@ -84,19 +84,19 @@
         let first = collections::BTreeSet::from([0]);
         let state = State {
             instances,
-            linked: [true; INSTANCES],
-            reachable: [true; INSTANCES],
-            slow: false,
-            reigns: collections::BTreeMap::from([(1, first)]),
-            ever: collections::BTreeSet::new(),
-            doubled: collections::BTreeSet::new(),
-            deaf: collections::BTreeSet::new(),
-            answered: false,
-            ran: false,
-            effort: time::Duration::ZERO,
-            traps: Vec::new(),
-            fences: 0,
-            shipped: time::Duration::ZERO,
+            peer_link_up: [true; INSTANCES],
+            proxy_link_up: [true; INSTANCES],
+            slow_replicas: false,
+            primaries_by_term: collections::BTreeMap::from([(1, first)]),
+            appended_requests: collections::BTreeSet::new(),
+            duplicate_requests: collections::BTreeSet::new(),
+            proxies_losing_answer: collections::BTreeSet::new(),
+            batch_answered: false,
+            batch_committed: false,
+            write_duration: time::Duration::ZERO,
+            injections: Vec::new(),
+            fence_count: 0,
+            last_shipment: time::Duration::ZERO,
         };
         sync::Arc::new(Self {
             state: sync::Mutex::new(state),
@@ -110,17 +110,17 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Sets a trap; traps are sprung in the order in which they were set.
-    pub fn arm(&self, trap: Trap) {
-        self.lock().traps.push(trap);
+    /// Sets an injection; injections are sprung in the order in which they were set.
+    pub fn schedule(&self, injection: Injection) {
+        self.lock().injections.push(injection);
     }
 
-    /// Takes the traps away that were not sprung; their number.
-    pub fn disarm(&self) -> usize {
-        std::mem::take(&mut self.lock().traps).len()
+    /// Takes the injections away that were not sprung; their number.
+    pub fn cancel_pending(&self) -> usize {
+        std::mem::take(&mut self.lock().injections).len()
     }
 
-    /// A proxy has reached a step: springs the trap that waits for it, then lets go of
+    /// A proxy has reached a step: springs the injection that waits for it, then lets go of
     /// the processor, so that a proxy that was stopped goes no further.
     pub async fn reach(&self, proxy: usize, point: operation::Point) {
         self.reach_by(proxy, |_| (point, ())).await;
@@ -130,24 +130,24 @@
     pub async fn reach_by<T>(
         &self,
         proxy: usize,
-        act: impl FnOnce(&mut State) -> (operation::Point, T),
+        effect: impl FnOnce(&mut State) -> (operation::Point, T),
     ) -> T {
-        let (done, delay) = {
+        let (result, delay) = {
             let mut state = self.lock();
-            let (point, done) = act(&mut state);
-            (done, state.spring(proxy, point))
+            let (point, result) = effect(&mut state);
+            (result, state.trigger(proxy, point))
         };
         if let Some(delay) = delay {
             future::yield_now().await;
             async_io::Timer::after(delay).await;
         }
-        done
+        result
     }
 
     /// Ships records for ever.
     pub async fn replicate(&self) {
         loop {
-            async_io::Timer::after(SHIP_EVERY).await;
+            async_io::Timer::after(REPLICATION_INTERVAL).await;
             let now = self.clock.now();
             self.lock().ship(now);
         }
@@ -155,24 +155,27 @@
 }
 
 impl State {
-    // Springs the trap that waits for this step, if one does.
-    fn spring(&mut self, proxy: usize, point: operation::Point) -> Option<time::Duration> {
-        let next = self.traps.first().is_some_and(|trap| trap.point == point);
+    // Springs the injection that waits for this step, if one does.
+    fn trigger(&mut self, proxy: usize, point: operation::Point) -> Option<time::Duration> {
+        let next = self
+            .injections
+            .first()
+            .is_some_and(|injection| injection.point == point);
         next.then(|| {
-            let trap = self.traps.remove(0);
-            (trap.blow)(self, proxy)
+            let injection = self.injections.remove(0);
+            (injection.action)(self, proxy)
         })
     }
 
     /// Number of fencing calls that took effect before this one.
     pub const fn count_fence(&mut self) -> usize {
-        self.fences += 1;
-        self.fences - 1
+        self.fence_count += 1;
+        self.fence_count - 1
     }
 
     /// The instance that a fault of the primary strikes: the one that leads the highest
     /// term, or the one that is to be promoted next.
-    pub fn target(&self) -> id::Index {
+    pub fn fault_target(&self) -> id::Index {
         let running = || (0..INSTANCES).filter(|index| self.instances[*index].running);
         running()
             .filter(|index| self.instances[*index].leads())
@@ -192,23 +195,24 @@
     /// Appends records of a committed transaction.
     pub fn append(&mut self, index: id::Index, writes: &[u64]) {
         for write in writes {
-            if self.instances[index].holds(*write) {
-                self.doubled.insert(*write);
+            if self.instances[index].contains(*write) {
+                self.duplicate_requests.insert(*write);
             }
             self.instances[index].append(*write);
-            self.ever.insert(*write);
+            self.appended_requests.insert(*write);
         }
     }
 
     /// Makes replicas slow and gives them a backlog.
-    pub fn fall_behind(&mut self) {
-        self.slow = true;
-        let index = self.target();
+    pub fn delay_replicas(&mut self) {
+        self.slow_replicas = true;
+        let index = self.fault_target();
         let leads = self.instances[index].running && self.instances[index].leads();
         if leads {
-            let first = FILLER + self.ever.len() as u64 * BACKLOG;
-            let fillers: Vec<u64> = (first..first + BACKLOG).collect();
-            self.append(index, &fillers);
+            let first =
+                FIRST_BACKLOG_REQUEST + self.appended_requests.len() as u64 * BACKLOG_RECORDS;
+            let backlog: Vec<u64> = (first..first + BACKLOG_RECORDS).collect();
+            self.append(index, &backlog);
         }
     }
 
@@ -222,29 +226,29 @@
 
     fn ship(&mut self, now: time::Duration) {
         // The fault is to strike before the record is on a second instance.
-        let next = self.traps.first().map(|trap| trap.point);
-        if self.ran && next == Some(operation::Point::Confirms) {
+        let next = self.injections.first().map(|injection| injection.point);
+        if self.batch_committed && next == Some(operation::Point::Confirms) {
             return;
         }
-        if self.slow && now < self.shipped + SLOW_RECORD {
+        if self.slow_replicas && now < self.last_shipment + SLOW_RECORD_INTERVAL {
             return;
         }
-        self.shipped = now;
-        let sources: Vec<_> = (0..INSTANCES)
-            .filter(|index| self.linked[*index] && self.instances[*index].running)
+        self.last_shipment = now;
+        let primaries: Vec<_> = (0..INSTANCES)
+            .filter(|index| self.peer_link_up[*index] && self.instances[*index].running)
             .filter(|index| self.instances[*index].leads())
             .collect();
-        let Some(source) = sources
+        let Some(primary) = primaries
             .into_iter()
             .max_by_key(|index| self.instances[*index].fence)
         else {
             return;
         };
-        let leader = self.instances[source].clone();
-        let bound = if self.slow { 1 } else { usize::MAX };
-        for index in (0..INSTANCES).filter(|index| *index != source) {
-            if self.linked[index] && self.instances[index].running {
-                self.instances[index].follow(&leader, bound);
+        let primary_instance = self.instances[primary].clone();
+        let max_records = if self.slow_replicas { 1 } else { usize::MAX };
+        for index in (0..INSTANCES).filter(|index| *index != primary) {
+            if self.peer_link_up[index] && self.instances[index].running {
+                self.instances[index].follow(&primary_instance, max_records);
             }
         }
     }
--- a/tests/matrix/fault.rs
+++ b/tests/matrix/fault.rs
@@ -2,7 +2,7 @@
 
 /// Defines an enumeration together with the list of all its values, so that none can
 /// be left out of the matrix.
-macro_rules! listed {
+macro_rules! enum_with_list {
     ($(#[$doc:meta])* $type:ident { $($(#[$line:meta])* $value:ident => $name:literal,)+ }) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -19,9 +19,9 @@
         }
     };
 }
-pub(crate) use listed;
+pub(crate) use enum_with_list;
 
-listed! {
+enum_with_list! {
     /// A fault; it lasts until the cell is healed, if it does not say otherwise.
     Fault {
         /// The primary's process ends.
--- a/tests/matrix/follower.rs
+++ b/tests/matrix/follower.rs
@@ -7,22 +7,22 @@
 use mangotray::id;
 use mangotray::revision;
 
-use crate::scene;
+use crate::harness;
 use crate::store;
 
 /// Time between two looks.
-const LOOK_EVERY: time::Duration = time::Duration::from_millis(15);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(15);
 
 #[derive(Default)]
 struct Node {
     state: revision::State,
-    adopted: Vec<id::Revision>,
+    adopted_revisions: Vec<id::Revision>,
 }
 
 impl Node {
     fn offer(&mut self, file: &revision::File) {
         if self.state.offer(file.revision, &file.text) == revision::Offer::Adopted {
-            self.adopted.push(file.revision);
+            self.adopted_revisions.push(file.revision);
         }
     }
 }
@@ -37,33 +37,33 @@
     pub async fn run(&self, client: &store::Client) {
         loop {
             if let Ok(Some(file)) = apply::current(client).await {
-                scene::lock(&self.0[0]).offer(&revision::File {
+                harness::lock(&self.0[0]).offer(&revision::File {
                     revision: file.revision,
                     text: file.text,
                 });
             }
             self.exchange(0, 1);
             self.exchange(1, 0);
-            async_io::Timer::after(LOOK_EVERY).await;
+            async_io::Timer::after(POLL_INTERVAL).await;
         }
     }
 
     fn exchange(&self, from: usize, to: usize) {
-        let digest = scene::lock(&self.0[to]).state.digest();
-        let newer = scene::lock(&self.0[from])
+        let digest = harness::lock(&self.0[to]).state.digest();
+        let newer = harness::lock(&self.0[from])
             .state
             .file_newer_than(&digest)
             .cloned();
         if let Some(file) = newer {
-            scene::lock(&self.0[to]).offer(&file);
+            harness::lock(&self.0[to]).offer(&file);
         }
     }
 
     /// Revisions that each node has put in force, in that order.
-    pub fn adopted(&self) -> Vec<Vec<id::Revision>> {
+    pub fn adopted_revisions(&self) -> Vec<Vec<id::Revision>> {
         let nodes = self.0.iter();
         nodes
-            .map(|node| scene::lock(node).adopted.clone())
+            .map(|node| harness::lock(node).adopted_revisions.clone())
             .collect()
     }
 }
--- a/tests/matrix/instance.rs
+++ b/tests/matrix/instance.rs
@@ -17,7 +17,7 @@
     pub fence: id::Term,
     /// Number of its process.
     pub incarnation: id::Incarnation,
-    led: id::Term,
+    led_term: id::Term,
     log: Vec<Record>,
 }
 
@@ -27,20 +27,20 @@
             running: true,
             fence: 1,
             incarnation: 1,
-            led: id::Term::from(leads),
+            led_term: id::Term::from(leads),
             log: vec![(1, 0)],
         }
     }
 
     pub fn leads(&self) -> bool {
-        self.led == self.fence
+        self.led_term == self.fence
     }
 
     pub fn log(&self) -> &[Record] {
         &self.log
     }
 
-    pub fn holds(&self, write: u64) -> bool {
+    pub fn contains(&self, write: u64) -> bool {
         self.writes().any(|held| held == write)
     }
 
@@ -82,21 +82,21 @@
         if self.fence != term || self.leads() {
             return false;
         }
-        self.led = term;
+        self.led_term = term;
         self.log.push((term, 0));
         true
     }
 
-    /// Applies up to `bound` records of a primary, cutting off first where they differ.
-    pub fn follow(&mut self, leader: &Self, bound: usize) {
-        if leader.fence < self.fence {
+    /// Applies up to `max_records` records of a primary, cutting off first where they differ.
+    pub fn follow(&mut self, primary: &Self, max_records: usize) {
+        if primary.fence < self.fence {
             return;
         }
-        self.fence = leader.fence;
-        let pairs = self.log.iter().zip(&leader.log);
+        self.fence = primary.fence;
+        let pairs = self.log.iter().zip(&primary.log);
         let common = pairs.take_while(|(own, other)| own == other).count();
         self.log.truncate(common);
-        let missing = leader.log.iter().skip(common).take(bound);
+        let missing = primary.log.iter().skip(common).take(max_records);
         self.log.extend(missing);
     }
 
@@ -108,7 +108,7 @@
     pub fn start(&mut self) {
         if !self.running {
             self.running = true;
-            self.led = 0;
+            self.led_term = 0;
             self.incarnation += 1;
         }
     }
--- a/tests/matrix/operation.rs
+++ b/tests/matrix/operation.rs
@@ -1,8 +1,8 @@
 //! What is done in a cell, and the steps at which a fault can strike.
 
-use crate::fault::listed;
+use crate::fault::enum_with_list;
 
-listed! {
+enum_with_list! {
     /// What a batch does.
     Kind {
         /// Writes one record and commits it.
@@ -60,7 +60,7 @@
     Step { name, point }
 }
 
-listed! {
+enum_with_list! {
     /// An operation.
     Operation {
         /// One write outside a transaction.
--- a/tests/matrix/page.rs
+++ b/tests/matrix/page.rs
@@ -41,7 +41,7 @@
 
 ";
 
-const PAIRS: &str = "\
+const PAIRS_INTRODUCTION: &str = "\
 The first fault (row) strikes before the term is claimed, the second (column) before the
 promotion arrives.
 
@@ -53,23 +53,23 @@
     for operation in Operation::ALL {
         title(&mut page, operation.name());
         let steps = operation.steps().iter().map(|step| step.name);
-        head(&mut page, steps);
+        table_header(&mut page, steps);
         for fault in Fault::ALL {
             let chosen = |cell: &&cell::Cell| {
                 cell.operation == *operation && cell.fault == *fault && cell.second.is_none()
             };
-            row(&mut page, *fault, cells.iter().filter(chosen));
+            table_row(&mut page, *fault, cells.iter().filter(chosen));
         }
     }
     for operation in Operation::ALL {
         let chosen = |cell: &&cell::Cell| cell.operation == *operation && cell.second.is_some();
         if cells.iter().any(|cell| chosen(&cell)) {
             title(&mut page, &format!("{}: pairs of faults", operation.name()));
-            page.push_str(PAIRS);
-            head(&mut page, Fault::ALL.iter().map(|fault| fault.name()));
+            page.push_str(PAIRS_INTRODUCTION);
+            table_header(&mut page, Fault::ALL.iter().map(|fault| fault.name()));
             for fault in Fault::ALL {
                 let chosen = cells.iter().filter(chosen);
-                row(
+                table_row(
                     &mut page,
                     *fault,
                     chosen.filter(|cell| cell.fault == *fault),
@@ -88,26 +88,26 @@
     let _ = write!(page, "## {title}\n\n");
 }
 
-fn head<'a>(page: &mut String, names: impl Iterator<Item = &'a str>) {
+fn table_header<'a>(page: &mut String, names: impl Iterator<Item = &'a str>) {
     let names: Vec<_> = names.collect();
     let _ = writeln!(page, "| fault | {} |", names.join(" | "));
     let _ = writeln!(page, "| --- |{}", " --- |".repeat(names.len()));
 }
 
-fn row<'a>(page: &mut String, fault: Fault, cells: impl Iterator<Item = &'a cell::Cell>) {
-    let words: Vec<_> = cells.map(|cell| words(&plan::plan(cell))).collect();
-    let _ = writeln!(page, "| {} | {} |", fault.name(), words.join(" | "));
+fn table_row<'a>(page: &mut String, fault: Fault, cells: impl Iterator<Item = &'a cell::Cell>) {
+    let texts: Vec<_> = cells.map(|cell| plan_text(&plan::plan(cell))).collect();
+    let _ = writeln!(page, "| {} | {} |", fault.name(), texts.join(" | "));
 }
 
-fn words(plan: &plan::Plan) -> String {
+fn plan_text(plan: &plan::Plan) -> String {
     match plan {
-        plan::Plan::Run(classes) => names(classes),
-        plan::Plan::Faulty(classes, _) => format!("**{}**", names(classes)),
+        plan::Plan::Run(classes) => class_names(classes),
+        plan::Plan::KnownFault(classes, _) => format!("**{}**", class_names(classes)),
         plan::Plan::NotApplicable(_) => "n/a".to_owned(),
     }
 }
 
-fn names(classes: &[cell::Class]) -> String {
+fn class_names(classes: &[cell::Class]) -> String {
     let names: Vec<_> = classes.iter().map(|class| class.name()).collect();
     names.join(" or ")
 }
@@ -122,14 +122,14 @@
     }
     title(page, "Cells that do not end as they should");
     for (cell, plan) in plans() {
-        if let plan::Plan::Faulty(_, cause) = plan {
+        if let plan::Plan::KnownFault(_, cause) = plan {
             note(page, cell, cause);
         }
     }
 }
 
-fn note(page: &mut String, cell: &cell::Cell, words: &str) {
+fn note(page: &mut String, cell: &cell::Cell, text: &str) {
     let operation = cell.operation.name();
     let (step, fault) = (cell.step.name, cell.fault.name());
-    let _ = writeln!(page, "- {operation}, {step}, {fault}: {words}.");
+    let _ = writeln!(page, "- {operation}, {step}, {fault}: {text}.");
 }
--- a/tests/matrix/plan.rs
+++ b/tests/matrix/plan.rs
@@ -14,7 +14,7 @@
     /// which of two things happens first.
     Run(&'static [Class]),
     /// Run it; for this fault of the product it does not end as it should. To be mended.
-    Faulty(&'static [Class], &'static str),
+    KnownFault(&'static [Class], &'static str),
     /// Not run, for this reason.
     NotApplicable(&'static str),
 }
@@ -22,12 +22,12 @@
 const DONE: Plan = Plan::Run(&[Class::Done]);
 const NOT_RUN: Plan = Plan::Run(&[Class::NotRun]);
 const UNKNOWN: Plan = Plan::Run(&[Class::Unknown]);
-const LATER: Plan = Plan::Run(&[Class::Later]);
+const DONE_AFTER_FAULT: Plan = Plan::Run(&[Class::DoneAfterFault]);
 
 /// A read that ran on a replica is held for one on a primary when that replica has been
 /// promoted before the answer is relayed. The stamp that it waits for is of the term
 /// before, which nobody can confirm any more.
-const READ_BEFORE_PROMOTION: Plan = Plan::Faulty(
+const READ_BEFORE_PROMOTION: Plan = Plan::KnownFault(
     &[Class::Done, Class::Unknown],
     "a read that ran on a replica waits in vain for confirmation when that replica is \
      promoted before its answer is relayed",
@@ -36,7 +36,7 @@
 /// A read that no replica was known to be fresh enough for goes to the primary, and one that
 /// falls silent holds it to its deadline; whether a replica is known in time is a matter of
 /// milliseconds.
-const READ_ON_A_SILENT_PRIMARY: Plan = Plan::Faulty(
+const READ_ON_SILENT_PRIMARY: Plan = Plan::KnownFault(
     &[Class::Done, Class::Unknown],
     "a read that was sent to the primary waits for it to its deadline when the primary falls \
      silent, though a replica could answer",
@@ -67,7 +67,7 @@
         Fault::PrimaryIsolated | Fault::PrimaryStalled
             if matches!(point, Point::Arrives(_) | Point::Ran(_)) =>
         {
-            READ_ON_A_SILENT_PRIMARY
+            READ_ON_SILENT_PRIMARY
         }
         // The share is another proxy's by now: not a byte may leave.
         Fault::LeaseLapsed if point == Point::Start => NOT_RUN,
@@ -148,7 +148,7 @@
 }
 
 /// Whether a fault takes an instance away.
-fn takes(fault: Fault) -> bool {
+fn removes_instance(fault: Fault) -> bool {
     matches!(
         fault,
         Fault::PrimaryLost | Fault::PrimaryIsolated | Fault::PrimaryStalled
@@ -157,8 +157,8 @@
 
 /// A majority of the instances is needed, and one proxy.
 fn promotion(operation: Operation, fault: Fault) -> Plan {
-    if takes(fault) && operation == Operation::Promotion {
-        LATER
+    if removes_instance(fault) && operation == Operation::Promotion {
+        DONE_AFTER_FAULT
     } else {
         DONE
     }
@@ -166,11 +166,12 @@
 
 fn pair(operation: Operation, first: Fault, second: Fault) -> Plan {
     let lost = usize::from(operation == Operation::Promotion);
-    let taken = lost + usize::from(takes(first)) + usize::from(takes(second));
+    let removed =
+        lost + usize::from(removes_instance(first)) + usize::from(removes_instance(second));
     // A proxy that was paused past its lease serves nobody until it has another.
-    let stops = |fault| matches!(fault, Fault::ProxyDies | Fault::LeaseLapsed);
-    if taken > 1 || (stops(first) && stops(second)) {
-        Plan::Run(&[Class::Done, Class::Later])
+    let stops_proxy = |fault| matches!(fault, Fault::ProxyDies | Fault::LeaseLapsed);
+    if removed > 1 || (stops_proxy(first) && stops_proxy(second)) {
+        Plan::Run(&[Class::Done, Class::DoneAfterFault])
     } else {
         DONE
     }
--- a/tests/matrix/proxy.rs
+++ b/tests/matrix/proxy.rs
@@ -21,24 +21,24 @@
 use mangotray::term;
 use mangotray::upstream;
 
-use crate::life;
+use crate::cluster;
 use crate::operation;
 use crate::operation::Kind;
+use crate::process;
 use crate::store;
 use crate::upstream as fake;
-use crate::world;
 
 /// Share of each instance.
-const LIMIT: pool::Limit = pool::Limit {
+const INSTANCE_SHARE: pool::Limit = pool::Limit {
     connections: 4,
     slots: 3,
 };
 
 /// Time for which a share is given when nothing is to end it.
-const FAR: time::Duration = time::Duration::from_hours(1);
+const SHARE_DURATION: time::Duration = time::Duration::from_hours(1);
 
 /// Age that reads of `AGED_TABLE` accept.
-pub const AGE: time::Duration = time::Duration::from_millis(300);
+pub const MAX_READ_AGE: time::Duration = time::Duration::from_millis(300);
 
 /// Table with a stated age.
 const AGED_TABLE: &str = "calendar";
@@ -53,15 +53,15 @@
     pub number: usize,
     pub group: sync::Arc<group::Group>,
     pub terms: sync::Arc<term::Registry>,
-    pub life: sync::Arc<life::Life>,
-    world: sync::Arc<world::World>,
+    pub process: sync::Arc<process::Process>,
+    cluster: sync::Arc<cluster::Cluster>,
     _runner: async_executor::Task<()>,
 }
 
 impl Proxy {
     pub fn start(
         pool: &Executor,
-        world: &sync::Arc<world::World>,
+        cluster: &sync::Arc<cluster::Cluster>,
         service: &sync::Arc<store::Service>,
         number: usize,
         rank: u32,
@@ -69,17 +69,17 @@
         let executor = Executor::default();
         let client = store::Client {
             service: service.clone(),
-            world: world.clone(),
+            cluster: cluster.clone(),
             proxy: number,
         };
         let vm = format!("entry-{number}");
         let terms = term::Registry::new(sync::Arc::new(client), "g", vm.into(), number as u64);
         let terms = sync::Arc::new(terms);
-        let clock: sync::Arc<dyn clock::Clock> = world.clock.clone();
+        let clock: sync::Arc<dyn clock::Clock> = cluster.clock.clone();
         let group = group::Group::start(group::Parts {
             declaration: declaration(None),
-            upstreams: upstreams(world, number),
-            limit: LIMIT,
+            upstreams: upstreams(cluster, number),
+            limit: INSTANCE_SHARE,
             terms: terms.clone(),
             clock,
             domain: "x".into(),
@@ -87,29 +87,31 @@
             rank,
             executor: executor.clone(),
         });
-        let life = sync::Arc::new(life::Life::default());
+        let process = sync::Arc::new(process::Process::default());
         let tasks = executor.clone();
         let run = async move { tasks.run(std::future::pending()).await };
         let proxy = sync::Arc::new(Self {
             number,
             group,
             terms,
-            _runner: pool.spawn(life.work(run)),
-            life,
-            world: world.clone(),
+            _runner: pool.spawn(process.run(run)),
+            process,
+            cluster: cluster.clone(),
         });
-        proxy.renew();
+        proxy.renew_share();
         proxy
     }
 
     /// Gives the share again.
-    pub fn renew(&self) {
-        self.group.set_share(LIMIT, self.world.clock.now() + FAR);
+    pub fn renew_share(&self) {
+        self.group
+            .set_share(INSTANCE_SHARE, self.cluster.clock.now() + SHARE_DURATION);
     }
 
-    /// Lets the share end after `left`.
-    pub fn lapse(&self, left: time::Duration) {
-        self.group.set_share(LIMIT, self.world.clock.now() + left);
+    /// Lets the share end after `remaining`.
+    pub fn end_share_after(&self, remaining: time::Duration) {
+        self.group
+            .set_share(INSTANCE_SHARE, self.cluster.clock.now() + remaining);
     }
 
     /// Puts a file in force that takes `leaving` out of service.
@@ -133,23 +135,23 @@
 }
 
 impl Session {
-    /// Runs one batch; `None` when the proxy died under it. `started` marks the first
+    /// Runs one batch; `None` when the proxy died under it. `is_first_batch` marks the first
     /// batch of an operation.
-    pub async fn run(&mut self, batch: batch::Batch, started: bool) -> Option<Answer> {
+    pub async fn run(&mut self, batch: batch::Batch, is_first_batch: bool) -> Option<Answer> {
         let mut lane = self.lane.take()?;
         let proxy = self.proxy.clone();
         let task = async move {
-            if started {
+            if is_first_batch {
                 let point = operation::Point::Start;
-                proxy.world.reach(proxy.number, point).await;
+                proxy.cluster.reach(proxy.number, point).await;
             }
             let answer = lane::Lane::run(&mut lane, batch).await;
             (lane, answer)
         };
-        let life = self.proxy.life.clone();
-        let run = async { Some(life.work(task).await) };
+        let process = self.proxy.process.clone();
+        let run = async { Some(process.run(task).await) };
         let end = async {
-            life.ended().await;
+            process.wait_for_end().await;
             None
         };
         let (lane, answer) = futures_lite::future::or(run, end).await?;
@@ -157,9 +159,9 @@
         Some(answer)
     }
 
-    /// A batch to be answered within `patience`.
-    pub fn batch(&self, kind: Kind, request: u64, patience: time::Duration) -> batch::Batch {
-        let now = self.proxy.world.clock.now();
+    /// A batch to be answered within `timeout`.
+    pub fn batch(&self, kind: Kind, request: u64, timeout: time::Duration) -> batch::Batch {
+        let now = self.proxy.cluster.clock.now();
         batch::Batch {
             mixed: false,
             own: None,
@@ -170,13 +172,13 @@
             tables: Vec::new(),
             token: None,
             arrived: now,
-            deadline: now + patience,
+            deadline: now + timeout,
         }
     }
 }
 
 /// Makes a read accept data of a stated age.
-pub fn aged(mut batch: batch::Batch) -> batch::Batch {
+pub fn with_accepted_age(mut batch: batch::Batch) -> batch::Batch {
     batch.tables = vec![AGED_TABLE.into()];
     batch
 }
@@ -197,15 +199,15 @@
 }
 
 fn upstreams(
-    world: &sync::Arc<world::World>,
+    cluster: &sync::Arc<cluster::Cluster>,
     proxy: usize,
 ) -> Vec<sync::Arc<dyn upstream::Upstream>> {
-    let instances = 0..world::INSTANCES;
+    let instances = 0..cluster::INSTANCES;
     instances
         .map(|index| {
-            let world = world.clone();
+            let cluster = cluster.clone();
             let upstream = fake::Upstream {
-                world,
+                cluster,
                 proxy,
                 index,
             };
@@ -224,13 +226,13 @@
     database::Group {
         name: "g".into(),
         database: "g".into(),
-        instances: (0..world::INSTANCES).map(instance).collect(),
+        instances: (0..cluster::INSTANCES).map(instance).collect(),
         connections: 20,
         slots: 3,
         deadline: time::Duration::from_secs(2),
         ages: vec![database::Age {
             tables: vec![AGED_TABLE.into()],
-            limit: AGE,
+            limit: MAX_READ_AGE,
         }],
     }
 }
--- a/tests/matrix/repair.rs
+++ b/tests/matrix/repair.rs
@@ -5,34 +5,34 @@
 use mangotray::clock::Clock;
 use mangotray::id;
 
+use crate::harness;
 use crate::operation::Kind;
 use crate::pool;
-use crate::scene;
 
 /// Time in which a promotion that must not come would have come several times.
-const QUIET: time::Duration = time::Duration::from_millis(1_500);
+const OBSERVATION_TIME: time::Duration = time::Duration::from_millis(1_500);
 
 /// Time in which what must come has come.
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// Time between two looks.
-const LOOK_EVERY: time::Duration = time::Duration::from_millis(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-async fn wait(scene: &scene::Scene, check: impl Fn() -> bool) -> bool {
-    let end = scene.world.clock.now() + PATIENCE;
-    while !check() && scene.world.clock.now() < end {
-        async_io::Timer::after(LOOK_EVERY).await;
+async fn wait_until(harness: &harness::Harness, condition: impl Fn() -> bool) -> bool {
+    let end = harness.cluster.clock.now() + WAIT_TIMEOUT;
+    while !condition() && harness.cluster.clock.now() < end {
+        async_io::Timer::after(POLL_INTERVAL).await;
     }
-    check()
+    condition()
 }
 
-async fn ready(scene: &scene::Scene) {
-    let proxies = scene.proxies();
-    let led = || {
+async fn wait_for_primary(harness: &harness::Harness) {
+    let proxies = harness.proxies();
+    let have_primary = || {
         let mut boards = proxies.iter().map(|proxy| proxy.group.watch.board());
         boards.all(|board| board.leader().is_some())
     };
-    assert!(wait(scene, led).await);
+    assert!(wait_until(harness, have_primary).await);
 }
 
 #[test]
@@ -42,25 +42,37 @@
     // two are a majority only together, and the primary's log is as good as the other.
     // Cause: a leaving primary was replaced without asking whether it can be.
     pool::block_on(|pool| async move {
-        let scene = scene::Scene::new(&pool);
-        ready(&scene).await;
-        scene.world.lock().instances[2].stop();
+        let harness = harness::Harness::new(&pool);
+        wait_for_primary(&harness).await;
+        harness.cluster.lock().instances[2].stop();
         let down = || {
-            let proxies = scene.proxies();
+            let proxies = harness.proxies();
             let mut boards = proxies.iter().map(|proxy| proxy.group.watch.board());
             boards.all(|board| board.instances()[2].failures > 0)
         };
-        assert!(wait(&scene, down).await);
-        scene
+        assert!(wait_until(&harness, down).await);
+        harness
             .proxies()
             .iter()
             .for_each(|proxy| proxy.declare(Some(0)));
-        async_io::Timer::after(QUIET).await;
-        let terms: Vec<id::Term> = scene.world.lock().reigns.keys().copied().collect();
+        async_io::Timer::after(OBSERVATION_TIME).await;
+        let terms: Vec<id::Term> = harness
+            .cluster
+            .lock()
+            .primaries_by_term
+            .keys()
+            .copied()
+            .collect();
         assert_eq!(terms, [1]);
-        scene.world.lock().instances[2].start();
-        let replaced = || scene.world.lock().primary().is_some_and(|index| index != 0);
-        assert!(wait(&scene, replaced).await);
+        harness.cluster.lock().instances[2].start();
+        let replaced = || {
+            harness
+                .cluster
+                .lock()
+                .primary()
+                .is_some_and(|index| index != 0)
+        };
+        assert!(wait_until(&harness, replaced).await);
     });
 }
 
@@ -70,20 +82,26 @@
     // Events: a promotion fences one replica above the primary's term and is given up.
     // Cause: nothing watched for a replica that refuses the log of its primary.
     pool::block_on(|pool| async move {
-        let scene = scene::Scene::new(&pool);
-        ready(&scene).await;
-        scene.world.lock().instances[2].fence(7);
-        let proxy = scene.proxies()[0].clone();
+        let harness = harness::Harness::new(&pool);
+        wait_for_primary(&harness).await;
+        harness.cluster.lock().instances[2].fence(7);
+        let proxy = harness.proxies()[0].clone();
         let mut request = 0;
-        while !scene.world.lock().reigns.keys().any(|term| *term > 7) {
+        while !harness
+            .cluster
+            .lock()
+            .primaries_by_term
+            .keys()
+            .any(|term| *term > 7)
+        {
             request += 1;
             assert!(request < 10_000, "no new term");
             let mut session = proxy.session();
-            let batch = session.batch(Kind::Write, request, PATIENCE);
+            let batch = session.batch(Kind::Write, request, WAIT_TIMEOUT);
             session.run(batch, false).await;
-            async_io::Timer::after(LOOK_EVERY).await;
+            async_io::Timer::after(POLL_INTERVAL).await;
         }
-        let converged = || scene.world.lock().converged();
-        assert!(wait(&scene, converged).await);
+        let converged = || harness.cluster.lock().converged();
+        assert!(wait_until(&harness, converged).await);
     });
 }
--- a/tests/matrix/shutdown.rs
+++ b/tests/matrix/shutdown.rs
@@ -6,14 +6,14 @@
 use mangotray::clock;
 use mangotray::enrol;
 
+use crate::harness;
 use crate::proxy;
-use crate::scene;
 
 /// Registration of a proxy.
-pub fn enrolment(scene: &scene::Scene, proxy: &proxy::Proxy) -> sync::Arc<enrol::Enrolment> {
+pub fn enrolment(harness: &harness::Harness, proxy: &proxy::Proxy) -> sync::Arc<enrol::Enrolment> {
     let address = net::SocketAddr::from(([127, 0, 0, 1], 1));
     let record = enrol::Record {
-        vm: name(proxy).into(),
+        vm: vm_name(proxy).into(),
         domain: "x".into(),
         incarnation: 1,
         callers: address,
@@ -22,20 +22,20 @@
         draining: false,
         lease: None,
     };
-    let clock: sync::Arc<dyn clock::Clock> = scene.world.clock.clone();
-    let client = sync::Arc::new(scene.client(proxy.number));
+    let clock: sync::Arc<dyn clock::Clock> = harness.cluster.clock.clone();
+    let client = sync::Arc::new(harness.client(proxy.number));
     let enrolment = sync::Arc::new(enrol::Enrolment::new(client, clock, record));
-    let renewing = enrolment.clone();
-    let run = async move { renewing.run().await };
-    scene.spawn(proxy.life.work(run));
+    let renewal = enrolment.clone();
+    let run = async move { renewal.run().await };
+    harness.spawn(proxy.process.run(run));
     enrolment
 }
 
 /// Key of its registration.
-pub fn key(proxy: &proxy::Proxy) -> String {
-    enrol::key(&name(proxy)).into()
+pub fn registration_key(proxy: &proxy::Proxy) -> String {
+    enrol::key(&vm_name(proxy)).into()
 }
 
-fn name(proxy: &proxy::Proxy) -> String {
+fn vm_name(proxy: &proxy::Proxy) -> String {
     format!("entry-{}", proxy.number)
 }
--- a/tests/matrix/store.rs
+++ b/tests/matrix/store.rs
@@ -10,24 +10,24 @@
 use mangotray::apply;
 use mangotray::store;
 
+use crate::cluster;
 use crate::operation;
-use crate::world;
 
 /// Time of a call while the store is slow.
-const SLOW: time::Duration = time::Duration::from_millis(250);
+const SLOW_CALL_DURATION: time::Duration = time::Duration::from_millis(250);
 
 /// Time of a call that is refused.
-const REFUSED: time::Duration = time::Duration::from_millis(10);
+const REFUSED_CALL_DURATION: time::Duration = time::Duration::from_millis(10);
 
 /// Number from which on clients spring no trap.
-pub const BYSTANDER: usize = 8;
+pub const FIRST_EXEMPT_CLIENT: usize = 8;
 
 /// What the store does to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum Behaviour {
     /// Answers.
     #[default]
-    Well,
+    Normal,
     /// Answers late.
     Slow,
     /// Refuses.
@@ -36,12 +36,12 @@
 
 #[derive(Default)]
 struct State {
-    mood: Mood,
+    behaviour: Behaviour,
     /// Whether the next change loses its answer.
-    lose: bool,
+    lose_next_answer: bool,
     entries: collections::BTreeMap<CompactString, store::Entry>,
-    files: Vec<apply::File>,
-    leases: u64,
+    applied_files: Vec<apply::File>,
+    granted_leases: u64,
 }
 
 /// The service itself.
@@ -51,27 +51,27 @@
 }
 
 impl Service {
-    pub fn set(&self, mood: Mood) {
-        self.lock().mood = mood;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.lock().behaviour = behaviour;
     }
 
-    pub fn lose_answer(&self) {
-        self.lock().lose = true;
+    pub fn lose_next_answer(&self) {
+        self.lock().lose_next_answer = true;
     }
 
     pub fn heal(&self) {
         let mut state = self.lock();
-        state.mood = Mood::Well;
-        state.lose = false;
+        state.behaviour = Behaviour::Normal;
+        state.lose_next_answer = false;
     }
 
     /// Every file that was in force, in that order.
-    pub fn files(&self) -> Vec<apply::File> {
-        self.lock().files.clone()
+    pub fn applied_files(&self) -> Vec<apply::File> {
+        self.lock().applied_files.clone()
     }
 
     /// Whether a key is there.
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn has_key(&self, key: &str) -> bool {
         self.lock().entries.contains_key(key)
     }
 
@@ -81,15 +81,15 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    async fn call(&self) -> Result<(), store::Failure> {
-        let mood = self.lock().mood;
-        match mood {
-            Mood::Well => {}
-            Mood::Slow => {
-                async_io::Timer::after(SLOW).await;
+    async fn begin_call(&self) -> Result<(), store::Failure> {
+        let behaviour = self.lock().behaviour;
+        match behaviour {
+            Behaviour::Normal => {}
+            Behaviour::Slow => {
+                async_io::Timer::after(SLOW_CALL_DURATION).await;
             }
-            Mood::Down => {
-                async_io::Timer::after(REFUSED).await;
+            Behaviour::Down => {
+                async_io::Timer::after(REFUSED_CALL_DURATION).await;
                 return Err(store::Failure::NotRun("the store is down".into()));
             }
         }
@@ -100,17 +100,17 @@
         &self,
         key: &str,
         value: bytes::Bytes,
-        expect: store::Version,
+        expected_version: store::Version,
         lease: Option<&str>,
     ) -> store::Swap {
         let mut state = self.lock();
         let version = state.entries.get(key).map_or(0, |entry| entry.version);
-        if version != expect {
+        if version != expected_version {
             return store::Swap::Conflict;
         }
         if key == apply::KEY {
             let file = serde_json::from_slice(&value).expect("a file");
-            state.files.push(file);
+            state.applied_files.push(file);
         }
         let entry = store::Entry {
             key: key.into(),
@@ -123,9 +123,9 @@
     }
 
     /// Fails when the answer of a change that took effect does not come.
-    fn answer(&self) -> Result<(), store::Failure> {
+    fn check_answer(&self) -> Result<(), store::Failure> {
         let mut state = self.lock();
-        if std::mem::take(&mut state.lose) || state.mood == Mood::Down {
+        if std::mem::take(&mut state.lose_next_answer) || state.behaviour == Behaviour::Down {
             return Err(store::Failure::Unknown("the answer was lost".into()));
         }
         Ok(())
@@ -135,14 +135,14 @@
 /// One proxy's, or an operator's, way to the service.
 pub struct Client {
     pub service: sync::Arc<Service>,
-    pub world: sync::Arc<world::World>,
+    pub cluster: sync::Arc<cluster::Cluster>,
     pub proxy: usize,
 }
 
 impl Client {
     async fn reach(&self, point: operation::Point) {
-        if self.proxy < BYSTANDER {
-            self.world.reach(self.proxy, point).await;
+        if self.proxy < FIRST_EXEMPT_CLIENT {
+            self.cluster.reach(self.proxy, point).await;
         }
     }
 }
@@ -153,7 +153,7 @@
     fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<store::Entry>> {
         async move {
             self.reach(operation::Point::Loads).await;
-            self.service.call().await?;
+            self.service.begin_call().await?;
             Ok(self.service.lock().entries.get(key).cloned())
         }
         .boxed()
@@ -167,15 +167,15 @@
         &'a self,
         key: &'a str,
         value: bytes::Bytes,
-        expect: store::Version,
+        expected_version: store::Version,
         lease: Option<&'a str>,
     ) -> Answer<'a, store::Swap> {
         async move {
             self.reach(operation::Point::Swaps).await;
-            self.service.call().await?;
-            let swap = self.service.swap(key, value, expect, lease);
+            self.service.begin_call().await?;
+            let swap = self.service.swap(key, value, expected_version, lease);
             self.reach(operation::Point::Swapped).await;
-            self.service.answer()?;
+            self.service.check_answer()?;
             Ok(swap)
         }
         .boxed()
@@ -192,17 +192,17 @@
 
     fn grant(&self, _: time::Duration) -> Answer<'_, store::Lease> {
         async move {
-            self.service.call().await?;
+            self.service.begin_call().await?;
             let mut state = self.service.lock();
-            state.leases += 1;
-            Ok(compact_str::format_compact!("l{}", state.leases))
+            state.granted_leases += 1;
+            Ok(compact_str::format_compact!("l{}", state.granted_leases))
         }
         .boxed()
     }
 
     fn renew<'a>(&'a self, _: &'a str) -> Answer<'a, bool> {
         async move {
-            self.service.call().await?;
+            self.service.begin_call().await?;
             Ok(true)
         }
         .boxed()
@@ -211,11 +211,14 @@
     fn revoke<'a>(&'a self, lease: &'a str) -> Answer<'a, ()> {
         async move {
             self.reach(operation::Point::Revokes).await;
-            self.service.call().await?;
-            let bound = |entry: &store::Entry| entry.lease.as_deref() == Some(lease);
-            self.service.lock().entries.retain(|_, entry| !bound(entry));
+            self.service.begin_call().await?;
+            let has_lease = |entry: &store::Entry| entry.lease.as_deref() == Some(lease);
+            self.service
+                .lock()
+                .entries
+                .retain(|_, entry| !has_lease(entry));
             self.reach(operation::Point::Revoked).await;
-            self.service.answer()
+            self.service.check_answer()
         }
         .boxed()
     }
--- a/tests/matrix/upstream.rs
+++ b/tests/matrix/upstream.rs
@@ -12,31 +12,31 @@
 use mangotray::transaction;
 use mangotray::upstream;
 
+use crate::cluster;
 use crate::operation;
 use crate::operation::Kind;
-use crate::world;
 
 /// Time after which a control call without an answer fails.
 const CONTROL_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
 /// Time after which a lost answer is noticed.
-const LOST_AFTER: time::Duration = time::Duration::from_millis(100);
+const LOST_ANSWER_DELAY: time::Duration = time::Duration::from_millis(100);
 
 /// SQLSTATE of a write on an instance that does not lead.
-const READ_ONLY: &str = "25006";
+const READ_ONLY_SQLSTATE: &str = "25006";
 
 /// The proxy whose batches are awaited.
-const AT_WORK: usize = 0;
+const WORKING_PROXY: usize = 0;
 
 /// Tags of the frames of an answer.
-const HEAD: u8 = b'T';
-const ROW: u8 = b'D';
-const END: u8 = b'C';
+const HEAD_TAG: u8 = b'T';
+const ROW_TAG: u8 = b'D';
+const END_TAG: u8 = b'C';
 
 /// One proxy's way to one instance.
 #[derive(Clone)]
 pub struct Upstream {
-    pub world: sync::Arc<world::World>,
+    pub cluster: sync::Arc<cluster::Cluster>,
     pub proxy: usize,
     pub index: id::Index,
 }
@@ -44,7 +44,7 @@
 struct Connection {
     upstream: Upstream,
     incarnation: id::Incarnation,
-    open: Option<Vec<u64>>,
+    open_writes: Option<Vec<u64>>,
 }
 
 /// How a call meets the instance at a moment.
@@ -56,9 +56,9 @@
 
 impl Upstream {
     fn link(&self) -> Link {
-        let state = self.world.lock();
+        let state = self.cluster.lock();
         match (
-            state.reachable[self.index],
+            state.proxy_link_up[self.index],
             state.instances[self.index].running,
         ) {
             (false, _) => Link::Silent,
@@ -68,11 +68,11 @@
     }
 
     async fn reach(&self, point: operation::Point) {
-        self.world.reach(self.proxy, point).await;
+        self.cluster.reach(self.proxy, point).await;
     }
 
     /// Fails like a control call to an instance that cannot be reached.
-    async fn control(&self) -> Result<(), upstream::Failure> {
+    async fn check_link(&self) -> Result<(), upstream::Failure> {
         match self.link() {
             Link::Up => Ok(()),
             Link::Refused => Err(upstream::Failure::NotRun("refused".into())),
@@ -84,60 +84,69 @@
     }
 
     /// Fails when the answer of a call that ran is lost.
-    async fn answer(&self) -> Result<(), upstream::Failure> {
-        self.control().await?;
-        if self.world.lock().deaf.remove(&self.proxy) {
-            async_io::Timer::after(LOST_AFTER).await;
+    async fn check_answer(&self) -> Result<(), upstream::Failure> {
+        self.check_link().await?;
+        if self
+            .cluster
+            .lock()
+            .proxies_losing_answer
+            .remove(&self.proxy)
+        {
+            async_io::Timer::after(LOST_ANSWER_DELAY).await;
             return Err(upstream::Failure::Unknown("the answer was lost".into()));
         }
         Ok(())
     }
 
-    fn seen(&self) -> status::Status {
-        self.world.lock().instances[self.index].status()
+    fn instance_status(&self) -> status::Status {
+        self.cluster.lock().instances[self.index].status()
     }
 
     async fn probe(&self) -> Result<status::Status, upstream::Failure> {
-        if self.proxy == AT_WORK && self.world.lock().answered {
+        if self.proxy == WORKING_PROXY && self.cluster.lock().batch_answered {
             self.reach(operation::Point::Confirms).await;
         }
-        self.control().await?;
-        Ok(self.seen())
+        self.check_link().await?;
+        Ok(self.instance_status())
     }
 
-    async fn fenced(&self, term: id::Term) -> Result<status::Status, upstream::Failure> {
-        self.control().await?;
-        let fence = |state: &mut world::State| {
+    async fn run_fence(&self, term: id::Term) -> Result<status::Status, upstream::Failure> {
+        self.check_link().await?;
+        let fence = |state: &mut cluster::State| {
             let instance = &mut state.instances[self.index];
             instance.fence(term);
             let status = instance.status();
             (operation::Point::Fenced(state.count_fence()), status)
         };
-        let status = self.world.reach_by(self.proxy, fence).await;
-        self.answer().await?;
+        let status = self.cluster.reach_by(self.proxy, fence).await;
+        self.check_answer().await?;
         Ok(status)
     }
 
-    async fn promoted(&self, term: id::Term) -> Result<status::Status, upstream::Failure> {
+    async fn run_promotion(&self, term: id::Term) -> Result<status::Status, upstream::Failure> {
         self.reach(operation::Point::Promotes).await;
-        self.control().await?;
-        let promote = |state: &mut world::State| {
+        self.check_link().await?;
+        let promote = |state: &mut cluster::State| {
             if state.instances[self.index].promote(term) {
-                state.reigns.entry(term).or_default().insert(self.index);
+                state
+                    .primaries_by_term
+                    .entry(term)
+                    .or_default()
+                    .insert(self.index);
             }
             (operation::Point::Promoted, ())
         };
-        self.world.reach_by(self.proxy, promote).await;
-        self.answer().await?;
-        Ok(self.seen())
+        self.cluster.reach_by(self.proxy, promote).await;
+        self.check_answer().await?;
+        Ok(self.instance_status())
     }
 
     async fn connect(&self) -> Result<Box<dyn upstream::Connection>, upstream::Failure> {
-        self.control().await?;
+        self.check_link().await?;
         Ok(Box::new(Connection {
             upstream: self.clone(),
-            incarnation: self.seen().incarnation,
-            open: None,
+            incarnation: self.instance_status().incarnation,
+            open_writes: None,
         }))
     }
 }
@@ -151,14 +160,14 @@
         &self,
         term: id::Term,
     ) -> future::BoxFuture<'_, Result<status::Status, upstream::Failure>> {
-        self.fenced(term).boxed()
+        self.run_fence(term).boxed()
     }
 
     fn promote(
         &self,
         term: id::Term,
     ) -> future::BoxFuture<'_, Result<status::Status, upstream::Failure>> {
-        self.promoted(term).boxed()
+        self.run_promotion(term).boxed()
     }
 
     fn open(
@@ -170,9 +179,9 @@
 
 impl Connection {
     /// Waits for ever on a silent link; the request's deadline ends it.
-    async fn alive(&self) -> Result<(), upstream::Failure> {
+    async fn check_connection(&self) -> Result<(), upstream::Failure> {
         match self.upstream.link() {
-            Link::Up if self.upstream.seen().incarnation == self.incarnation => Ok(()),
+            Link::Up if self.upstream.instance_status().incarnation == self.incarnation => Ok(()),
             Link::Silent => future::pending().await,
             _ => Err(upstream::Failure::Unknown("connection reset".into())),
         }
@@ -181,49 +190,49 @@
     async fn exchange(&mut self, frame: &frame::Frame) -> Result<reply::Reply, upstream::Failure> {
         let (kind, request) = decode(frame);
         self.upstream.reach(operation::Point::Arrives(kind)).await;
-        self.alive().await?;
-        let effort = self.upstream.world.lock().effort;
+        self.check_connection().await?;
+        let write_duration = self.upstream.cluster.lock().write_duration;
         if kind == Kind::Write {
-            async_io::Timer::after(effort).await;
-            self.alive().await?;
+            async_io::Timer::after(write_duration).await;
+            self.check_connection().await?;
         }
-        let (world, proxy) = (self.upstream.world.clone(), self.upstream.proxy);
-        let run = |state: &mut world::State| {
+        let (cluster, proxy) = (self.upstream.cluster.clone(), self.upstream.proxy);
+        let run = |state: &mut cluster::State| {
             let reply = self.execute(state, kind, request);
             (operation::Point::Ran(kind), reply)
         };
-        let reply = world.reach_by(proxy, run).await;
-        self.alive().await?;
-        self.upstream.answer().await?;
+        let reply = cluster.reach_by(proxy, run).await;
+        self.check_connection().await?;
+        self.upstream.check_answer().await?;
         if matches!(kind, Kind::Write | Kind::Commit) {
-            self.upstream.world.lock().answered = true;
+            self.upstream.cluster.lock().batch_answered = true;
         }
         Ok(reply)
     }
 
-    fn execute(&mut self, state: &mut world::State, kind: Kind, request: u64) -> reply::Reply {
+    fn execute(&mut self, state: &mut cluster::State, kind: Kind, request: u64) -> reply::Reply {
         let index = self.upstream.index;
         if kind != Kind::Read && !state.instances[index].leads() {
-            self.open = None;
-            return reply(kind, request, &[], Some(READ_ONLY));
+            self.open_writes = None;
+            return reply(kind, request, &[], Some(READ_ONLY_SQLSTATE));
         }
         match kind {
             Kind::Write => state.append(index, &[request]),
-            Kind::Begin => self.open = Some(Vec::new()),
-            Kind::Insert => self.open.get_or_insert_default().push(request),
+            Kind::Begin => self.open_writes = Some(Vec::new()),
+            Kind::Insert => self.open_writes.get_or_insert_default().push(request),
             Kind::Commit => {
-                let writes = self.open.take().unwrap_or_default();
+                let writes = self.open_writes.take().unwrap_or_default();
                 state.append(index, &writes);
             }
             Kind::Read => {}
         }
-        state.ran |= matches!(kind, Kind::Write | Kind::Commit);
+        state.batch_committed |= matches!(kind, Kind::Write | Kind::Commit);
         let rows: Vec<u64> = match kind {
             Kind::Read => state.instances[index].writes().collect(),
             _ => Vec::new(),
         };
         let mut reply = reply(kind, request, &rows, None);
-        if self.open.is_some() {
+        if self.open_writes.is_some() {
             reply.transaction = transaction::State::Open;
         } else {
             reply.stamp = Some(state.instances[index].stamp());
@@ -263,15 +272,15 @@
 
 fn reply(kind: Kind, request: u64, rows: &[u64], error: Option<&str>) -> reply::Reply {
     let head = frame::Frame {
-        tag: HEAD,
+        tag: HEAD_TAG,
         ..encode(kind, request)
     };
     let row = |row: &u64| frame::Frame {
-        tag: ROW,
+        tag: ROW_TAG,
         body: row.to_string().into(),
     };
     let end = frame::Frame {
-        tag: END,
+        tag: END_TAG,
         body: rows.len().to_string().into(),
     };
     reply::Reply {
@@ -290,8 +299,8 @@
 pub fn rows(reply: &reply::Reply, kind: Kind, request: u64) -> Option<Vec<u64>> {
     let (head, rest) = reply.frames.split_first()?;
     let (end, rows) = rest.split_last()?;
-    let own = head.tag == HEAD && head.body == encode(kind, request).body;
-    let whole = end.tag == END && end.body == rows.len().to_string();
+    let own = head.tag == HEAD_TAG && head.body == encode(kind, request).body;
+    let whole = end.tag == END_TAG && end.body == rows.len().to_string();
     let number = |row: &frame::Frame| std::str::from_utf8(&row.body).ok()?.parse().ok();
     (own && whole).then(|| rows.iter().map(number).collect())?
 }
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -15,8 +15,8 @@
 use environment::connect;
 
 const DATABASE: &str = "dome_sched";
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
-const PAUSE: time::Duration = time::Duration::from_millis(20);
+const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(30);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 fn options() -> cluster::Options {
     let schema = "CREATE TABLE bookings (id TEXT PRIMARY KEY, seat INTEGER NOT NULL)";
@@ -26,33 +26,33 @@
     }
 }
 
-fn wait<T>(what: &str, mut found: impl FnMut() -> Option<T>) -> T {
-    let give_up = time::Instant::now() + PATIENCE;
+fn wait_for<T>(event: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = time::Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = found() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(time::Instant::now() < give_up, "{what}");
-        thread::sleep(PAUSE);
+        assert!(time::Instant::now() < deadline, "{event}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 /// Registered addresses for operators.
-fn admins(system: &Environment) -> Vec<net::SocketAddr> {
+fn admin_addresses(system: &Environment) -> Vec<net::SocketAddr> {
     let all = || Some(system.records()).filter(|records| records.len() == system.proxies.len());
-    let records = wait("all proxies register", all);
+    let records = wait_for("all proxies register", all);
     records.iter().map(|record| record.admin).collect()
 }
 
 /// Revision in force at a proxy.
 fn revision(admin: net::SocketAddr) -> u64 {
-    let status = async_io::block_on(mangotray::admin::fetch(admin, PATIENCE));
+    let status = async_io::block_on(mangotray::admin::fetch(admin, WAIT_TIMEOUT));
     status.expect("status of a running proxy").revision
 }
 
 /// Applies a file through the operators' program.
 fn apply(system: &Environment, name: &str, text: &str) -> process::Child {
-    let file = system.write(name, text);
+    let file = system.write_file(name, text);
     process::Command::new(env!("CARGO_BIN_EXE_mangotray"))
         .arg("apply")
         .arg(file)
@@ -66,13 +66,13 @@
 #[test]
 fn an_applied_file_is_in_force_on_all_proxies() {
     let system = Environment::start(5, options());
-    let admins = admins(&system);
+    let admins = admin_addresses(&system);
     for wanted in 1..4 {
-        wait("the revision is in force everywhere", || {
+        wait_for("the revision is in force everywhere", || {
             let reached = admins.iter().all(|admin| revision(*admin) == wanted);
             reached.then_some(())
         });
-        let text = format!("{}# {wanted}\n", system.text());
+        let text = format!("{}# {wanted}\n", system.catalog_text());
         assert!(apply(&system, "next.ini", &text).wait().unwrap().success());
     }
 }
@@ -83,27 +83,28 @@
 #[test]
 fn a_proxy_that_starts_in_an_outage_serves_after_learning_from_peers() {
     let mut system = Environment::start(3, options());
-    admins(&system);
+    admin_addresses(&system);
     let seeds: Vec<_> = system.records().iter().map(|record| record.peers).collect();
     block_on(async {
-        let here = connect(system.proxies[0].callers, DATABASE).await;
-        here.execute("INSERT INTO bookings VALUES ('a', 1)", &[])
+        let writer = connect(system.proxies[0].callers, DATABASE).await;
+        writer
+            .execute("INSERT INTO bookings VALUES ('a', 1)", &[])
             .await
             .unwrap();
     });
     system.platform.set_outage(true);
-    let late = system.spawn_with(3, &seeds);
-    let callers = late.callers;
-    system.proxies.push(late);
+    let started = system.spawn_with(3, &seeds);
+    let callers = started.callers;
+    system.proxies.push(started);
     block_on(async {
-        let there = connect(callers, DATABASE).await;
-        let give_up = time::Instant::now() + PATIENCE;
+        let reader = connect(callers, DATABASE).await;
+        let deadline = time::Instant::now() + WAIT_TIMEOUT;
         let rows = loop {
-            match there.query("SELECT seat FROM bookings", &[]).await {
+            match reader.query("SELECT seat FROM bookings", &[]).await {
                 Ok(rows) => break rows,
-                Err(error) => assert!(time::Instant::now() < give_up, "{error}"),
+                Err(error) => assert!(time::Instant::now() < deadline, "{error}"),
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         };
         assert_eq!(rows.len(), 1);
     });
@@ -117,10 +118,10 @@
 #[test]
 fn racing_applies_never_take_a_revision_back() {
     let system = Environment::start(3, options());
-    let admins = admins(&system);
+    let admins = admin_addresses(&system);
     system.platform.lose_answers(0.3, 7);
-    let text = system.text();
-    let mut seen = vec![0; admins.len()];
+    let text = system.catalog_text();
+    let mut highest_revisions = vec![0; admins.len()];
     let mut won = collections::BTreeSet::new();
     for round in 0..3 {
         let mut racing: Vec<_> = (0..3)
@@ -129,31 +130,32 @@
                 apply(&system, &format!("{operator}.ini"), &text)
             })
             .collect();
-        wait("the applies end", || {
-            look(&admins, &mut seen);
+        wait_for("the applies end", || {
+            record_revisions(&admins, &mut highest_revisions);
             let ended = racing
                 .iter_mut()
                 .all(|child| child.try_wait().unwrap().is_some());
             ended.then_some(())
         });
-        for revision in racing.into_iter().filter_map(winner) {
+        for revision in racing.into_iter().filter_map(applied_revision) {
             assert!(won.insert(revision), "two files won revision {revision}");
         }
     }
     system.platform.lose_answers(0.0, 7);
-    let stored = system.stored();
+    let stored = system.stored_file();
     assert!(!won.is_empty(), "no apply succeeded");
     assert!(won.last() <= Some(&stored.revision));
-    wait("the newest file is in force everywhere", || {
-        look(&admins, &mut seen);
-        seen.iter()
-            .all(|seen| *seen == stored.revision)
+    wait_for("the newest file is in force everywhere", || {
+        record_revisions(&admins, &mut highest_revisions);
+        highest_revisions
+            .iter()
+            .all(|revision| *revision == stored.revision)
             .then_some(())
     });
 }
 
 /// Revision that an apply reports as its own.
-fn winner(apply: process::Child) -> Option<u64> {
+fn applied_revision(apply: process::Child) -> Option<u64> {
     let output = apply.wait_with_output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
     let (_, revision) = text.split_once("is in force as revision ")?;
@@ -161,10 +163,10 @@
 }
 
 /// Notes each proxy's revision, which must not have fallen.
-fn look(admins: &[net::SocketAddr], seen: &mut [u64]) {
-    for (admin, seen) in admins.iter().zip(seen) {
+fn record_revisions(admins: &[net::SocketAddr], highest_revisions: &mut [u64]) {
+    for (admin, highest) in admins.iter().zip(highest_revisions) {
         let now = revision(*admin);
-        assert!(now >= *seen, "{now} after {seen} at {admin}");
-        *seen = now;
+        assert!(now >= *highest, "{now} after {highest} at {admin}");
+        *highest = now;
     }
 }
--- a/tests/story.rs
+++ b/tests/story.rs
@@ -24,17 +24,18 @@
 fn a_booking_made_through_one_proxy_is_seen_through_the_other() {
     let system = Environment::start(2, options());
     block_on(async {
-        let here = connect(system.proxies[0].callers, DATABASE).await;
-        let there = connect(system.proxies[1].callers, DATABASE).await;
+        let first = connect(system.proxies[0].callers, DATABASE).await;
+        let second = connect(system.proxies[1].callers, DATABASE).await;
         for seat in 0..20 {
             let id = format!("booking-{seat}");
-            here.execute(
-                "INSERT INTO bookings (id, seat) VALUES ($1::text, $2::int4)",
-                &[&id, &seat],
-            )
-            .await
-            .unwrap();
-            let row = there
+            first
+                .execute(
+                    "INSERT INTO bookings (id, seat) VALUES ($1::text, $2::int4)",
+                    &[&id, &seat],
+                )
+                .await
+                .unwrap();
+            let row = second
                 .query_one("SELECT seat FROM bookings WHERE id = $1::text", &[&id])
                 .await
                 .unwrap();
@@ -47,20 +48,20 @@
 fn transactions_commit_and_roll_back() {
     let system = Environment::start(2, options());
     block_on(async {
-        let mut here = connect(system.proxies[0].callers, DATABASE).await;
-        let there = connect(system.proxies[1].callers, DATABASE).await;
-        let kept = here.transaction().await.unwrap();
+        let mut first = connect(system.proxies[0].callers, DATABASE).await;
+        let second = connect(system.proxies[1].callers, DATABASE).await;
+        let kept = first.transaction().await.unwrap();
         kept.batch_execute("INSERT INTO bookings VALUES ('kept', 1)")
             .await
             .unwrap();
         kept.commit().await.unwrap();
-        let dropped = here.transaction().await.unwrap();
+        let dropped = first.transaction().await.unwrap();
         dropped
             .batch_execute("INSERT INTO bookings VALUES ('dropped', 2)")
             .await
             .unwrap();
         dropped.rollback().await.unwrap();
-        let rows = there
+        let rows = second
             .query("SELECT id FROM bookings ORDER BY id", &[])
             .await
             .unwrap();
@@ -76,27 +77,28 @@
     // Cause: a group without a promotion by the proxies stays without a primary.
     let system = Environment::start(2, options());
     block_on(async {
-        let here = connect(system.proxies[0].callers, DATABASE).await;
-        let there = connect(system.proxies[1].callers, DATABASE).await;
-        here.batch_execute("INSERT INTO bookings VALUES ('before', 1)")
+        let first = connect(system.proxies[0].callers, DATABASE).await;
+        let second = connect(system.proxies[1].callers, DATABASE).await;
+        first
+            .batch_execute("INSERT INTO bookings VALUES ('before', 1)")
             .await
             .unwrap();
         let lost = system.primary().unwrap();
         system.cluster.crash(lost);
         let mut tries = 0;
-        let give_up = time::Instant::now() + time::Duration::from_secs(30);
-        while let Err(error) = here
+        let deadline = time::Instant::now() + time::Duration::from_secs(30);
+        while let Err(error) = first
             .batch_execute(&format!("INSERT INTO bookings VALUES ('after-{tries}', 2)"))
             .await
         {
             assert!(
-                time::Instant::now() < give_up,
+                time::Instant::now() < deadline,
                 "no write since the loss: {error}"
             );
             tries += 1;
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
-        let rows = there
+        let rows = second
             .query("SELECT id FROM bookings ORDER BY id", &[])
             .await
             .unwrap();
@@ -145,44 +147,45 @@
     // Cause: only an answer without an open transaction was taken for a commit.
     let system = Environment::start(2, options());
     block_on(async {
-        let here = connect(system.proxies[0].callers, DATABASE).await;
-        let there = connect(system.proxies[1].callers, DATABASE).await;
+        let first = connect(system.proxies[0].callers, DATABASE).await;
+        let second = connect(system.proxies[1].callers, DATABASE).await;
         for round in 0..10 {
-            let first = format!("BEGIN; INSERT INTO bookings VALUES ('a-{round}', 1)");
-            here.batch_execute(&first).await.unwrap();
-            here.batch_execute("COMMIT; BEGIN").await.unwrap();
+            let opening = format!("BEGIN; INSERT INTO bookings VALUES ('a-{round}', 1)");
+            first.batch_execute(&opening).await.unwrap();
+            first.batch_execute("COMMIT; BEGIN").await.unwrap();
             let query = "SELECT count(*) FROM bookings WHERE seat = 1";
-            let row = there.query_one(query, &[]).await.unwrap();
+            let row = second.query_one(query, &[]).await.unwrap();
             assert_eq!(row.get::<_, i64>(0), round + 1);
-            here.batch_execute("ROLLBACK").await.unwrap();
+            first.batch_execute("ROLLBACK").await.unwrap();
         }
     });
 }
 
 #[test]
-fn a_primary_that_is_leaving_is_replaced_while_it_is_well() {
+fn a_leaving_primary_is_replaced_while_it_is_healthy() {
     // Symptom: an instance that the operators take out of service keeps all the writes.
     // Events: a file that marks the primary as leaving is applied.
     // Cause: the last look before a promotion found the primary healthy and gave up.
     let system = Environment::start(2, options());
     block_on(async {
-        let here = connect(system.proxies[0].callers, DATABASE).await;
-        here.batch_execute("INSERT INTO bookings VALUES ('before', 1)")
+        let first = connect(system.proxies[0].callers, DATABASE).await;
+        first
+            .batch_execute("INSERT INTO bookings VALUES ('before', 1)")
             .await
             .unwrap();
         let leaving = system.primary().unwrap();
         system.apply_leaving(Some(leaving));
-        let give_up = time::Instant::now() + time::Duration::from_secs(30);
+        let deadline = time::Instant::now() + time::Duration::from_secs(30);
         while system.primary() == Some(leaving) {
-            assert!(time::Instant::now() < give_up, "still the primary");
+            assert!(time::Instant::now() < deadline, "still the primary");
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
         let insert = "INSERT INTO bookings VALUES ('after', 2)";
-        while let Err(error) = here.batch_execute(insert).await {
-            assert!(time::Instant::now() < give_up, "no write since: {error}");
+        while let Err(error) = first.batch_execute(insert).await {
+            assert!(time::Instant::now() < deadline, "no write since: {error}");
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
-        let row = here
+        let row = first
             .query_one("SELECT count(*) FROM bookings", &[])
             .await
             .unwrap();
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -4,18 +4,18 @@
 
 use mangotray::command::trace;
 
-fn walk(log: &str, request: &str) -> Vec<String> {
-    let path = trace::timeline(log, request);
-    assert!(!path.is_empty(), "no line about {request}");
-    path
+fn request_timeline(log: &str, request: &str) -> Vec<String> {
+    let lines = trace::timeline(log, request);
+    assert!(!lines.is_empty(), "no line about {request}");
+    lines
 }
 
 /// Positions of the first line with each of `texts`, which must come in this order.
-fn in_order(path: &[String], texts: &[&str]) {
+fn assert_order(lines: &[String], texts: &[&str]) {
     let mut from = 0;
     for text in texts {
-        let found = path[from..].iter().position(|line| line.contains(text));
-        let found = found.unwrap_or_else(|| panic!("no {text:?} in order in {path:#?}"));
+        let found = lines[from..].iter().position(|line| line.contains(text));
+        let found = found.unwrap_or_else(|| panic!("no {text:?} in order in {lines:#?}"));
         from += found;
     }
 }
@@ -23,9 +23,9 @@
 #[test]
 fn a_refused_read_leads_to_the_instance_that_lost_its_answer() {
     let log = include_str!("logs/refused-read.log");
-    let path = walk(log, "00b63cd6f26b2d50");
-    in_order(
-        &path,
+    let lines = request_timeline(log, "00b63cd6f26b2d50");
+    assert_order(
+        &lines,
         &[
             "- store lost",
             "read not answered",
@@ -38,9 +38,9 @@
 #[test]
 fn an_unknown_outcome_leads_to_the_primary_that_was_replaced_after_it() {
     let log = include_str!("logs/unknown-outcome.log");
-    let path = walk(log, "52bc144bcdeda6ce");
-    in_order(
-        &path,
+    let lines = request_timeline(log, "52bc144bcdeda6ce");
+    assert_order(
+        &lines,
         &[
             "- primary in doubt",
             "statement failed code=Unsure",
@@ -53,9 +53,9 @@
 #[test]
 fn a_refused_write_leads_to_the_outage_in_which_nobody_could_promote() {
     let log = include_str!("logs/no-primary.log");
-    let path = walk(log, "5b2f6e75f9302ca0");
-    in_order(
-        &path,
+    let lines = request_timeline(log, "5b2f6e75f9302ca0");
+    assert_order(
+        &lines,
         &[
             "- primary in doubt",
             "statement failed code=Busy",
