--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The operators' handbook names everything that the code knows.
+//! Checks that the operators' handbook describes every setting, key and cause in the code.
 
 use std::fs;
 
@@ -9,6 +9,7 @@
 use mangotray::settings;
 use serde::de;
 
+/// Text before the list of valid names in the reason of a fault.
 const KNOWN_PREFIX: &str = "known are: ";
 
 fn handbook() -> String {
@@ -16,7 +17,7 @@
     fs::read_to_string(path).unwrap()
 }
 
-/// What the faults of a text list as known.
+/// Returns the valid names that the faults list.
 fn known_names(faults: &[fault::Fault]) -> Vec<String> {
     let lists = faults
         .iter()
@@ -25,7 +26,7 @@
     names.map(str::to_owned).collect()
 }
 
-/// Names of an enum's values, from the error about one that does not exist.
+/// Returns the names of an enum's values, taken from the error about an unknown value.
 fn variant_names<T: de::DeserializeOwned>() -> Vec<String> {
     let error = serde_json::from_str::<T>("\"no such value\"")
         .err()
--- a/tests/environment/mod.rs
+++ b/tests/environment/mod.rs
@@ -1,5 +1,5 @@
-//! A whole system for end-to-end tests: stand-ins in this process, proxies as
-//! processes of their own.
+//! A whole system for end-to-end tests: simulated platform and instances in this process,
+//! each proxy in a process of its own.
 
 use std::fs;
 use std::io;
@@ -19,9 +19,10 @@
 use mangotray_lab::cluster;
 use mangotray_lab::platform;
 
+/// Number of the next environment's directory, unique in this process.
 static NEXT_DIRECTORY: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
 
-/// Stand-ins and proxies; everything ends with it.
+/// Platform, instances and proxies. Dropping it ends them all.
 pub struct Environment {
     pub platform: sync::Arc<platform::Platform>,
     pub cluster: sync::Arc<cluster::Cluster>,
@@ -31,14 +32,14 @@
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-/// A proxy process.
+/// A proxy process and its address for callers.
 pub struct Proxy {
     pub callers: net::SocketAddr,
     child: process::Child,
 }
 
 impl Environment {
-    /// Starts the stand-ins and as many proxies as asked for, with one group in force.
+    /// Starts platform, instances and the given number of proxies, and applies the group.
     pub fn start(proxies: usize, options: cluster::Options) -> Self {
         let executor = sync::Arc::new(async_executor::Executor::new());
         let (stop, stopped) = async_channel::bounded::<()>(1);
@@ -67,12 +68,12 @@
         environment
     }
 
-    /// Puts the group in force through the operators' client.
+    /// Applies the group with the operators' program.
     pub fn apply(&self) {
         self.apply_leaving(None);
     }
 
-    /// Puts the group in force, with one instance marked as leaving.
+    /// Applies the group with one instance marked as leaving.
     #[allow(dead_code)]
     pub fn apply_leaving(&self, leaving: Option<usize>) {
         let mut declaration = self.cluster.declaration();
@@ -94,7 +95,7 @@
         assert!(output.status.success(), "apply: {output:?}");
     }
 
-    /// The file that declares the group.
+    /// Returns the text of the file that declares the group.
     #[allow(dead_code)]
     pub fn catalog_text(&self) -> String {
         let catalog = catalog::Catalog {
@@ -104,7 +105,7 @@
         declaration::render(&catalog)
     }
 
-    /// Writes a file of its own for this test.
+    /// Writes a file into this environment's directory and returns its path.
     #[allow(dead_code)]
     pub fn write_file(&self, name: &str, content: &str) -> path::PathBuf {
         let file = self.directory.join(name);
@@ -112,7 +113,7 @@
         file
     }
 
-    /// The operators' file as the platform holds it.
+    /// Returns the operators' file that is stored on the platform.
     #[allow(dead_code)]
     pub fn stored_file(&self) -> apply::File {
         let entries = self.platform.entries();
@@ -120,7 +121,7 @@
         apply::File::decode(&entry.unwrap().value).unwrap()
     }
 
-    /// Registrations of the proxies that are running.
+    /// Returns the registrations of the running proxies.
     #[allow(dead_code)]
     pub fn records(&self) -> Vec<enrol::Record> {
         let entries = self.platform.entries().into_iter();
@@ -135,7 +136,7 @@
         self.spawn_with(index, &[])
     }
 
-    /// Starts one more proxy process that knows some peers beforehand.
+    /// Starts one more proxy process with the given peers in its settings.
     pub fn spawn_with(&self, index: usize, seeds: &[net::SocketAddr]) -> Proxy {
         let domain = &self.cluster.declaration().instances[index % 3].domain;
         let settings = format!(
@@ -160,7 +161,7 @@
         Proxy { callers, child }
     }
 
-    /// Index of the instance that leads at the highest term.
+    /// Returns the index of the primary with the highest term.
     #[allow(dead_code)]
     pub fn primary(&self) -> Option<usize> {
         (0..3)
@@ -183,7 +184,7 @@
         self.child.wait().unwrap()
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -201,7 +202,7 @@
     }
 }
 
-/// Section of the settings that names peers.
+/// Returns the section of the settings that lists peers; empty without peers.
 fn peers_section(seeds: &[net::SocketAddr]) -> String {
     let seeds: Vec<String> = seeds.iter().map(ToString::to_string).collect();
     match seeds.as_slice() {
@@ -221,7 +222,7 @@
     })
 }
 
-/// Runs a test's callers.
+/// Runs a future of a test's callers on a Tokio runtime, which their driver needs.
 pub fn block_on<T>(task: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -230,7 +231,7 @@
         .block_on(task)
 }
 
-/// Connects a caller; tries again while the proxy has no configuration yet.
+/// Connects a caller; retries while the proxy has no configuration yet.
 pub async fn connect(address: net::SocketAddr, database: &str) -> tokio_postgres::Client {
     let parameters = format!(
         "host={} port={} user=desk dbname={database}",
--- a/tests/matrix.rs
+++ b/tests/matrix.rs
@@ -1,5 +1,5 @@
-//! Fault matrix: every fault at every step of every operation, over the real decision
-//! and lane code, with small fakes behind its borders.
+//! Fault matrix: injects every fault at every step of every operation. The code for decisions
+//! and lanes is the production code; instances and store are in-memory fakes.
 
 #[path = "matrix/cell.rs"]
 mod cell;
@@ -36,16 +36,16 @@
 
 use std::sync;
 
-/// Cells at once.
+/// Maximum number of cells that run at the same time.
 const MAX_CONCURRENT_CELLS: usize = 40;
 
-/// Where the matrix is shown.
+/// Path of the page that shows the matrix.
 const PAGE_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/docs/FAULTS.md");
 
-/// Set to write the page instead of comparing it.
+/// Environment variable that makes the test write the page before it compares it.
 const WRITE_VARIABLE: &str = "MANGOTRAY_WRITE";
 
-/// All faults at all steps, and pairs of faults for promotions.
+/// Returns all faults at all steps, and pairs of faults for promotions.
 fn cells() -> Vec<cell::Cell> {
     let mut cells = Vec::new();
     for operation in operation::Operation::ALL {
@@ -63,12 +63,13 @@
     cells
 }
 
+/// Returns all pairs of faults, before the term is claimed and before the promotion arrives.
 fn pairs(operation: operation::Operation) -> Vec<cell::Cell> {
     let step_at = |point| {
         let mut steps = operation.steps().iter();
         *steps
             .find(|step| step.point == point)
-            .expect("a step of it")
+            .expect("the operation has a step at this point")
     };
     let (step, later) = (
         step_at(operation::Point::Loads),
@@ -103,7 +104,8 @@
     })
 }
 
-/// What is wrong with a finding; the first step must be reached in every cell.
+/// Describes the failure of a cell, if any. The step of the first fault must be reached in
+/// every cell; that of the second may be missed.
 fn failure(cell: &cell::Cell, finding: &cell::Finding) -> Option<String> {
     let allowed = match plan::plan(cell) {
         plan::Plan::Run(allowed) | plan::Plan::KnownFault(allowed, _) => allowed,
@@ -146,7 +148,7 @@
 fn the_page_is_current() {
     let page = page::page(&cells());
     if std::env::var_os(WRITE_VARIABLE).is_some() {
-        std::fs::write(PAGE_PATH, &page).expect("the page can be written");
+        std::fs::write(PAGE_PATH, &page).expect("docs/FAULTS.md is writable");
     }
     let found = std::fs::read_to_string(PAGE_PATH).unwrap_or_default();
     assert!(
--- a/tests/matrix/cell.rs
+++ b/tests/matrix/cell.rs
@@ -1,4 +1,4 @@
-//! One cell: an operation, with a fault at one of its steps, and the checks after it.
+//! A cell: runs an operation with a fault at one of its steps, then checks the promises.
 
 use std::collections;
 use std::sync;
@@ -24,43 +24,43 @@
 use crate::shutdown;
 use crate::upstream;
 
-/// Time for one batch of the operation.
+/// Time within which one batch of the operation must be answered.
 const BATCH_TIMEOUT: time::Duration = time::Duration::from_millis(2_500);
 
-/// Time for one try of a write while a promotion goes on.
+/// Time for one attempt to write during a promotion.
 const ATTEMPT_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Time after which a promotion is given up until the fault ends.
+/// Time to wait for a promotion during the fault.
 const PROMOTION_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// Time in which everything works again once the fault has ended.
+/// Time within which the group must work and converge after the fault has ended.
 const RECOVERY_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Time between two looks.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// The request that the operation makes.
+/// Number of the operation's request.
 const OPERATION_REQUEST: u64 = 100;
 
-/// The file that the operation puts in force.
+/// Name of the file that the operation applies.
 const OPERATION_FILE: &str = "own";
 
-/// Time that a write takes while a proxy shuts down under it.
+/// Duration of a write during which its proxy shuts down.
 const DRAIN_WRITE_DURATION: time::Duration = time::Duration::from_millis(150);
 
-/// The replica that has missed the last write before a read.
+/// Index of the replica that lacks the last write before a read.
 const STALE_REPLICA: id::Index = 2;
 
-/// What became of an operation.
+/// Outcome of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Done, while the fault lasted.
+    /// Done during the fault.
     Done,
-    /// Refused as surely not run.
+    /// Refused; it certainly did not run.
     NotRun,
-    /// The caller was told that it cannot be known, or lost its proxy.
+    /// The caller was told that the outcome is unknown, or its proxy ended.
     Unknown,
-    /// Done once the fault had ended.
+    /// Done only after the fault had ended.
     DoneAfterFault,
 }
 
@@ -82,21 +82,21 @@
     pub operation: Operation,
     pub step: operation::Step,
     pub fault: fault::Fault,
-    /// Fault that strikes at a later step besides.
+    /// A second fault at a later step.
     pub second: Option<(operation::Step, fault::Fault)>,
 }
 
-/// What a run of a cell showed.
+/// Result of running a cell.
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub class: Class,
-    /// Broken promises.
+    /// Promises that were broken.
     pub violations: Vec<String>,
-    /// Faults whose step was not reached.
+    /// Number of faults whose step was not reached.
     pub unreached_faults: usize,
 }
 
-/// A write that was tried.
+/// A write that was attempted.
 struct Attempt {
     request: u64,
     class: Class,
@@ -107,18 +107,18 @@
     harness: sync::Arc<harness::Harness>,
     attempts: Vec<Attempt>,
     violations: Vec<String>,
-    /// Stamp of the last confirmed write.
+    /// Stamp of the last confirmed write, for a read with a token.
     token: stamp::Stamp,
     next_request: u64,
-    /// Records that reads have shown.
+    /// Requests whose records were returned by reads.
     read_requests: collections::BTreeSet<u64>,
     followers: sync::Arc<follower::Pair>,
-    /// Registration of the proxy that is to shut down.
+    /// Registration of the proxy that will shut down.
     enrolment: Option<sync::Arc<enrol::Enrolment>>,
 }
 
 impl Cell {
-    /// Runs the cell.
+    /// Runs the operation with its faults, ends them and checks the promises.
     pub async fn run(self, pool: proxy::Executor) -> Finding {
         let harness = harness::Harness::new(&pool);
         let mut run = Run {
@@ -148,7 +148,8 @@
 }
 
 impl Run {
-    /// Makes one write confirmed through another proxy than the one at work.
+    /// Waits until the proxies are ready, then writes through the proxy that does not run the
+    /// operation.
     async fn prepare(&mut self) {
         let proxies = self.harness.proxies();
         let ready = || {
@@ -158,7 +159,8 @@
             let boards = proxies.iter().map(|proxy| proxy.group.watch.board());
             held && boards.into_iter().all(|board| board.leader().is_some())
         };
-        self.wait("the start", RECOVERY_TIMEOUT, ready).await;
+        self.wait("the proxies to be ready", RECOVERY_TIMEOUT, ready)
+            .await;
         let stale = matches!(
             self.cell.operation,
             Operation::Read | Operation::TokenRead | Operation::AgedRead
@@ -248,14 +250,14 @@
             Some(Ok(apply::Verdict::Applied(revision))) => {
                 if held.is_none_or(|file| file.revision != revision) {
                     self.violations
-                        .push(format!("the apply is not in {files:?}"));
+                        .push(format!("the applied file is missing in {files:?}"));
                 }
                 Class::Done
             }
             Some(Ok(apply::Verdict::Lost(_)) | Err(platform_store::Failure::NotRun(_))) => {
                 if held.is_some() {
                     self.violations
-                        .push(format!("an apply that was lost is in {files:?}"));
+                        .push(format!("a file that was not applied is in {files:?}"));
                 }
                 Class::NotRun
             }
@@ -263,7 +265,8 @@
         }
     }
 
-    /// As the daemon does: tells the others, lets the work end, gives its lease back.
+    /// Shuts the proxy down as the daemon does: marks it as draining, waits for the write in
+    /// flight, revokes its lease.
     async fn drain(&mut self, proxy: &sync::Arc<proxy::Proxy>) -> Class {
         let enrolment = self.enrolment.take().expect("prepared");
         let timeout = BATCH_TIMEOUT;
@@ -286,12 +289,11 @@
                 .service
                 .has_key(&shutdown::registration_key(proxy));
             if !revoked && self.cell.fault != fault::Fault::StoreDown {
-                self.violations
-                    .push("the lease was not given back".to_owned());
+                self.violations.push("the lease was not revoked".to_owned());
             }
             proxy.group.revoke();
             let settled = || proxy.group.trim_to_share();
-            self.wait("the end of all work", RECOVERY_TIMEOUT, settled)
+            self.wait("the proxy to become idle", RECOVERY_TIMEOUT, settled)
                 .await;
             proxy.process.end();
         }
@@ -352,7 +354,7 @@
         self.classify(answer, Kind::Read, OPERATION_REQUEST)
     }
 
-    /// Writes until one is confirmed in a later term than the first.
+    /// Waits until another instance is primary, then writes until a write is confirmed.
     async fn promotion(&mut self) -> Class {
         let end = self.now() + PROMOTION_TIMEOUT;
         while self.now() < end {
@@ -375,7 +377,8 @@
         Class::DoneAfterFault
     }
 
-    /// Everything works again, also through a proxy that knows nothing of the past.
+    /// Checks through a new proxy that writes and reads succeed, and waits until configuration
+    /// and logs have converged.
     async fn recover(&mut self) {
         let fresh = self.harness.start_proxy(0);
         let end = self.now() + RECOVERY_TIMEOUT;
@@ -398,11 +401,16 @@
                 .iter()
                 .all(|adopted| adopted.last().copied() == newest)
         };
-        self.wait("the file in force", RECOVERY_TIMEOUT, current)
-            .await;
+        self.wait(
+            "the nodes to adopt the newest file",
+            RECOVERY_TIMEOUT,
+            current,
+        )
+        .await;
         let cluster = self.harness.cluster.clone();
         let converged = || cluster.lock().converged();
-        self.wait("one log", RECOVERY_TIMEOUT, converged).await;
+        self.wait("the logs to converge", RECOVERY_TIMEOUT, converged)
+            .await;
         if !converged() {
             let statuses = cluster
                 .lock()
@@ -410,7 +418,8 @@
                 .iter()
                 .map(instance::Instance::status)
                 .collect::<Vec<_>>();
-            self.violations.push(format!("left with {statuses:?}"));
+            self.violations
+                .push(format!("the logs differ: {statuses:?}"));
         }
     }
 
@@ -424,18 +433,19 @@
         for Attempt { request, class } in &self.attempts {
             let count = log.iter().filter(|held| *held == request).count();
             if *class == Class::Done && count != 1 {
-                violations.push(format!("confirmed write {request} is there {count} times"));
+                violations.push(format!(
+                    "confirmed write {request} is in the log {count} times"
+                ));
             }
             if *class == Class::NotRun && state.appended_requests.contains(request) {
-                violations.push(format!("write {request} ran, though told not run"));
+                violations.push(format!(
+                    "write {request} ran, but its caller was told that it did not"
+                ));
             }
         }
         let distinct: collections::BTreeSet<_> = log.iter().collect();
         if distinct.len() != log.len() || !state.duplicate_requests.is_empty() {
-            violations.push(format!(
-                "records stand twice: {:?}",
-                state.duplicate_requests
-            ));
+            violations.push(format!("duplicate records: {:?}", state.duplicate_requests));
         }
         let missing: Vec<_> = self
             .read_requests
@@ -443,11 +453,11 @@
             .filter(|shown| !log.contains(shown))
             .collect();
         if !missing.is_empty() {
-            violations.push(format!("reads showed {missing:?}, which are gone"));
+            violations.push(format!("reads returned {missing:?}, which the log lacks"));
         }
         for (term, instances) in &state.primaries_by_term {
             if instances.len() > 1 {
-                violations.push(format!("term {term} has primaries {instances:?}"));
+                violations.push(format!("term {term} has several primaries: {instances:?}"));
             }
         }
         drop(state);
@@ -462,11 +472,11 @@
             |revisions: &[id::Revision]| revisions.is_sorted_by(|one, two| one < two);
         if !strictly_increasing(&revisions) {
             self.violations
-                .push(format!("revisions went {revisions:?}"));
+                .push(format!("revisions do not increase: {revisions:?}"));
         }
         for adopted in self.followers.adopted_revisions() {
             if !strictly_increasing(&adopted) || adopted.last() != revisions.last() {
-                let violation = format!("a node adopted {adopted:?} of {revisions:?}");
+                let violation = format!("a node adopted {adopted:?} of revisions {revisions:?}");
                 self.violations.push(violation);
             }
         }
@@ -475,7 +485,7 @@
             |answer: &&harness::ApplyResult| matches!(answer, Ok(apply::Verdict::Applied(_)));
         let count = applied.iter().filter(in_force).count();
         if count > revisions.len() {
-            let violation = format!("{count} applies in force, revisions {revisions:?}");
+            let violation = format!("{count} applies succeeded, but revisions are {revisions:?}");
             self.violations.push(violation);
         }
     }
@@ -498,7 +508,7 @@
             Some(Ok(reply)) => {
                 if upstream::rows(&reply, kind, request).is_none() {
                     self.violations
-                        .push(format!("{reply:?} is not {kind:?} {request}"));
+                        .push(format!("{reply:?} does not answer {kind:?} {request}"));
                 }
                 if reply.error.is_some() {
                     return Class::NotRun;
@@ -512,7 +522,8 @@
         let end = self.now() + timeout;
         while !condition() {
             if self.now() >= end {
-                self.violations.push(format!("{event} never came"));
+                self.violations
+                    .push(format!("timed out waiting for {event}"));
                 return;
             }
             async_io::Timer::after(POLL_INTERVAL).await;
--- a/tests/matrix/cluster.rs
+++ b/tests/matrix/cluster.rs
@@ -1,4 +1,4 @@
-//! A database group in memory, with its links and an injection for one step.
+//! A database group in memory, with its network links and the faults scheduled for its steps.
 
 use std::collections;
 use std::sync;
@@ -12,67 +12,67 @@
 use crate::instance;
 use crate::operation;
 
-/// Instances of the group.
+/// Number of instances in the group.
 pub const INSTANCES: usize = 3;
 
-/// Time between two rounds of replication.
+/// Time between two rounds of log shipping.
 const REPLICATION_INTERVAL: time::Duration = time::Duration::from_millis(2);
 
-/// Time between two records that a replica applies while it is far behind.
+/// Time between two records that a slow replica applies.
 const SLOW_RECORD_INTERVAL: time::Duration = time::Duration::from_millis(120);
 
-/// Records that other sessions have left unshipped when replicas fall behind.
+/// Records of other sessions that are appended, not yet replicated, when replicas fall behind.
 const BACKLOG_RECORDS: u64 = 5;
 
-/// First number of such records; far above those of the cell's own requests.
+/// Request number of the first backlog record; far above those of the cell's own requests.
 const FIRST_BACKLOG_REQUEST: u64 = 1_000_000;
 
-/// What happens when a step is reached, told which proxy reached it; answers how long
-/// the call that reached it is held up. It strikes in the moment of the step: nobody else
-/// comes past, or ships a record, in between.
+/// Applies a fault to the group. The argument is the number of the proxy that reached the
+/// step; the result is the time by which its call is delayed. Runs under the lock of the group
+/// together with the step, so that no other call and no replication happens in between.
 pub type Action = Box<dyn FnOnce(&mut State, usize) -> time::Duration + Send>;
 
-/// A fault waiting for its step.
+/// A fault scheduled for a step.
 pub struct Injection {
-    /// The step.
+    /// Step at which the fault is injected.
     pub point: operation::Point,
-    /// The fault.
+    /// Effect of the fault.
     pub action: Action,
 }
 
-/// All of the group that can change.
+/// Mutable state of the group.
 pub struct State {
-    /// The instances.
+    /// Instances by index.
     pub instances: Vec<instance::Instance>,
-    /// Whether the instance reaches its peers.
+    /// Whether each instance can exchange records with the others.
     pub peer_link_up: [bool; INSTANCES],
-    /// Whether the proxies reach the instance.
+    /// Whether proxies can connect to each instance.
     pub proxy_link_up: [bool; INSTANCES],
     /// Whether replicas apply one record at a time.
     pub slow_replicas: bool,
-    /// Instances that were made primary, by term.
+    /// Instances that were promoted, by term.
     pub primaries_by_term: collections::BTreeMap<id::Term, collections::BTreeSet<id::Index>>,
-    /// Every request's record that was ever in any log.
+    /// Requests whose record has ever been in any log.
     pub appended_requests: collections::BTreeSet<u64>,
-    /// Records that stood twice in one log.
+    /// Requests that were appended to a log which already held them.
     pub duplicate_requests: collections::BTreeSet<u64>,
-    /// Proxies whose next answer is lost.
+    /// Proxies that will not receive their next answer from an instance.
     pub proxies_losing_answer: collections::BTreeSet<usize>,
-    /// Whether the awaited batch has been answered by an instance.
+    /// Whether an instance has answered the write or commit under test.
     pub batch_answered: bool,
-    /// Time that an instance takes for a write.
+    /// Time that an instance takes to execute a write.
     pub write_duration: time::Duration,
-    /// Whether the awaited batch has committed.
+    /// Whether the write or commit under test has been executed.
     pub batch_committed: bool,
     injections: Vec<Injection>,
     fence_count: usize,
     last_shipment: time::Duration,
 }
 
-/// The group.
+/// A database group shared by the proxies of a cell.
 pub struct Cluster {
     state: sync::Mutex<State>,
-    /// Time of all cells' parts.
+    /// Clock of the cell's group and proxies.
     pub clock: sync::Arc<clock::Monotonic>,
 }
 
@@ -110,23 +110,25 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
-    /// Sets an injection; injections are sprung in the order in which they were set.
+    /// Schedules a fault. Faults are injected in the order in which they were scheduled.
     pub fn schedule(&self, injection: Injection) {
         self.lock().injections.push(injection);
     }
 
-    /// Takes the injections away that were not sprung; their number.
+    /// Removes the faults that were not injected; returns their number.
     pub fn cancel_pending(&self) -> usize {
         std::mem::take(&mut self.lock().injections).len()
     }
 
-    /// A proxy has reached a step: springs the injection that waits for it, then lets go of
-    /// the processor, so that a proxy that was stopped goes no further.
+    /// Records that a proxy has reached a step and injects the fault that is next if it is
+    /// scheduled for this step. Yields after an injection, so that a stopped proxy does not
+    /// continue.
     pub async fn reach(&self, proxy: usize, point: operation::Point) {
         self.reach_by(proxy, |_| (point, ())).await;
     }
 
-    /// The same for a step that is reached by something that is done to the group.
+    /// Like [`Self::reach`], for a step that is reached by `effect`, a change of the group. The
+    /// change and the fault happen under one lock.
     pub async fn reach_by<T>(
         &self,
         proxy: usize,
@@ -144,7 +146,7 @@
         result
     }
 
-    /// Ships records for ever.
+    /// Replicates records until the task is dropped.
     pub async fn replicate(&self) {
         loop {
             async_io::Timer::after(REPLICATION_INTERVAL).await;
@@ -155,7 +157,7 @@
 }
 
 impl State {
-    // Springs the injection that waits for this step, if one does.
+    // Injects the next fault if it is scheduled for this step; returns the delay of the call.
     fn trigger(&mut self, proxy: usize, point: operation::Point) -> Option<time::Duration> {
         let next = self
             .injections
@@ -167,14 +169,14 @@
         })
     }
 
-    /// Number of fencing calls that took effect before this one.
+    /// Counts a fencing call; returns the number of calls that took effect before it.
     pub const fn count_fence(&mut self) -> usize {
         self.fence_count += 1;
         self.fence_count - 1
     }
 
-    /// The instance that a fault of the primary strikes: the one that leads the highest
-    /// term, or the one that is to be promoted next.
+    /// Returns the instance that a fault of the primary affects: the running primary of the
+    /// highest term, or the instance to be promoted next if there is none.
     pub fn fault_target(&self) -> id::Index {
         let running = || (0..INSTANCES).filter(|index| self.instances[*index].running);
         running()
@@ -186,13 +188,13 @@
             .unwrap_or(0)
     }
 
-    /// The primary of the highest term, wherever it is.
+    /// Returns the primary of the highest term, even if it is stopped or cut off.
     pub fn primary(&self) -> Option<id::Index> {
         let leading = (0..INSTANCES).filter(|index| self.instances[*index].leads());
         leading.max_by_key(|index| self.instances[*index].fence)
     }
 
-    /// Appends records of a committed transaction.
+    /// Appends the records of a committed transaction to an instance's log.
     pub fn append(&mut self, index: id::Index, writes: &[u64]) {
         for write in writes {
             if self.instances[index].contains(*write) {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Makes replicas slow and gives them a backlog.
+    /// Slows replication down and appends a backlog to the primary's log.
     pub fn delay_replicas(&mut self) {
         self.slow_replicas = true;
         let index = self.fault_target();
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Whether all instances run and hold one log.
+    /// Whether all instances run and have equal logs.
     pub fn converged(&self) -> bool {
         let first = &self.instances[0];
         self.instances
@@ -225,7 +227,7 @@
     }
 
     fn ship(&mut self, now: time::Duration) {
-        // The fault is to strike before the record is on a second instance.
+        // A fault scheduled before the confirmation must precede replication of the record.
         let next = self.injections.first().map(|injection| injection.point);
         if self.batch_committed && next == Some(operation::Point::Confirms) {
             return;
--- a/tests/matrix/fault.rs
+++ b/tests/matrix/fault.rs
@@ -1,4 +1,4 @@
-//! What can fail.
+//! Faults that the matrix injects.
 
 /// Defines an enumeration together with the list of all its values, so that none can
 /// be left out of the matrix.
@@ -22,32 +22,33 @@
 pub(crate) use enum_with_list;
 
 enum_with_list! {
-    /// A fault; it lasts until the cell is healed, if it does not say otherwise.
+    /// A fault. It lasts until the cell is healed unless stated otherwise.
     Fault {
         /// The primary's process ends.
         PrimaryLost => "primary lost",
-        /// The primary is cut off from its replicas and from the proxies, and still
-        /// believes that it leads.
+        /// The primary is cut off from its replicas and from the proxies, and still acts as
+        /// primary.
         PrimaryIsolated => "primary cut off from all",
-        /// The primary is cut off from its replicas alone, and still believes that it leads.
+        /// The primary is cut off from its replicas only, and still acts as primary.
         PrimaryStalled => "primary cut off from replicas",
         /// Replicas apply a backlog one record at a time.
         ReplicasBehind => "replicas far behind",
-        /// The proxy at work dies.
+        /// The proxy that reached the step ends.
         ProxyDies => "proxy dies",
         /// The store refuses every call.
         StoreDown => "store down",
-        /// The store takes long for every call.
+        /// The store delays every call.
         StoreSlow => "store slow",
         /// The next change of the store takes effect and its answer is lost.
         StoreAnswerLost => "store's answer lost",
-        /// The proxy at work is paused past the end of its lease; meanwhile another one
-        /// replaces the primary.
+        /// The proxy that reached the step is paused until after the end of its share;
+        /// meanwhile another one replaces the primary.
         LeaseLapsed => "lease lapses in a pause",
-        /// Two operators apply different files at once; the winner's takes the primary
-        /// out of service.
+        /// Two operators apply different files at once; the first one's, if it wins, marks
+        /// the primary as leaving.
         OperatorsRace => "operators race",
-        /// The answer of an instance to the proxy at work is lost after the call ran.
+        /// The next answer of an instance to the proxy that reached the step is lost after
+        /// the call took effect.
         AnswerLost => "instance's answer lost",
     }
 }
--- a/tests/matrix/follower.rs
+++ b/tests/matrix/follower.rs
@@ -1,4 +1,4 @@
-//! Two nodes that follow the configuration, from the store or from each other.
+//! Two nodes that follow the configuration: one reads the store, both exchange it.
 
 use std::sync;
 use std::time;
@@ -10,7 +10,7 @@
 use crate::harness;
 use crate::store;
 
-/// Time between two looks.
+/// Time between two rounds of reading and exchanging the configuration.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(15);
 
 #[derive(Default)]
@@ -27,13 +27,13 @@
     }
 }
 
-/// The two nodes.
+/// The two nodes; the first one reads the store.
 #[derive(Default)]
 pub struct Pair([sync::Mutex<Node>; 2]);
 
 impl Pair {
-    /// Follows for ever. The first node reads the store, the second hears of it from the
-    /// first and offers back what it holds.
+    /// Follows the configuration until the task is dropped. The first node reads the store;
+    /// then each node offers the other its file if it is newer.
     pub async fn run(&self, client: &store::Client) {
         loop {
             if let Ok(Some(file)) = apply::current(client).await {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Revisions that each node has put in force, in that order.
+    /// Returns the revisions that each node has adopted, in order.
     pub fn adopted_revisions(&self) -> Vec<Vec<id::Revision>> {
         let nodes = self.0.iter();
         nodes
--- a/tests/matrix/harness.rs
+++ b/tests/matrix/harness.rs
@@ -1,4 +1,4 @@
-//! The parts of one cell, and what faults do to them.
+//! Components of one cell, and the effects of faults on them.
 
 use std::sync;
 use std::time;
@@ -15,23 +15,23 @@
 use crate::proxy;
 use crate::store;
 
-/// Time for which a proxy stands still; longer than another one needs to promote.
+/// Time for which a proxy is paused; longer than another proxy needs for a promotion.
 const PROXY_PAUSE: time::Duration = time::Duration::from_millis(900);
 
-/// Time left of its lease when it stops.
+/// Time left of a proxy's share when it is paused.
 const LEASE_LEFT_AT_PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// Time for which a call is held up while operators apply their files; longer than the
+/// Time for which a call is delayed while operators apply their files; longer than the
 /// change of the primary that follows.
 const OPERATOR_RACE_DELAY: time::Duration = time::Duration::from_millis(300);
 
-/// Number by which racing operators meet the store.
+/// Client number of the operators and the nodes that follow the configuration.
 const OPERATOR_CLIENT: usize = store::FIRST_EXEMPT_CLIENT;
 
-/// What became of an apply.
+/// Result of applying a file.
 pub type ApplyResult = Result<apply::Verdict, platform_store::Failure>;
 
-/// The parts of one cell.
+/// Group, store and proxies of one cell.
 pub struct Harness {
     pub pool: proxy::Executor,
     pub cluster: sync::Arc<cluster::Cluster>,
@@ -59,7 +59,7 @@
         harness
     }
 
-    /// Starts another proxy.
+    /// Starts another proxy; the one with rank 0 is the first to try a promotion.
     pub fn start_proxy(&self, rank: u32) -> sync::Arc<proxy::Proxy> {
         let mut proxies = lock(&self.proxies);
         let number = proxies.len();
@@ -72,7 +72,7 @@
         lock(&self.proxies).clone()
     }
 
-    /// Sets a trap for a fault.
+    /// Schedules a fault for a step.
     pub fn schedule_fault(
         self: &sync::Arc<Self>,
         point: crate::operation::Point,
@@ -88,6 +88,7 @@
         self.cluster.schedule(cluster::Injection { point, action });
     }
 
+    /// Applies a fault to the group, the store or the proxy that reached the step.
     fn inject(
         self: &sync::Arc<Self>,
         state: &mut cluster::State,
@@ -122,6 +123,7 @@
         }
     }
 
+    /// Pauses a proxy until after its share has ended; marks the primary as leaving on the others.
     fn pause_past_lease(
         self: &sync::Arc<Self>,
         proxy: &sync::Arc<proxy::Proxy>,
@@ -140,6 +142,7 @@
         });
     }
 
+    /// Applies two files at once; if the first one wins, it marks the primary as leaving.
     fn race_operators(self: &sync::Arc<Self>, target: id::Index) {
         let harness = self.clone();
         self.spawn(async move {
@@ -153,12 +156,12 @@
         });
     }
 
-    /// Puts a file in force.
+    /// Applies a file as an operator.
     async fn apply(&self, name: &str) -> ApplyResult {
         apply::put(&self.client(OPERATOR_CLIENT), &request(name)).await
     }
 
-    /// A way to the store.
+    /// Returns a client of the store with the given number.
     pub fn client(&self, proxy: usize) -> store::Client {
         store::Client {
             service: self.service.clone(),
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Lets two nodes follow the configuration; what each has adopted, in that order.
+    /// Starts two nodes that follow the configuration and record the revisions they adopt.
     pub fn follow(self: &sync::Arc<Self>) -> sync::Arc<follower::Pair> {
         let pair = sync::Arc::new(follower::Pair::default());
         let (nodes, client) = (pair.clone(), self.client(OPERATOR_CLIENT));
@@ -175,11 +178,12 @@
         pair
     }
 
+    /// Spawns a task that is dropped with the harness.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         lock(&self.tasks).push(self.pool.spawn(task));
     }
 
-    /// Ends every fault. Proxies that died stay dead.
+    /// Ends all faults and starts stopped instances. Ended proxies are not started again.
     pub fn heal(&self) {
         self.service.heal();
         {
@@ -201,7 +205,7 @@
     }
 }
 
-/// An operator's wish to put a file in force.
+/// Returns an operator's request to apply a file.
 pub fn request(name: &str) -> apply::Request {
     apply::Request {
         id: name.into(),
@@ -211,7 +215,7 @@
     }
 }
 
-/// How long the call that meets the fault is held up.
+/// Returns the delay of the call that reached the fault's step.
 fn call_delay(fault: fault::Fault) -> time::Duration {
     match fault {
         fault::Fault::OperatorsRace => OPERATOR_RACE_DELAY,
@@ -219,6 +223,7 @@
     }
 }
 
+/// Locks a mutex, also after a panic of another holder.
 pub fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
--- a/tests/matrix/instance.rs
+++ b/tests/matrix/instance.rs
@@ -1,21 +1,21 @@
-//! One instance, as the upstream's contract describes it.
+//! In-memory fake of an instance that follows the contract for upstreams.
 
 use mangotray::id;
 use mangotray::role;
 use mangotray::stamp;
 use mangotray::status;
 
-/// A record: its term and the request that wrote it, 0 for the first of a term.
+/// A record: its term and the number of the request that wrote it, 0 for the first of a term.
 pub type Record = (id::Term, u64);
 
-/// Log and beliefs of one instance.
+/// Log and state of one instance.
 #[derive(Clone, Debug)]
 pub struct Instance {
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub running: bool,
-    /// Highest term it was fenced at.
+    /// Highest term at which it was fenced.
     pub fence: id::Term,
-    /// Number of its process.
+    /// Number of its current process; rises with each start.
     pub incarnation: id::Incarnation,
     led_term: id::Term,
     log: Vec<Record>,
@@ -77,7 +77,8 @@
         self.fence = self.fence.max(term);
     }
 
-    /// Takes the term, if it is fenced at exactly that; true when it is new.
+    /// Makes the instance primary of `term` if it is fenced at exactly that term. Returns
+    /// whether it became primary by this call.
     pub fn promote(&mut self, term: id::Term) -> bool {
         if self.fence != term || self.leads() {
             return false;
@@ -87,7 +88,8 @@
         true
     }
 
-    /// Applies up to `max_records` records of a primary, cutting off first where they differ.
+    /// Truncates the log where it differs from the primary's, then applies up to
+    /// `max_records` of the primary's records. Ignores a primary with a lower fence.
     pub fn follow(&mut self, primary: &Self, max_records: usize) {
         if primary.fence < self.fence {
             return;
@@ -104,7 +106,7 @@
         self.running = false;
     }
 
-    /// Starts again, with the log and fence it had, as a replica.
+    /// Starts a stopped instance as a replica; it keeps its log and fence.
     pub fn start(&mut self) {
         if !self.running {
             self.running = true;
--- a/tests/matrix/operation.rs
+++ b/tests/matrix/operation.rs
@@ -1,9 +1,9 @@
-//! What is done in a cell, and the steps at which a fault can strike.
+//! Operations of the matrix, and their steps at which a fault can be injected.
 
 use crate::fault::enum_with_list;
 
 enum_with_list! {
-    /// What a batch does.
+    /// Effect of a batch.
     Kind {
         /// Writes one record and commits it.
         Write => "write",
@@ -18,32 +18,32 @@
     }
 }
 
-/// A place in the code of the fakes that a proxy comes past.
+/// A place in the code of the fakes that a proxy reaches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
-    /// Before the first call.
+    /// Before the first call of the operation.
     Start,
     /// A batch arrives at an instance.
     Arrives(Kind),
-    /// An instance has run a batch and has not answered.
+    /// An instance has executed a batch and has not answered.
     Ran(Kind),
-    /// A probe starts after the batch was answered.
+    /// A probe starts after the batch was answered; probes confirm writes.
     Confirms,
     /// The store is read.
     Loads,
     /// A change of the store arrives.
     Swaps,
-    /// A change of the store has taken effect and is not answered.
+    /// A change of the store has taken effect and has not been answered.
     Swapped,
-    /// The end of a lease arrives at the store.
+    /// The revocation of a lease arrives at the store.
     Revokes,
-    /// A lease has ended and the store has not answered.
+    /// A lease has been revoked and the store has not answered.
     Revoked,
-    /// So many fencing calls have taken effect before this one.
+    /// A fencing call takes effect; the value is the number of earlier ones.
     Fenced(usize),
-    /// The promotion call arrives.
+    /// A promotion call arrives at an instance.
     Promotes,
-    /// The promotion call has taken effect and is not answered.
+    /// A promotion call has taken effect and has not been answered.
     Promoted,
 }
 
@@ -52,7 +52,7 @@
 pub struct Step {
     /// Name in the matrix.
     pub name: &'static str,
-    /// Where it is.
+    /// Place in the code of the fakes.
     pub point: Point,
 }
 
@@ -61,23 +61,23 @@
 }
 
 enum_with_list! {
-    /// An operation.
+    /// An operation under test.
     Operation {
         /// One write outside a transaction.
         Write => "Write",
         /// A transaction of one write.
         Transaction => "Transaction",
-        /// A read that carries nothing.
+        /// A read without a token.
         Read => "Read without a token",
-        /// A read with the token of the write before.
+        /// A read with the token of the preceding write.
         TokenRead => "Read with a token",
-        /// A read that accepts data of a stated age.
+        /// A read that accepts data up to a stated age.
         AgedRead => "Read of a stated age",
         /// Replacement of a primary that was lost.
         Promotion => "Promotion after the primary was lost",
         /// Replacement of a primary that operators take out of service.
         Replacement => "Promotion while the primary is well",
-        /// Putting an operators' file in force.
+        /// Applying an operator's file.
         Apply => "Apply",
         /// Graceful shutdown of a proxy with a write in flight.
         Drain => "Drain of a proxy",
@@ -85,7 +85,7 @@
 }
 
 impl Operation {
-    /// The operation's steps, in their order.
+    /// Returns the operation's steps in order.
     pub const fn steps(self) -> &'static [Step] {
         match self {
             Self::Write => {
--- a/tests/matrix/page.rs
+++ b/tests/matrix/page.rs
@@ -1,4 +1,4 @@
-//! The matrix as a page.
+//! Renders the matrix as the page `docs/FAULTS.md`.
 
 use std::fmt::Write;
 
@@ -47,7 +47,7 @@
 
 ";
 
-/// The whole page.
+/// Returns the whole page as Markdown.
 pub fn page(cells: &[cell::Cell]) -> String {
     let mut page = INTRODUCTION.to_owned();
     for operation in Operation::ALL {
--- a/tests/matrix/plan.rs
+++ b/tests/matrix/plan.rs
@@ -1,4 +1,4 @@
-//! What each cell must show.
+//! Expected outcome of each cell.
 
 use crate::cell;
 use crate::cell::Class;
@@ -7,15 +7,16 @@
 use crate::operation::Operation;
 use crate::operation::Point;
 
-/// What is to be done with a cell.
+/// Whether a cell is run, and the outcomes it may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Run it; it must end in one of these classes. More than one where it depends on
-    /// which of two things happens first.
+    /// Run it; it must end in one of these classes. There are several if the outcome depends
+    /// on which of two events happens first.
     Run(&'static [Class]),
-    /// Run it; for this fault of the product it does not end as it should. To be mended.
+    /// Run it; it may end in one of these classes because of the known defect of the product
+    /// that the text describes. To be fixed.
     KnownFault(&'static [Class], &'static str),
-    /// Not run, for this reason.
+    /// Do not run it, for this reason.
     NotApplicable(&'static str),
 }
 
@@ -24,17 +25,17 @@
 const UNKNOWN: Plan = Plan::Run(&[Class::Unknown]);
 const DONE_AFTER_FAULT: Plan = Plan::Run(&[Class::DoneAfterFault]);
 
-/// A read that ran on a replica is held for one on a primary when that replica has been
-/// promoted before the answer is relayed. The stamp that it waits for is of the term
-/// before, which nobody can confirm any more.
+/// A read that ran on a replica is treated as a read on a primary if that replica is promoted
+/// before the answer is relayed. It then waits for confirmation of a stamp of the previous
+/// term, which no instance can give any more.
 const READ_BEFORE_PROMOTION: Plan = Plan::KnownFault(
     &[Class::Done, Class::Unknown],
     "a read that ran on a replica waits in vain for confirmation when that replica is \
      promoted before its answer is relayed",
 );
 
-/// A read that no replica was known to be fresh enough for goes to the primary, and one that
-/// falls silent holds it to its deadline; whether a replica is known in time is a matter of
+/// A read goes to the primary if no replica is known to be fresh enough. If the primary stops
+/// answering, the read waits until its deadline. Whether a replica is known in time depends on
 /// milliseconds.
 const READ_ON_SILENT_PRIMARY: Plan = Plan::KnownFault(
     &[Class::Done, Class::Unknown],
@@ -42,7 +43,7 @@
      silent, though a replica could answer",
 );
 
-/// What the cell must show.
+/// Returns the expected outcome of a cell.
 pub fn plan(cell: &cell::Cell) -> Plan {
     if let Some((_, second)) = cell.second {
         return pair(cell.operation, cell.fault, second);
@@ -58,7 +59,7 @@
     }
 }
 
-/// The primary alone keeps nobody from reading, nor do the store and the operators.
+/// Reads succeed without the primary, the store or the operators.
 fn read(point: Point, fault: Fault) -> Plan {
     match fault {
         Fault::LeaseLapsed | Fault::OperatorsRace if point == Point::Ran(Kind::Read) => {
@@ -69,7 +70,7 @@
         {
             READ_ON_SILENT_PRIMARY
         }
-        // The share is another proxy's by now: not a byte may leave.
+        // The share has passed to another proxy: nothing may be sent.
         Fault::LeaseLapsed if point == Point::Start => NOT_RUN,
         Fault::ProxyDies => UNKNOWN,
         Fault::PrimaryLost
@@ -90,11 +91,11 @@
         (Fault::AnswerLost, Point::Confirms) => {
             Plan::NotApplicable("only probes are awaited, and they are repeated")
         }
-        // Refused by the replaced primary; sent again if the share has not ended by then.
+        // Refused by the replaced primary; sent again if the share has not ended yet.
         (Fault::LeaseLapsed, Point::Start | Point::Arrives(_)) => {
             Plan::Run(&[Class::Done, Class::NotRun])
         }
-        // Whether the record was shipped before the primary was replaced.
+        // Depends on whether the record was replicated before the primary was replaced.
         (Fault::LeaseLapsed | Fault::OperatorsRace, Point::Ran(_)) => {
             Plan::Run(&[Class::Done, Class::Unknown])
         }
@@ -124,7 +125,7 @@
     let commits = committed || point == Point::Arrives(Kind::Commit);
     match (fault, point) {
         (Fault::AnswerLost, Point::Start) => NOT_RUN,
-        // No statement of it has run, or all have: it ends like a single write.
+        // None or all of its statements have run: the outcome is that of a single write.
         (_, Point::Start | Point::Confirms) => write(point, fault),
         (
             Fault::StoreDown | Fault::StoreSlow | Fault::StoreAnswerLost | Fault::ReplicasBehind,
@@ -135,7 +136,7 @@
             Plan::Run(&[Class::Done, Class::Unknown])
         }
         (Fault::PrimaryLost | Fault::PrimaryIsolated | Fault::AnswerLost, _) if commits => UNKNOWN,
-        // Rolled back with its connection, or refused by the replaced primary.
+        // Rolled back when the connection closed, or refused by the replaced primary.
         (
             Fault::LeaseLapsed
             | Fault::OperatorsRace
@@ -147,7 +148,7 @@
     }
 }
 
-/// Whether a fault takes an instance away.
+/// Whether a fault leaves the group one instance fewer for a majority.
 fn removes_instance(fault: Fault) -> bool {
     matches!(
         fault,
@@ -155,7 +156,7 @@
     )
 }
 
-/// A majority of the instances is needed, and one proxy.
+/// A promotion needs a majority of the instances and one proxy.
 fn promotion(operation: Operation, fault: Fault) -> Plan {
     if removes_instance(fault) && operation == Operation::Promotion {
         DONE_AFTER_FAULT
@@ -168,7 +169,7 @@
     let lost = usize::from(operation == Operation::Promotion);
     let removed =
         lost + usize::from(removes_instance(first)) + usize::from(removes_instance(second));
-    // A proxy that was paused past its lease serves nobody until it has another.
+    // A proxy whose share has ended serves no caller until the share is renewed.
     let stops_proxy = |fault| matches!(fault, Fault::ProxyDies | Fault::LeaseLapsed);
     if removed > 1 || (stops_proxy(first) && stops_proxy(second)) {
         Plan::Run(&[Class::Done, Class::DoneAfterFault])
@@ -177,7 +178,7 @@
     }
 }
 
-/// Only the store, rivals and the applying process itself matter to an apply.
+/// An apply depends only on the store, on concurrent applies and on its own process.
 fn apply(point: Point, fault: Fault) -> Plan {
     match (fault, point) {
         (Fault::ProxyDies, _) | (Fault::StoreDown, Point::Swapped) => UNKNOWN,
@@ -197,7 +198,7 @@
     }
 }
 
-/// What becomes of the write in flight; it has ended before the lease is given back.
+/// Outcome of the write in flight, which ends before the lease is revoked.
 fn drain(point: Point, fault: Fault) -> Plan {
     match (fault, point) {
         (_, Point::Revokes | Point::Revoked)
@@ -206,9 +207,9 @@
             _,
         )
         | (Fault::OperatorsRace, Point::Arrives(_)) => DONE,
-        // Whether the record was shipped before the primary was replaced.
+        // Depends on whether the record was replicated before the primary was replaced.
         (Fault::OperatorsRace, _) => Plan::Run(&[Class::Done, Class::Unknown]),
-        // Refused by the replaced primary, and sent again or not when the share has ended.
+        // Refused by the replaced primary; it may be sent again before the share has ended.
         (Fault::LeaseLapsed, _) => Plan::Run(&[Class::NotRun, Class::Unknown]),
         (
             Fault::PrimaryLost
--- a/tests/matrix/pool.rs
+++ b/tests/matrix/pool.rs
@@ -1,13 +1,13 @@
-//! Threads that run the cells.
+//! Thread pool that runs the cells.
 
 use std::thread;
 
 use crate::proxy;
 
-/// Number of threads.
+/// Number of threads in the pool.
 const THREADS: usize = 3;
 
-/// Runs work that spawns on a pool of threads.
+/// Runs a future to completion; tasks that it spawns run on the threads of the pool.
 pub fn block_on<T, F: Future<Output = T>>(work: impl FnOnce(proxy::Executor) -> F) -> T {
     let pool = proxy::Executor::default();
     let (stop, stopped) = async_channel::bounded::<()>(1);
--- a/tests/matrix/process.rs
+++ b/tests/matrix/process.rs
@@ -1,4 +1,4 @@
-//! Whether a proxy's process runs, stands still or is gone.
+//! A proxy's process, which runs, is paused or has ended.
 
 use std::pin;
 use std::sync;
@@ -8,14 +8,14 @@
 
 use futures_util::future;
 
-/// Time between two looks of a process that stands still.
+/// Time between two checks of the state while a process is paused or awaited.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
 const RUNNING: u8 = 0;
 const PAUSED: u8 = 1;
 const ENDED: u8 = 2;
 
-/// State of one process.
+/// State of one process, shared by its tasks.
 #[derive(Default)]
 pub struct Process(atomic::AtomicU8);
 
@@ -45,14 +45,14 @@
         let _ = self.0.compare_exchange(from, to, success, failure);
     }
 
-    /// Resolves when the process is gone.
+    /// Resolves when the process has ended.
     pub async fn wait_for_end(&self) {
         while !self.has_ended() {
             async_io::Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// Work of the process: makes progress only while it runs.
+    /// Wraps a task of the process, so that it is polled only while the process runs.
     pub fn run<T: 'static>(
         self: &sync::Arc<Self>,
         task: impl Future<Output = T> + Send + 'static,
@@ -64,6 +64,7 @@
     }
 }
 
+/// Polls the task if the process runs; otherwise sets a timer to check again.
 fn poll<T>(
     process: &Process,
     task: &mut future::BoxFuture<'static, T>,
--- a/tests/matrix/proxy.rs
+++ b/tests/matrix/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy: the real runtime of a group over the fakes.
+//! A proxy: the production runtime of a group on fake instances and a fake store.
 
 use std::net;
 use std::sync;
@@ -28,27 +28,27 @@
 use crate::store;
 use crate::upstream as fake;
 
-/// Share of each instance.
+/// A proxy's share of the connections and slots of each instance.
 const INSTANCE_SHARE: pool::Limit = pool::Limit {
     connections: 4,
     slots: 3,
 };
 
-/// Time for which a share is given when nothing is to end it.
+/// Validity of a share; longer than any cell runs.
 const SHARE_DURATION: time::Duration = time::Duration::from_hours(1);
 
-/// Age that reads of `AGED_TABLE` accept.
+/// Maximum age of data that reads of `AGED_TABLE` accept.
 pub const MAX_READ_AGE: time::Duration = time::Duration::from_millis(300);
 
-/// Table with a stated age.
+/// Table for which the file declares a maximum age.
 const AGED_TABLE: &str = "calendar";
 
 pub type Executor = sync::Arc<async_executor::Executor<'static>>;
 
-/// What came of one batch.
+/// Result of one batch.
 pub type Answer = Result<reply::Reply, outcome::Outcome>;
 
-/// A proxy.
+/// A proxy process with its group runtime.
 pub struct Proxy {
     pub number: usize,
     pub group: sync::Arc<group::Group>,
@@ -102,24 +102,24 @@
         proxy
     }
 
-    /// Gives the share again.
+    /// Renews the share for [`SHARE_DURATION`].
     pub fn renew_share(&self) {
         self.group
             .set_share(INSTANCE_SHARE, self.cluster.clock.now() + SHARE_DURATION);
     }
 
-    /// Lets the share end after `remaining`.
+    /// Limits the validity of the share to `remaining`.
     pub fn end_share_after(&self, remaining: time::Duration) {
         self.group
             .set_share(INSTANCE_SHARE, self.cluster.clock.now() + remaining);
     }
 
-    /// Puts a file in force that takes `leaving` out of service.
+    /// Sets a declaration of the group that marks the instance `leaving` as leaving.
     pub fn declare(&self, leaving: Option<id::Index>) {
         self.group.set_declaration(declaration(leaving));
     }
 
-    /// A session of this proxy.
+    /// Opens a session of a caller on this proxy.
     pub fn session(self: &sync::Arc<Self>) -> Session {
         Session {
             proxy: self.clone(),
@@ -135,8 +135,8 @@
 }
 
 impl Session {
-    /// Runs one batch; `None` when the proxy died under it. `is_first_batch` marks the first
-    /// batch of an operation.
+    /// Runs one batch; returns `None` if the proxy ended meanwhile. `is_first_batch` marks the
+    /// first batch of an operation.
     pub async fn run(&mut self, batch: batch::Batch, is_first_batch: bool) -> Option<Answer> {
         let mut lane = self.lane.take()?;
         let proxy = self.proxy.clone();
@@ -159,7 +159,7 @@
         Some(answer)
     }
 
-    /// A batch to be answered within `timeout`.
+    /// Returns a batch with a deadline `timeout` from now.
     pub fn batch(&self, kind: Kind, request: u64, timeout: time::Duration) -> batch::Batch {
         let now = self.proxy.cluster.clock.now();
         batch::Batch {
@@ -177,13 +177,13 @@
     }
 }
 
-/// Makes a read accept data of a stated age.
+/// Makes a read accept data up to the age declared for its table.
 pub fn with_accepted_age(mut batch: batch::Batch) -> batch::Batch {
     batch.tables = vec![AGED_TABLE.into()];
     batch
 }
 
-/// Makes a read carry a token.
+/// Adds a token to a read.
 pub fn with_token(mut batch: batch::Batch, token: stamp::Stamp) -> batch::Batch {
     batch.token = Some(token);
     batch
--- a/tests/matrix/repair.rs
+++ b/tests/matrix/repair.rs
@@ -1,4 +1,4 @@
-//! Groups that look well and are not.
+//! Repair of groups whose primary answers while promotion or replication is blocked.
 
 use std::time;
 
@@ -9,13 +9,13 @@
 use crate::operation::Kind;
 use crate::pool;
 
-/// Time in which a promotion that must not come would have come several times.
+/// Time to observe that no promotion happens; enough for several.
 const OBSERVATION_TIME: time::Duration = time::Duration::from_millis(1_500);
 
-/// Time in which what must come has come.
+/// Time within which an expected change must happen.
 const WAIT_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// Time between two looks.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 async fn wait_until(harness: &harness::Harness, condition: impl Fn() -> bool) -> bool {
@@ -37,10 +37,10 @@
 
 #[test]
 fn a_leaving_primary_stays_while_the_others_are_no_majority() {
-    // Symptom: writes are aborted several times a second by changes of the primary.
-    // Events: a replica dies; operators take the primary out of service; the remaining
-    // two are a majority only together, and the primary's log is as good as the other.
-    // Cause: a leaving primary was replaced without asking whether it can be.
+    // Guards against promotions that abort writes several times a second. A replica stops
+    // and operators mark the primary as leaving. The other two instances are a majority only
+    // together and their logs are equal, so a promotion that does not check whether the
+    // leaving primary can be replaced may promote it again and again.
     pool::block_on(|pool| async move {
         let harness = harness::Harness::new(&pool);
         wait_for_primary(&harness).await;
@@ -78,9 +78,9 @@
 
 #[test]
 fn a_replica_left_fenced_receives_the_log_again() {
-    // Symptom: a replica never receives a record again, though the group looks well.
-    // Events: a promotion fences one replica above the primary's term and is given up.
-    // Cause: nothing watched for a replica that refuses the log of its primary.
+    // Guards against a replica that receives no records any more while the group appears
+    // healthy. An abandoned promotion has fenced the replica above the primary's term, so it
+    // refuses the primary's log; only a promotion at a higher term resumes replication.
     pool::block_on(|pool| async move {
         let harness = harness::Harness::new(&pool);
         wait_for_primary(&harness).await;
--- a/tests/matrix/shutdown.rs
+++ b/tests/matrix/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of one proxy, as its daemon does it.
+//! Registration of a proxy for the test of its graceful shutdown.
 
 use std::net;
 use std::sync;
@@ -9,7 +9,7 @@
 use crate::harness;
 use crate::proxy;
 
-/// Registration of a proxy.
+/// Starts the registration of a proxy and the task that renews it.
 pub fn enrolment(harness: &harness::Harness, proxy: &proxy::Proxy) -> sync::Arc<enrol::Enrolment> {
     let address = net::SocketAddr::from(([127, 0, 0, 1], 1));
     let record = enrol::Record {
@@ -31,7 +31,7 @@
     enrolment
 }
 
-/// Key of its registration.
+/// Returns the key of a proxy's registration in the store.
 pub fn registration_key(proxy: &proxy::Proxy) -> String {
     enrol::key(&vm_name(proxy)).into()
 }
--- a/tests/matrix/store.rs
+++ b/tests/matrix/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store in memory.
+//! An in-memory fake of the platform's store.
 
 use std::collections;
 use std::sync;
@@ -13,38 +13,38 @@
 use crate::cluster;
 use crate::operation;
 
-/// Time of a call while the store is slow.
+/// Duration of a call while the store is slow.
 const SLOW_CALL_DURATION: time::Duration = time::Duration::from_millis(250);
 
-/// Time of a call that is refused.
+/// Duration of a call that is refused.
 const REFUSED_CALL_DURATION: time::Duration = time::Duration::from_millis(10);
 
-/// Number from which on clients spring no trap.
+/// First client number whose calls reach no step, so that no fault is injected.
 pub const FIRST_EXEMPT_CLIENT: usize = 8;
 
-/// What the store does to calls.
+/// How the store handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers.
+    /// Answers at once.
     #[default]
     Normal,
-    /// Answers late.
+    /// Answers after a delay.
     Slow,
-    /// Refuses.
+    /// Refuses calls; answers of changes that took effect are lost.
     Down,
 }
 
 #[derive(Default)]
 struct State {
     behaviour: Behaviour,
-    /// Whether the next change loses its answer.
+    /// Whether the answer of the next change is lost.
     lose_next_answer: bool,
     entries: collections::BTreeMap<CompactString, store::Entry>,
     applied_files: Vec<apply::File>,
     granted_leases: u64,
 }
 
-/// The service itself.
+/// The store service, shared by all clients.
 #[derive(Default)]
 pub struct Service {
     state: sync::Mutex<State>,
@@ -65,12 +65,12 @@
         state.lose_next_answer = false;
     }
 
-    /// Every file that was in force, in that order.
+    /// Returns all files that were applied, in order.
     pub fn applied_files(&self) -> Vec<apply::File> {
         self.lock().applied_files.clone()
     }
 
-    /// Whether a key is there.
+    /// Whether the store has an entry for the key.
     pub fn has_key(&self, key: &str) -> bool {
         self.lock().entries.contains_key(key)
     }
@@ -81,6 +81,7 @@
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
 
+    /// Delays or refuses a call, depending on the behaviour.
     async fn begin_call(&self) -> Result<(), store::Failure> {
         let behaviour = self.lock().behaviour;
         match behaviour {
@@ -109,7 +110,7 @@
             return store::Swap::Conflict;
         }
         if key == apply::KEY {
-            let file = serde_json::from_slice(&value).expect("a file");
+            let file = serde_json::from_slice(&value).expect("the value is an encoded file");
             state.applied_files.push(file);
         }
         let entry = store::Entry {
@@ -122,7 +123,7 @@
         store::Swap::Stored
     }
 
-    /// Fails when the answer of a change that took effect does not come.
+    /// Fails if the answer of a change that took effect is lost.
     fn check_answer(&self) -> Result<(), store::Failure> {
         let mut state = self.lock();
         if std::mem::take(&mut state.lose_next_answer) || state.behaviour == Behaviour::Down {
@@ -132,7 +133,7 @@
     }
 }
 
-/// One proxy's, or an operator's, way to the service.
+/// A proxy's or an operator's client of the service.
 pub struct Client {
     pub service: sync::Arc<Service>,
     pub cluster: sync::Arc<cluster::Cluster>,
@@ -160,7 +161,7 @@
     }
 
     fn list<'a>(&'a self, _: &'a str) -> Answer<'a, Vec<store::Entry>> {
-        unreachable!("nothing in the matrix lists")
+        unreachable!("the matrix does not list keys")
     }
 
     fn swap<'a>(
@@ -187,7 +188,7 @@
         _: store::Version,
         _: time::Duration,
     ) -> Answer<'a, Option<store::Entry>> {
-        unreachable!("nothing in the matrix watches")
+        unreachable!("the matrix does not watch keys")
     }
 
     fn grant(&self, _: time::Duration) -> Answer<'_, store::Lease> {
--- a/tests/matrix/upstream.rs
+++ b/tests/matrix/upstream.rs
@@ -1,4 +1,4 @@
-//! Instances as one proxy meets them.
+//! Fake connections from one proxy to the instances.
 
 use std::sync;
 use std::time;
@@ -19,21 +19,21 @@
 /// Time after which a control call without an answer fails.
 const CONTROL_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
-/// Time after which a lost answer is noticed.
+/// Time after which a call whose answer is lost fails.
 const LOST_ANSWER_DELAY: time::Duration = time::Duration::from_millis(100);
 
-/// SQLSTATE of a write on an instance that does not lead.
+/// SQLSTATE of a write on an instance that is not primary.
 const READ_ONLY_SQLSTATE: &str = "25006";
 
-/// The proxy whose batches are awaited.
+/// Number of the proxy that runs the operation under test.
 const WORKING_PROXY: usize = 0;
 
-/// Tags of the frames of an answer.
+/// Tags of the first frame, of each row and of the last frame of an answer.
 const HEAD_TAG: u8 = b'T';
 const ROW_TAG: u8 = b'D';
 const END_TAG: u8 = b'C';
 
-/// One proxy's way to one instance.
+/// Access of one proxy to one instance.
 #[derive(Clone)]
 pub struct Upstream {
     pub cluster: sync::Arc<cluster::Cluster>,
@@ -47,7 +47,7 @@
     open_writes: Option<Vec<u64>>,
 }
 
-/// How a call meets the instance at a moment.
+/// State of the link to the instance.
 enum Link {
     Up,
     Refused,
@@ -71,7 +71,7 @@
         self.cluster.reach(self.proxy, point).await;
     }
 
-    /// Fails like a control call to an instance that cannot be reached.
+    /// Fails as a control call does if the instance cannot be reached.
     async fn check_link(&self) -> Result<(), upstream::Failure> {
         match self.link() {
             Link::Up => Ok(()),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Fails when the answer of a call that ran is lost.
+    /// Fails if the answer of a call that took effect is lost.
     async fn check_answer(&self) -> Result<(), upstream::Failure> {
         self.check_link().await?;
         if self
@@ -178,7 +178,8 @@
 }
 
 impl Connection {
-    /// Waits for ever on a silent link; the request's deadline ends it.
+    /// Fails if the instance was stopped or restarted. Never resolves on a silent link; the
+    /// request's deadline ends the wait.
     async fn check_connection(&self) -> Result<(), upstream::Failure> {
         match self.upstream.link() {
             Link::Up if self.upstream.instance_status().incarnation == self.incarnation => Ok(()),
@@ -254,7 +255,7 @@
     }
 }
 
-/// The frame of a request.
+/// Encodes a request as a frame.
 pub fn encode(kind: Kind, request: u64) -> frame::Frame {
     frame::Frame {
         tag: b'Q',
@@ -263,11 +264,13 @@
 }
 
 fn decode(frame: &frame::Frame) -> (Kind, u64) {
-    let text = std::str::from_utf8(&frame.body).expect("the cell's own text");
-    let (name, request) = text.split_once(' ').expect("two words");
+    let text = std::str::from_utf8(&frame.body).expect("the body is UTF-8");
+    let (name, request) = text
+        .split_once(' ')
+        .expect("the body has a kind and a request number");
     let kind = Kind::ALL.iter().find(|kind| kind.name() == name);
-    let request = request.parse().expect("a number");
-    (*kind.expect("a known kind"), request)
+    let request = request.parse().expect("the request is a number");
+    (*kind.expect("the kind is known"), request)
 }
 
 fn reply(kind: Kind, request: u64, rows: &[u64], error: Option<&str>) -> reply::Reply {
@@ -295,7 +298,7 @@
     }
 }
 
-/// The rows of an answer; `None` when it is not whole or belongs to another request.
+/// Returns the rows of an answer; `None` if it is incomplete or belongs to another request.
 pub fn rows(reply: &reply::Reply, kind: Kind, request: u64) -> Option<Vec<u64>> {
     let (head, rest) = reply.frames.split_first()?;
     let (end, rows) = rest.split_last()?;
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Configuration and roster on their way through real processes.
+//! Distribution of configuration and roster among real processes.
 
 mod environment;
 
@@ -32,25 +32,28 @@
         if let Some(found) = poll() {
             return found;
         }
-        assert!(time::Instant::now() < deadline, "{event}");
+        assert!(
+            time::Instant::now() < deadline,
+            "timed out waiting for {event}"
+        );
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Registered addresses for operators.
+/// Waits until all proxies are registered; returns their addresses for operators.
 fn admin_addresses(system: &Environment) -> Vec<net::SocketAddr> {
     let all = || Some(system.records()).filter(|records| records.len() == system.proxies.len());
-    let records = wait_for("all proxies register", all);
+    let records = wait_for("all proxies to register", all);
     records.iter().map(|record| record.admin).collect()
 }
 
-/// Revision in force at a proxy.
+/// Returns the revision that a proxy has adopted.
 fn revision(admin: net::SocketAddr) -> u64 {
     let status = async_io::block_on(mangotray::admin::fetch(admin, WAIT_TIMEOUT));
     status.expect("status of a running proxy").revision
 }
 
-/// Applies a file through the operators' program.
+/// Starts the operators' program to apply a file.
 fn apply(system: &Environment, name: &str, text: &str) -> process::Child {
     let file = system.write_file(name, text);
     process::Command::new(env!("CARGO_BIN_EXE_mangotray"))
@@ -68,7 +71,7 @@
     let system = Environment::start(5, options());
     let admins = admin_addresses(&system);
     for wanted in 1..4 {
-        wait_for("the revision is in force everywhere", || {
+        wait_for("the revision on all proxies", || {
             let reached = admins.iter().all(|admin| revision(*admin) == wanted);
             reached.then_some(())
         });
@@ -77,9 +80,9 @@
     }
 }
 
-// Symptom: a VM that is replaced in an outage of the platform refuses all callers.
-// Events: the platform goes out; a proxy starts, which knows nobody.
-// Cause: configuration and roster were to be had from the platform alone.
+// Guards against a VM that is replaced during an outage of the platform and refuses all
+// callers, because its proxy can get configuration and roster only from the platform. The
+// proxy must learn both from the peers listed in its settings.
 #[test]
 fn a_proxy_that_starts_in_an_outage_serves_after_learning_from_peers() {
     let mut system = Environment::start(3, options());
@@ -110,11 +113,10 @@
     });
 }
 
-// Symptom: proxies route by different files, or go back to an earlier one.
-// Events: operators apply different files at one moment; the platform loses answers to
-// changes that took effect.
-// Cause: an apply whose answer is lost is repeated over another's, or a proxy takes
-// whatever file comes last.
+// Guards against proxies that route by different files or return to an earlier revision.
+// Operators apply different files at the same time while the platform loses answers to
+// changes that took effect. This goes wrong if an apply whose answer was lost is repeated
+// over another operator's, or if a proxy adopts the file that arrives last, not the newest.
 #[test]
 fn racing_applies_never_take_a_revision_back() {
     let system = Environment::start(3, options());
@@ -130,7 +132,7 @@
                 apply(&system, &format!("{operator}.ini"), &text)
             })
             .collect();
-        wait_for("the applies end", || {
+        wait_for("the applies to end", || {
             record_revisions(&admins, &mut highest_revisions);
             let ended = racing
                 .iter_mut()
@@ -145,7 +147,7 @@
     let stored = system.stored_file();
     assert!(!won.is_empty(), "no apply succeeded");
     assert!(won.last() <= Some(&stored.revision));
-    wait_for("the newest file is in force everywhere", || {
+    wait_for("the newest file on all proxies", || {
         record_revisions(&admins, &mut highest_revisions);
         highest_revisions
             .iter()
@@ -154,7 +156,7 @@
     });
 }
 
-/// Revision that an apply reports as its own.
+/// Returns the revision that a successful apply reports.
 fn applied_revision(apply: process::Child) -> Option<u64> {
     let output = apply.wait_with_output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
@@ -162,11 +164,14 @@
     revision.trim().parse().ok()
 }
 
-/// Notes each proxy's revision, which must not have fallen.
+/// Records each proxy's revision and checks that it has not decreased.
 fn record_revisions(admins: &[net::SocketAddr], highest_revisions: &mut [u64]) {
     for (admin, highest) in admins.iter().zip(highest_revisions) {
         let now = revision(*admin);
-        assert!(now >= *highest, "{now} after {highest} at {admin}");
+        assert!(
+            now >= *highest,
+            "{admin} went from revision {highest} back to {now}"
+        );
         *highest = now;
     }
 }
--- a/tests/story.rs
+++ b/tests/story.rs
@@ -1,4 +1,4 @@
-//! The booking story through real processes, with an ordinary driver.
+//! End-to-end tests of bookings: real processes and an ordinary database driver.
 
 mod environment;
 
@@ -72,9 +72,8 @@
 
 #[test]
 fn writes_go_on_after_the_primary_is_lost() {
-    // Symptom: bookings fail until an operator steps in, or confirmed ones are gone.
-    // Events: the primary's process ends; nobody else orders a promotion.
-    // Cause: a group without a promotion by the proxies stays without a primary.
+    // Guards against bookings that fail until an operator intervenes, and against the loss of
+    // confirmed ones. The primary's process ends and only the proxies can promote a replica.
     let system = Environment::start(2, options());
     block_on(async {
         let first = connect(system.proxies[0].callers, DATABASE).await;
@@ -93,7 +92,7 @@
         {
             assert!(
                 time::Instant::now() < deadline,
-                "no write since the loss: {error}"
+                "no write succeeds after the primary was lost: {error}"
             );
             tries += 1;
             tokio::time::sleep(time::Duration::from_millis(50)).await;
@@ -111,9 +110,8 @@
 
 #[test]
 fn a_terminated_proxy_finishes_what_is_in_flight() {
-    // Symptom: a caller's connection breaks in the middle of a booking.
-    // Events: a proxy gets SIGTERM while a transaction is open.
-    // Cause: the process ended without waiting for it.
+    // Guards against a connection that breaks in the middle of a booking: a proxy receives
+    // SIGTERM while a transaction is open and must not exit before the transaction has ended.
     let mut system = Environment::start(1, options());
     let address = system.proxies[0].callers;
     let mut proxy = system.proxies.remove(0);
@@ -142,9 +140,9 @@
 
 #[test]
 fn a_text_that_ends_one_transaction_and_begins_another_is_confirmed() {
-    // Symptom: a booking that was confirmed is not seen through another proxy.
-    // Events: one text commits a transaction and opens the next; the answer says "open".
-    // Cause: only an answer without an open transaction was taken for a commit.
+    // Guards against a confirmed booking that is not visible through another proxy. One query
+    // text commits a transaction and opens the next, so the answer reports an open transaction.
+    // The commit is missed if only answers without an open transaction count as one.
     let system = Environment::start(2, options());
     block_on(async {
         let first = connect(system.proxies[0].callers, DATABASE).await;
@@ -163,9 +161,9 @@
 
 #[test]
 fn a_leaving_primary_is_replaced_while_it_is_healthy() {
-    // Symptom: an instance that the operators take out of service keeps all the writes.
-    // Events: a file that marks the primary as leaving is applied.
-    // Cause: the last look before a promotion found the primary healthy and gave up.
+    // Guards against an instance that still gets all writes after operators took it out of
+    // service. An applied file marks the primary as leaving. The promotion must not be
+    // abandoned because its last check finds the primary healthy.
     let system = Environment::start(2, options());
     block_on(async {
         let first = connect(system.proxies[0].callers, DATABASE).await;
@@ -177,12 +175,18 @@
         system.apply_leaving(Some(leaving));
         let deadline = time::Instant::now() + time::Duration::from_secs(30);
         while system.primary() == Some(leaving) {
-            assert!(time::Instant::now() < deadline, "still the primary");
+            assert!(
+                time::Instant::now() < deadline,
+                "the leaving instance is still the primary"
+            );
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
         let insert = "INSERT INTO bookings VALUES ('after', 2)";
         while let Err(error) = first.batch_execute(insert).await {
-            assert!(time::Instant::now() < deadline, "no write since: {error}");
+            assert!(
+                time::Instant::now() < deadline,
+                "no write succeeds after the promotion: {error}"
+            );
             tokio::time::sleep(time::Duration::from_millis(50)).await;
         }
         let row = first
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,6 +1,6 @@
-//! From the id of a failed request to its cause, with nothing but the nodes' logs.
+//! Tests that the nodes' logs alone lead from the id of a failed request to its cause.
 //!
-//! The logs are those of a run in which the platform's store and a primary were away.
+//! The logs come from a run during which the platform's store and a primary were unavailable.
 
 use mangotray::command::trace;
 
@@ -10,7 +10,7 @@
     lines
 }
 
-/// Positions of the first line with each of `texts`, which must come in this order.
+/// Checks that lines with each of `texts` come in this order.
 fn assert_order(lines: &[String], texts: &[&str]) {
     let mut from = 0;
     for text in texts {
