--- a/tests/model/broken.rs
+++ b/tests/model/broken.rs
@@ -7,21 +7,21 @@
 use crate::search;
 
 /// Searches with a broken rule and checks that the property is found violated.
-fn noticed(mutation: Mutation, property: Property, config: config::Config) {
+fn assert_violation_found(mutation: Mutation, property: Property, config: config::Config) {
     let config = config::Config {
         mutation: Some(mutation),
         ..config
     };
     let report = search::run(&config);
     println!("{mutation:?}: {report}");
-    let found = report.found.expect("the broken rule goes unnoticed");
-    assert_eq!(found.property, property);
+    let violation = report.violation.expect("the broken rule goes unnoticed");
+    assert_eq!(violation.property, property);
 }
 
 const BASIC: config::Config = config::Config::new("basic");
 
 const READER: config::Config = config::Config {
-    reserved: [2, 0],
+    reserved_terms: [2, 0],
     extras: &[Extra::Reader],
     ..config::Config::new("reader")
 };
@@ -41,7 +41,7 @@
 // Cause: the fence term stands for the term of its last record.
 #[test]
 fn fence_term_in_stamps_misleads_reads() {
-    noticed(Mutation::FenceTermCompared, Property::TokenMisses, READER);
+    assert_violation_found(Mutation::FenceTermCompared, Property::TokenMisses, READER);
 }
 
 // Symptom: a confirmed write is gone after a promotion.
@@ -50,7 +50,7 @@
 #[test]
 fn fence_term_in_stamps_misleads_promotions() {
     let config = config::Config { writes: 3, ..BASIC };
-    noticed(Mutation::FenceTermCompared, Property::ConfirmedLost, config);
+    assert_violation_found(Mutation::FenceTermCompared, Property::ConfirmedLost, config);
 }
 
 // Symptom: a confirmed write is gone after a promotion.
@@ -58,7 +58,7 @@
 // Cause: one instance need not hold what a majority holds.
 #[test]
 fn one_fenced_instance_is_too_few() {
-    noticed(Mutation::OneFenced, Property::ConfirmedLost, BASIC);
+    assert_violation_found(Mutation::OneFencedInstance, Property::ConfirmedLost, BASIC);
 }
 
 // Symptom: a confirmed write is gone after a second promotion.
@@ -66,7 +66,11 @@
 // Cause: the replica takes a log of a lower term and cuts off the confirmed write.
 #[test]
 fn log_of_a_lower_term_must_be_refused() {
-    noticed(Mutation::ShippedToFenced, Property::ConfirmedLost, BASIC);
+    assert_violation_found(
+        Mutation::LowerTermLogAccepted,
+        Property::ConfirmedLost,
+        BASIC,
+    );
 }
 
 // Symptom: a write is confirmed though the new primary never had it.
@@ -74,7 +78,7 @@
 // Cause: a higher stamp of another term says nothing about the record.
 #[test]
 fn stamp_of_a_later_term_confirms_nothing() {
-    noticed(Mutation::LaterTermConfirms, Property::ConfirmedLost, BASIC);
+    assert_violation_found(Mutation::LaterTermConfirms, Property::ConfirmedLost, BASIC);
 }
 
 // Symptom: a write of term 1 is confirmed and missing from the primary of term 2, whose
@@ -84,7 +88,11 @@
 // Cause: a replica fenced at term 3 may have the write from the primary of term 3 only.
 #[test]
 fn replica_fenced_higher_confirms_nothing() {
-    noticed(Mutation::FencedConfirms, Property::ConfirmedLost, BASIC);
+    assert_violation_found(
+        Mutation::HigherFenceConfirms,
+        Property::ConfirmedLost,
+        BASIC,
+    );
 }
 
 // Symptom: a confirmed write is gone after a promotion.
@@ -92,7 +100,11 @@
 // Cause: the write was on no majority.
 #[test]
 fn primary_alone_confirms_nothing() {
-    noticed(Mutation::PrimaryConfirms, Property::ConfirmedLost, BASIC);
+    assert_violation_found(
+        Mutation::PrimaryAloneConfirms,
+        Property::ConfirmedLost,
+        BASIC,
+    );
 }
 
 // Symptom: a read misses a write that was confirmed before it.
@@ -100,7 +112,7 @@
 // Cause: one instance need not hold what a majority holds.
 #[test]
 fn one_sampled_instance_is_too_few() {
-    noticed(Mutation::OneSampled, Property::ReadMisses, READER);
+    assert_violation_found(Mutation::OneSampledInstance, Property::ReadMisses, READER);
 }
 
 // Symptom: two instances lead one term.
@@ -109,10 +121,10 @@
 #[test]
 fn promoters_must_not_share_a_term() {
     let config = config::Config {
-        reserved: [2, 2],
+        reserved_terms: [2, 2],
         ..BASIC
     };
-    noticed(
+    assert_violation_found(
         Mutation::TermShared,
         Property::TermSharedByPrimaries,
         config,
@@ -124,8 +136,8 @@
 // first call arrives after all.
 // Cause: the term was used for two promotions.
 #[test]
-fn term_is_spent_by_a_lost_answer() {
-    noticed(Mutation::TermReused, Property::TermSharedByPrimaries, BASIC);
+fn term_is_not_reused_after_a_lost_answer() {
+    assert_violation_found(Mutation::TermReused, Property::TermSharedByPrimaries, BASIC);
 }
 
 // Symptom: a confirmed write is gone after a promotion.
@@ -133,7 +145,7 @@
 // Cause: an empty instance counted towards the majority.
 #[test]
 fn instance_without_its_log_has_no_vote() {
-    noticed(Mutation::WipedVotes, Property::ConfirmedLost, LOSS);
+    assert_violation_found(Mutation::EmptyInstanceVotes, Property::ConfirmedLost, LOSS);
 }
 
 // Symptom: a write of a replaced primary is confirmed and missing from the new one.
@@ -141,7 +153,7 @@
 // Cause: with its fence it forgot that it must refuse that primary's log.
 #[test]
 fn copied_log_gives_no_vote() {
-    noticed(Mutation::CopiedVotes, Property::ConfirmedLost, LOSS);
+    assert_violation_found(Mutation::CopiedLogVotes, Property::ConfirmedLost, LOSS);
 }
 
 // Symptom: as above.
@@ -150,7 +162,7 @@
 // Cause: that no other instance is fenced higher yet proves nothing about calls on their way.
 #[test]
 fn unfenced_witnesses_give_no_vote() {
-    noticed(Mutation::WitnessedVotes, Property::ConfirmedLost, LOSS);
+    assert_violation_found(Mutation::WitnessedCopyVotes, Property::ConfirmedLost, LOSS);
 }
 
 // Symptom: a confirmed write is gone after a promotion.
@@ -158,7 +170,11 @@
 // Cause: the promotion call looks at the fence only.
 #[test]
 fn instance_without_its_log_refuses_promotion() {
-    noticed(Mutation::WipedPromoted, Property::ConfirmedLost, LOSS);
+    assert_violation_found(
+        Mutation::EmptyInstancePromoted,
+        Property::ConfirmedLost,
+        LOSS,
+    );
 }
 
 // Symptom: a read misses a write that was confirmed before it.
@@ -171,7 +187,7 @@
         extras: &[Extra::Reader, Extra::SlowProbes],
         ..READER
     };
-    noticed(Mutation::FinishedCompared, Property::ReadMisses, config);
+    assert_violation_found(Mutation::AnswerTimeCompared, Property::ReadMisses, config);
 }
 
 // Symptom: a read misses the record of its token.
@@ -180,7 +196,7 @@
 #[test]
 fn stamp_of_an_earlier_incarnation_is_void() {
     let config = config::Config { wipes: 1, ..READER };
-    noticed(Mutation::IncarnationIgnored, Property::TokenMisses, config);
+    assert_violation_found(Mutation::IncarnationIgnored, Property::TokenMisses, config);
 }
 
 // Symptom: a write reported as not run is in a log.
@@ -188,7 +204,11 @@
 // Cause: only what was never sent, or was refused, is surely not run.
 #[test]
 fn lost_answer_is_not_a_refusal() {
-    noticed(Mutation::LostReported, Property::NotRunFound, BASIC);
+    assert_violation_found(
+        Mutation::LostAnswerReportedNotRun,
+        Property::NotRunFound,
+        BASIC,
+    );
 }
 
 // Symptom: a write is in a log twice.
@@ -196,7 +216,7 @@
 // Cause: a write whose outcome is unknown must not be repeated.
 #[test]
 fn unknown_write_is_not_repeated() {
-    noticed(Mutation::LostRetried, Property::RunTwice, BASIC);
+    assert_violation_found(Mutation::LostAnswerRetried, Property::RunTwice, BASIC);
 }
 
 // Symptom: a write of a replaced primary is confirmed and missing from the new one.
@@ -204,7 +224,7 @@
 // Cause: its fence was not durable. The upstream has to see to this.
 #[test]
 fn fence_must_be_durable() {
-    noticed(Mutation::FenceForgotten, Property::ConfirmedLost, RESTART);
+    assert_violation_found(Mutation::FenceForgotten, Property::ConfirmedLost, RESTART);
 }
 
 // Symptom: a confirmed write is gone.
@@ -212,5 +232,9 @@
 // Cause: the record was not durable. The upstream has to see to this.
 #[test]
 fn reported_records_must_be_durable() {
-    noticed(Mutation::RecordForgotten, Property::ConfirmedLost, RESTART);
+    assert_violation_found(
+        Mutation::LastRecordForgotten,
+        Property::ConfirmedLost,
+        RESTART,
+    );
 }
--- a/tests/model/claims.rs
+++ b/tests/model/claims.rs
@@ -8,13 +8,13 @@
 use pathfinding::prelude::bfs_reach;
 
 /// Claims of each claimant.
-const CLAIMS: u8 = 2;
+const CLAIMS_PER_CLAIMANT: u8 = 2;
 
 /// A broken variant of the loop.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Broken {
+enum Defect {
     /// Nothing is broken.
-    Nothing,
+    None,
     /// The store takes a value whatever version it replaces.
     SwapWithoutVersion,
     /// A lost answer is taken for success.
@@ -27,7 +27,7 @@
     /// About to read the record.
     Reading,
     /// Has read the record at a version.
-    Read {
+    Swapping {
         next: id::Term,
         latest: Option<(id::Term, term::Attempt)>,
         version: u8,
@@ -41,9 +41,9 @@
     latest: Option<(id::Term, term::Attempt)>,
     version: u8,
     phases: [Phase; 2],
-    claims: [u8; 2],
-    losses: u8,
-    handed: Vec<id::Term>,
+    completed_claims: [u8; 2],
+    remaining_losses: u8,
+    granted_terms: Vec<id::Term>,
 }
 
 impl State {
@@ -53,21 +53,21 @@
             latest: None,
             version: 1,
             phases: [Phase::Reading; 2],
-            claims: [0; 2],
-            losses: 3,
-            handed: Vec::new(),
+            completed_claims: [0; 2],
+            remaining_losses: 3,
+            granted_terms: Vec::new(),
         }
     }
 
-    fn hand(&mut self, who: usize, term: id::Term) {
-        self.handed.push(term);
-        self.handed.sort_unstable();
-        self.claims[who] += 1;
-        self.phases[who] = Phase::Reading;
+    fn grant(&mut self, claimant: usize, term: id::Term) {
+        self.granted_terms.push(term);
+        self.granted_terms.sort_unstable();
+        self.completed_claims[claimant] += 1;
+        self.phases[claimant] = Phase::Reading;
     }
 
-    fn shared(&self) -> bool {
-        self.handed.windows(2).any(|pair| pair[0] == pair[1])
+    fn has_duplicate_term(&self) -> bool {
+        self.granted_terms.windows(2).any(|pair| pair[0] == pair[1])
     }
 }
 
@@ -79,27 +79,27 @@
     }
 }
 
-fn successors(state: &State, broken: Broken) -> Vec<State> {
+fn successors(state: &State, defect: Defect) -> Vec<State> {
     (0..2)
-        .filter(|who| state.claims[*who] < CLAIMS)
-        .flat_map(|who| match state.phases[who] {
-            Phase::Reading => vec![read(state, who)],
-            Phase::Read {
+        .filter(|claimant| state.completed_claims[*claimant] < CLAIMS_PER_CLAIMANT)
+        .flat_map(|claimant| match state.phases[claimant] {
+            Phase::Reading => vec![read_record(state, claimant)],
+            Phase::Swapping {
                 next,
                 latest,
                 version,
-            } => swaps(state, who, &record(next, latest), version, broken),
+            } => swap_outcomes(state, claimant, &record(next, latest), version, defect),
         })
         .collect()
 }
 
 /// Reads the record, which settles a claim whose answer was lost if it shows.
-fn read(state: &State, who: usize) -> State {
+fn read_record(state: &State, claimant: usize) -> State {
     let mut after = state.clone();
-    match record(state.next, state.latest).term_of(attempt(state, who)) {
-        Some(term) => after.hand(who, term),
+    match record(state.next, state.latest).term_of(attempt(state, claimant)) {
+        Some(term) => after.grant(claimant, term),
         None => {
-            after.phases[who] = Phase::Read {
+            after.phases[claimant] = Phase::Swapping {
                 next: state.next,
                 latest: state.latest,
                 version: state.version,
@@ -110,17 +110,17 @@
 }
 
 /// Swaps the record: answered, or with the answer lost.
-fn swaps(
+fn swap_outcomes(
     state: &State,
-    who: usize,
-    seen: &term::Record,
+    claimant: usize,
+    record_read: &term::Record,
     version: u8,
-    broken: Broken,
+    defect: Defect,
 ) -> Vec<State> {
-    let (record, term) = seen.claim(0, attempt(state, who));
-    let stored = version == state.version || broken == Broken::SwapWithoutVersion;
+    let (record, term) = record_read.claim(0, attempt(state, claimant));
+    let stored = version == state.version || defect == Defect::SwapWithoutVersion;
     let mut swapped = state.clone();
-    swapped.phases[who] = Phase::Reading;
+    swapped.phases[claimant] = Phase::Reading;
     if stored {
         swapped.next = record.next;
         swapped.latest = record.latest;
@@ -128,13 +128,13 @@
     }
     let mut answered = swapped.clone();
     if stored {
-        answered.hand(who, term);
+        answered.grant(claimant, term);
     }
     let mut outcomes = vec![answered];
-    if state.losses > 0 {
-        swapped.losses -= 1;
-        if broken == Broken::LossTakenForSuccess {
-            swapped.hand(who, term);
+    if state.remaining_losses > 0 {
+        swapped.remaining_losses -= 1;
+        if defect == Defect::LossTakenForSuccess {
+            swapped.grant(claimant, term);
         }
         outcomes.push(swapped);
     }
@@ -142,43 +142,43 @@
 }
 
 /// Number of the present claim; every claim draws its own.
-fn attempt(state: &State, who: usize) -> term::Attempt {
-    let claim = usize::from(state.claims[who]);
-    term::Attempt::from([[1_u8, 2], [3, 4]][who][claim])
+fn attempt(state: &State, claimant: usize) -> term::Attempt {
+    let claim = usize::from(state.completed_claims[claimant]);
+    term::Attempt::from([[1_u8, 2], [3, 4]][claimant][claim])
 }
 
 /// Whether two claims can be handed one term, and how many states were visited.
-fn search(broken: Broken) -> (bool, usize) {
+fn search(defect: Defect) -> (bool, usize) {
     let mut visited = 0;
-    let shared = bfs_reach(State::new(), |state| successors(state, broken))
+    let duplicate = bfs_reach(State::new(), |state| successors(state, defect))
         .inspect(|_| visited += 1)
-        .any(|state| state.shared());
-    (shared, visited)
+        .any(|state| state.has_duplicate_term());
+    (duplicate, visited)
 }
 
 #[test]
 fn terms_are_unique() {
-    let (shared, visited) = search(Broken::Nothing);
-    println!("claims: {visited} states, exhausted {}", !shared);
-    assert!(!shared);
+    let (duplicate, visited) = search(Defect::None);
+    println!("claims: {visited} states, exhausted {}", !duplicate);
+    assert!(!duplicate);
 }
 
 // Symptom: two promoters get one term.
 // Events: both read the record, both write it.
 // Cause: the second overwrote what it had not read.
 #[test]
-fn blind_swap_is_noticed() {
-    let (shared, visited) = search(Broken::SwapWithoutVersion);
+fn swap_without_version_gives_a_term_twice() {
+    let (duplicate, visited) = search(Defect::SwapWithoutVersion);
     println!("SwapWithoutVersion: noticed after {visited} states");
-    assert!(shared);
+    assert!(duplicate);
 }
 
 // Symptom: two promoters get one term.
 // Events: one swap wins; the answer to the other, which lost, does not arrive.
 // Cause: the loser took the term without reading back.
 #[test]
-fn unproven_claim_is_noticed() {
-    let (shared, visited) = search(Broken::LossTakenForSuccess);
+fn lost_answer_taken_for_success_gives_a_term_twice() {
+    let (duplicate, visited) = search(Defect::LossTakenForSuccess);
     println!("LossTakenForSuccess: noticed after {visited} states");
-    assert!(shared);
+    assert!(duplicate);
 }
--- a/tests/model/config.rs
+++ b/tests/model/config.rs
@@ -17,9 +17,9 @@
     /// Answers to its probes may arrive late, one at a time.
     SlowProbes,
     /// Promoters may be replaced by ones that know nothing, any number of times.
-    Replacements,
+    PromoterReplacement,
     /// Promoters may name an instance to be replaced.
-    Avoidance,
+    InstanceReplacement,
     /// Terms start without an empty record.
     NoFirstRecord,
 }
@@ -41,11 +41,11 @@
     /// Number of writes.
     pub writes: u8,
     /// Term that each promoter has claimed in advance; 0 for none.
-    pub reserved: [u8; state::PROMOTERS],
+    pub reserved_terms: [u8; state::PROMOTERS],
     /// Promoters that may also claim from the store.
-    pub claimants: usize,
+    pub claiming_promoters: usize,
     /// Highest term that the store gives out.
-    pub terms: u8,
+    pub max_term: u8,
     /// Instances that may lose their log.
     pub wipes: u8,
     /// When these count as voters again.
@@ -57,7 +57,7 @@
     /// The broken rule, if any.
     pub mutation: Option<mutation::Mutation>,
     /// States after which the search gives up.
-    pub limit: usize,
+    pub max_states: usize,
 }
 
 impl Config {
@@ -66,25 +66,25 @@
         Self {
             name,
             writes: 1,
-            reserved: [2, 3],
-            claimants: 0,
-            terms: 3,
+            reserved_terms: [2, 3],
+            claiming_promoters: 0,
+            max_term: 3,
             wipes: 0,
             readmission: Readmission::LaterTerm,
             restarts: 0,
             extras: &[],
             mutation: None,
-            limit: 3_000_000,
+            max_states: 3_000_000,
         }
     }
 
     /// Whether the given rule is the broken one.
-    pub fn broken(&self, mutation: mutation::Mutation) -> bool {
+    pub fn has_mutation(&self, mutation: mutation::Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
     /// Whether the search includes something.
-    pub fn has(&self, extra: Extra) -> bool {
+    pub fn includes(&self, extra: Extra) -> bool {
         self.extras.contains(&extra)
     }
 }
--- a/tests/model/log.rs
+++ b/tests/model/log.rs
@@ -3,7 +3,7 @@
 use mangotray::stamp;
 
 /// Most records of a log in any configuration.
-const CAPACITY: usize = 6;
+const MAX_RECORDS: usize = 6;
 
 /// One record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -17,7 +17,7 @@
 /// A sequence of records.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Log {
-    records: [Record; CAPACITY],
+    records: [Record; MAX_RECORDS],
     len: u8,
 }
 
@@ -55,13 +55,13 @@
     }
 
     /// Number of leading records that both logs have.
-    pub fn common(&self, other: &Self) -> u8 {
-        let same = self
+    pub fn common_len(&self, other: &Self) -> u8 {
+        let shared_records = self
             .records()
             .iter()
             .zip(other.records())
             .take_while(|(mine, theirs)| mine == theirs);
-        u8::try_from(same.count()).expect("logs are short")
+        u8::try_from(shared_records.count()).expect("logs are short")
     }
 
     /// How often a write is in the log.
--- a/tests/model/next.rs
+++ b/tests/model/next.rs
@@ -14,174 +14,180 @@
     config: &config::Config,
     rules: &rules::Rules,
 ) -> Vec<(step::Step, state::State)> {
-    let mut next = Next {
+    let mut expansion = Expansion {
         state,
         config,
         rules,
-        found: Vec::with_capacity(32),
+        successors: Vec::with_capacity(32),
     };
-    next.writes();
-    next.ships();
-    next.confirmations();
-    next.promoters();
-    next.calls();
-    next.faults();
-    if config.has(Extra::Reader) {
-        next.reads();
+    expansion.add_writes();
+    expansion.add_replication();
+    expansion.add_confirmations();
+    expansion.add_promoter_steps();
+    expansion.add_unanswered_calls();
+    expansion.add_faults();
+    if config.includes(Extra::Reader) {
+        expansion.add_reads();
     }
-    next.found
+    expansion.successors
 }
 
 /// The steps out of one state.
-pub struct Next<'a> {
+pub struct Expansion<'a> {
     /// The state.
     pub state: &'a state::State,
     /// What is included.
     pub config: &'a config::Config,
     /// The proxies' rules.
     pub rules: &'a rules::Rules,
-    found: Vec<(step::Step, state::State)>,
+    successors: Vec<(step::Step, state::State)>,
 }
 
-impl Next<'_> {
+impl Expansion<'_> {
     /// Adds a step if it changes anything.
     pub fn add(&mut self, step: step::Step, change: impl FnOnce(&mut state::State)) {
         let mut after = *self.state;
         change(&mut after);
         if after != *self.state {
-            self.found.push((step, after));
+            self.successors.push((step, after));
         }
     }
 
-    fn writes(&mut self) {
+    fn add_writes(&mut self) {
         let Some(slot) = self
             .state
             .writes
             .iter()
             .position(|write| *write == state::Write::New)
         else {
-            return self.retries();
+            return self.add_retries();
         };
-        let write = step::number(slot);
+        let write = step::write_number(slot);
         if write <= self.config.writes {
-            for on in step::indices() {
-                self.write(write, on);
+            for index in step::indices() {
+                self.add_write(write, index);
             }
         }
-        self.retries();
+        self.add_retries();
     }
 
-    fn write(&mut self, write: u8, on: u8) {
+    fn add_write(&mut self, write: u8, index: u8) {
         let slot = usize::from(write - 1);
-        let mut instance = self.state.instances[usize::from(on)];
+        let mut instance = self.state.instances[usize::from(index)];
         if let Some(stamp) = instance.write(write) {
             let place = state::Place {
-                term: step::narrow(stamp.term),
-                position: step::narrow(stamp.position),
-                primary: on,
+                term: step::to_u8(stamp.term),
+                position: step::to_u8(stamp.position),
+                primary: index,
             };
-            self.add(step::Step::Write { write, on }, |after| {
-                after.instances[usize::from(on)] = instance;
+            self.add(step::Step::Write { write, index }, |after| {
+                after.instances[usize::from(index)] = instance;
                 after.writes[slot] = state::Write::Answered(place);
             });
-            if self.config.broken(Mutation::LostReported) {
-                self.add(step::Step::WriteLost { write, on }, |after| {
-                    after.instances[usize::from(on)] = instance;
+            if self.config.has_mutation(Mutation::LostAnswerReportedNotRun) {
+                self.add(step::Step::WriteLost { write, index }, |after| {
+                    after.instances[usize::from(index)] = instance;
                     after.writes[slot] = state::Write::NotRun;
                 });
             }
-        } else if self.config.has(Extra::Refusals) {
-            self.add(step::Step::Refuse { write, on }, |after| {
+        } else if self.config.includes(Extra::Refusals) {
+            self.add(step::Step::Refuse { write, index }, |after| {
                 after.writes[slot] = state::Write::NotRun;
             });
         }
     }
 
     /// Sends writes again whose answer was taken for lost.
-    fn retries(&mut self) {
-        if !self.config.broken(Mutation::LostRetried) {
+    fn add_retries(&mut self) {
+        if !self.config.has_mutation(Mutation::LostAnswerRetried) {
             return;
         }
         for (slot, known) in self.state.writes.iter().enumerate() {
             if matches!(known, state::Write::Answered(_)) {
-                step::indices().for_each(|on| self.write(step::number(slot), on));
+                step::indices().for_each(|index| self.add_write(step::write_number(slot), index));
             }
         }
     }
 
-    fn ships(&mut self) {
+    fn add_replication(&mut self) {
         for (from, to) in step::indices().flat_map(|from| step::indices().map(move |to| (from, to)))
         {
             let source = self.state.instances[usize::from(from)];
             let target = self.state.instances[usize::from(to)];
-            let refused = target.fence > source.led || target.led == source.led;
-            let broken = self.config.broken(Mutation::ShippedToFenced) && !target.leads();
-            if source.led == 0 || from == to || (refused && !broken) {
+            let out_of_date =
+                target.fence > source.last_led_term || target.last_led_term == source.last_led_term;
+            let accepted_anyway =
+                self.config.has_mutation(Mutation::LowerTermLogAccepted) && !target.is_primary();
+            if source.last_led_term == 0 || from == to || (out_of_date && !accepted_anyway) {
                 continue;
             }
-            let target = self.shipped(&source, target);
+            let target = self.after_shipping(&source, target);
             self.add(step::Step::Ship { from, to }, |after| {
                 after.instances[usize::from(to)] = target;
             });
         }
     }
 
-    fn shipped(
+    fn after_shipping(
         &self,
         source: &instance::Instance,
         mut target: instance::Instance,
     ) -> instance::Instance {
-        target.fence(source.led);
+        target.raise_fence(source.last_led_term);
         target.follow(source);
-        if self.readmitted(source, &target) {
-            target.barrier = 0;
+        if self.regains_vote(source, &target) {
+            target.readmission_term = 0;
         }
         target
     }
 
-    fn readmitted(&self, source: &instance::Instance, target: &instance::Instance) -> bool {
+    fn regains_vote(&self, source: &instance::Instance, target: &instance::Instance) -> bool {
         let copied = target.log == source.log;
         let instances = &self.state.instances;
         match (self.config.mutation, self.config.readmission) {
-            (Some(Mutation::CopiedVotes), _) => copied,
-            (Some(Mutation::WitnessedVotes), _) => {
+            (Some(Mutation::CopiedLogVotes), _) => copied,
+            (Some(Mutation::WitnessedCopyVotes), _) => {
                 let mut fences = instances.iter().map(|instance| instance.fence);
-                copied && fences.all(|fence| fence <= source.led)
+                copied && fences.all(|fence| fence <= source.last_led_term)
+            }
+            (_, config::Readmission::LaterTerm) => target.log.term() > target.readmission_term,
+            (_, config::Readmission::KeptFence) => {
+                copied && source.last_led_term >= target.readmission_term
             }
-            (_, config::Readmission::LaterTerm) => target.log.term() > target.barrier,
-            (_, config::Readmission::KeptFence) => copied && source.led >= target.barrier,
         }
     }
 
-    fn confirmations(&mut self) {
+    fn add_confirmations(&mut self) {
         for (slot, known) in self.state.writes.iter().enumerate() {
             let state::Write::Answered(place) = *known else {
                 continue;
             };
-            let write = step::number(slot);
+            let write = step::write_number(slot);
             let confirm = |after: &mut state::State| {
                 after.writes[slot] = state::Write::Confirmed(place);
             };
-            for by in step::indices() {
-                let view = self.view(by);
-                if self.rules.confirmed(place, by, view) {
-                    self.add(step::Step::Confirm { write, by }, confirm);
+            for index in step::indices() {
+                let view = self.view(index);
+                if self.rules.confirms(place, index, view) {
+                    self.add(step::Step::Confirm { write, index }, confirm);
                 }
             }
-            if let Some(stale) = self.state.stale
-                && self.rules.confirmed(place, stale.index, stale.view)
+            if let Some(status) = self.state.kept_status
+                && self.rules.confirms(place, status.index, status.view)
             {
                 self.add(step::Step::ConfirmKept { write }, confirm);
             }
         }
-        if self.config.has(Extra::StaleStatus) {
-            for of in step::indices() {
-                let kept = state::Kept {
-                    index: of,
-                    view: self.view(of).reduced(),
+        if self.config.includes(Extra::StaleStatus) {
+            for index in step::indices() {
+                let answer = state::Answer {
+                    index,
+                    view: self.view(index).promotion_view(),
                     started: 0,
                 };
-                self.add(step::Step::Keep { of }, |after| after.stale = Some(kept));
+                self.add(step::Step::Keep { index }, |after| {
+                    after.kept_status = Some(answer);
+                });
             }
         }
     }
@@ -191,46 +197,46 @@
         self.state.instances[usize::from(index)].view()
     }
 
-    fn faults(&mut self) {
-        let replaced = self.config.has(Extra::Replacements);
-        let fresh = self.rules.fresh();
-        for promoter in (0..).take(state::PROMOTERS).filter(|_| replaced) {
+    fn add_faults(&mut self) {
+        let replaceable = self.config.includes(Extra::PromoterReplacement);
+        let new_machine = self.rules.new_machine();
+        for promoter in (0..).take(state::PROMOTERS).filter(|_| replaceable) {
             self.add(step::Step::Replace { promoter }, |after| {
-                after.machines[usize::from(promoter)] = fresh;
-                after.reserved[usize::from(promoter)] = 0;
-                after.late[usize::from(promoter)] = None;
+                after.machines[usize::from(promoter)] = new_machine;
+                after.reserved_terms[usize::from(promoter)] = 0;
+                after.late_answers[usize::from(promoter)] = None;
             });
         }
-        for on in step::indices() {
-            if self.state.wipes > 0 {
-                let barrier = match self.config.readmission {
-                    config::Readmission::LaterTerm => self.state.claimed,
+        for index in step::indices() {
+            if self.state.remaining_wipes > 0 {
+                let readmission_term = match self.config.readmission {
+                    config::Readmission::LaterTerm => self.state.highest_claimed_term,
                     config::Readmission::KeptFence => {
-                        let instance = self.state.instances[usize::from(on)];
-                        instance.fence.max(instance.barrier)
+                        let instance = self.state.instances[usize::from(index)];
+                        instance.fence.max(instance.readmission_term)
                     }
                 };
-                self.add(step::Step::Wipe { on }, |after| {
-                    after.instances[usize::from(on)].wipe(barrier);
-                    after.wipes -= 1;
+                self.add(step::Step::Wipe { index }, |after| {
+                    after.instances[usize::from(index)].wipe(readmission_term);
+                    after.remaining_wipes -= 1;
                 });
             }
-            if self.state.restarts > 0 {
-                let instance = self.restarted(self.state.instances[usize::from(on)]);
-                self.add(step::Step::Restart { on }, |after| {
-                    after.instances[usize::from(on)] = instance;
-                    after.restarts -= 1;
+            if self.state.remaining_restarts > 0 {
+                let instance = self.after_restart(self.state.instances[usize::from(index)]);
+                self.add(step::Step::Restart { index }, |after| {
+                    after.instances[usize::from(index)] = instance;
+                    after.remaining_restarts -= 1;
                 });
             }
         }
     }
 
-    fn restarted(&self, mut instance: instance::Instance) -> instance::Instance {
+    fn after_restart(&self, mut instance: instance::Instance) -> instance::Instance {
         instance.incarnation += 1;
-        if self.config.broken(Mutation::FenceForgotten) {
+        if self.config.has_mutation(Mutation::FenceForgotten) {
             instance.fence = instance.log.term();
         }
-        if self.config.broken(Mutation::RecordForgotten) {
+        if self.config.has_mutation(Mutation::LastRecordForgotten) {
             instance.log.truncate(instance.log.len().saturating_sub(1));
         }
         instance
--- a/tests/model/property.rs
+++ b/tests/model/property.rs
@@ -27,12 +27,12 @@
 }
 
 /// The first property that the state violates.
-pub fn violated(state: &state::State, rules: &rules::Rules) -> Option<Property> {
+pub fn first_violation(state: &state::State, rules: &rules::Rules) -> Option<Property> {
     let checks = [
-        (Property::ConfirmedLost, lost(state)),
-        (Property::RunTwice, twice(state)),
-        (Property::TermSharedByPrimaries, shared(state)),
-        (Property::NotRunFound, not_run(state)),
+        (Property::ConfirmedLost, confirmed_write_lost(state)),
+        (Property::RunTwice, write_run_twice(state)),
+        (Property::TermSharedByPrimaries, term_shared(state)),
+        (Property::NotRunFound, not_run_write_found(state)),
         (Property::ReadMisses, read_misses(state, rules)),
         (Property::TokenMisses, token_misses(state, rules)),
     ];
@@ -49,7 +49,7 @@
     state
         .instances
         .iter()
-        .filter(|instance| instance.leads() && Some(instance.fence) == top)
+        .filter(|instance| instance.is_primary() && Some(instance.fence) == top)
         .any(|leader| {
             let stamps = state.instances.iter().map(|instance| instance.log.stamp());
             stamps.max() > Some(leader.log.stamp())
@@ -64,25 +64,25 @@
             return false;
         };
         let mut instances = state.instances.iter();
-        let replaced = instances.any(|other| other.leads() && other.fence > place.term);
+        let replaced = instances.any(|other| other.is_primary() && other.fence > place.term);
         replaced
             && (0..)
                 .zip(state.instances)
-                .any(|(by, instance)| rules.confirmed(place, by, instance.view()))
+                .any(|(index, instance)| rules.confirms(place, index, instance.view()))
     })
 }
 
-fn lost(state: &state::State) -> bool {
+fn confirmed_write_lost(state: &state::State) -> bool {
     state.confirmed().any(|(write, place)| {
         state
             .instances
             .iter()
-            .filter(|instance| instance.leads() && instance.fence >= place.term)
-            .any(|instance| !holds(instance, write, place))
+            .filter(|instance| instance.is_primary() && instance.fence >= place.term)
+            .any(|instance| !holds_write(instance, write, place))
     })
 }
 
-fn twice(state: &state::State) -> bool {
+fn write_run_twice(state: &state::State) -> bool {
     writes().any(|write| {
         state
             .instances
@@ -91,14 +91,17 @@
     })
 }
 
-fn shared(state: &state::State) -> bool {
-    state.reigns.iter().any(|reign| reign.count_ones() > 1)
+fn term_shared(state: &state::State) -> bool {
+    state
+        .primaries_by_term
+        .iter()
+        .any(|primaries| primaries.count_ones() > 1)
 }
 
-fn not_run(state: &state::State) -> bool {
+fn not_run_write_found(state: &state::State) -> bool {
     writes()
         .zip(state.writes)
-        .filter(|(_, known)| *known == state::Write::NotRun)
+        .filter(|(_, outcome)| *outcome == state::Write::NotRun)
         .any(|(write, _)| {
             state
                 .instances
@@ -109,20 +112,20 @@
 
 fn read_misses(state: &state::State, rules: &rules::Rules) -> bool {
     let reader = &state.reader;
-    if !reader.arrived {
+    if !reader.read_arrived {
         return false;
     }
     let Some(floor) = rules.floor(reader) else {
         return false;
     };
     state.instances.iter().enumerate().any(|(index, instance)| {
-        let owed = state
+        let required_writes = state
             .confirmed()
-            .filter(|(write, _)| reader.owed & bit(*write) != 0);
-        rules.serves(reader, index, floor, instance.incarnation)
-            && owed
+            .filter(|(write, _)| reader.required_writes & write_bit(*write) != 0);
+        rules.may_serve(reader, index, floor, instance.incarnation)
+            && required_writes
                 .into_iter()
-                .any(|(write, place)| !holds(instance, write, place))
+                .any(|(write, place)| !holds_write(instance, write, place))
     })
 }
 
@@ -130,13 +133,13 @@
     state.confirmed().any(|(write, place)| {
         state.instances.iter().enumerate().any(|(index, instance)| {
             let token = place.stamp();
-            !holds(instance, write, place)
-                && rules.serves(&state.reader, index, token, instance.incarnation)
+            !holds_write(instance, write, place)
+                && rules.may_serve(&state.reader, index, token, instance.incarnation)
         })
     })
 }
 
-fn holds(instance: &instance::Instance, write: u8, place: state::Place) -> bool {
+fn holds_write(instance: &instance::Instance, write: u8, place: state::Place) -> bool {
     let record = log::Record {
         term: place.term,
         write,
@@ -149,6 +152,6 @@
 }
 
 /// The bit of a write's number, from 1.
-pub fn bit(write: u8) -> u8 {
+pub fn write_bit(write: u8) -> u8 {
     1 << (write - 1)
 }
--- a/tests/model/reading.rs
+++ b/tests/model/reading.rs
@@ -1,61 +1,62 @@
 //! Steps of the proxy that serves reads.
 
 use crate::config::Extra;
-use crate::next::Next;
+use crate::next::Expansion;
 use crate::property;
 use crate::state;
 use crate::step;
 
-impl Next<'_> {
+impl Expansion<'_> {
     /// Probes, and the arrival of the read.
-    pub fn reads(&mut self) {
-        let now = u8::from(self.state.reader.arrived);
-        for of in step::indices() {
-            let kept = state::Kept {
-                index: of,
-                view: self.rules.sampled(self.view(of)),
+    pub fn add_reads(&mut self) {
+        let now = u8::from(self.state.reader.read_arrived);
+        for index in step::indices() {
+            let answer = state::Answer {
+                index,
+                view: self.rules.reader_view(self.view(index)),
                 started: now,
             };
-            self.probed(step::Step::Probe { of }, kept);
-            if self.config.has(Extra::SlowProbes) {
-                self.add(step::Step::ProbeSlow { of }, |after| {
-                    after.reader.kept = Some(kept);
+            self.add_probe(step::Step::Probe { index }, answer);
+            if self.config.includes(Extra::SlowProbes) {
+                self.add(step::Step::ProbeSlow { index }, |after| {
+                    after.reader.late_answer = Some(answer);
                 });
             }
         }
-        if let Some(kept) = self.state.reader.kept {
-            self.probed(step::Step::ProbeArrives, kept);
+        if let Some(answer) = self.state.reader.late_answer {
+            self.add_probe(step::Step::ProbeArrives, answer);
         }
-        self.read();
+        self.add_read();
     }
 
-    fn probed(&mut self, step: step::Step, kept: state::Kept) {
-        let seen = state::Seen {
-            view: kept.view,
-            started: kept.started,
-            finished: u8::from(self.state.reader.arrived),
+    fn add_probe(&mut self, step: step::Step, answer: state::Answer) {
+        let sample = state::Sample {
+            view: answer.view,
+            started: answer.started,
+            finished: u8::from(self.state.reader.read_arrived),
         };
         let mut reader = self.state.reader;
-        self.rules.answered(&mut reader, kept.index.into(), seen);
+        self.rules
+            .record_answer(&mut reader, answer.index.into(), sample);
         if step == step::Step::ProbeArrives {
-            reader.kept = None;
+            reader.late_answer = None;
         }
         self.add(step, |after| after.reader = reader);
     }
 
     /// A read that is owed nothing cannot miss anything, so it is left out.
-    fn read(&mut self) {
-        let owed = self
+    fn add_read(&mut self) {
+        let required_writes = self
             .state
             .confirmed()
-            .map(|(write, _)| property::bit(write))
+            .map(|(write, _)| property::write_bit(write))
             .sum();
-        if self.state.reader.arrived || owed == 0 {
+        if self.state.reader.read_arrived || required_writes == 0 {
             return;
         }
         self.add(step::Step::Read, |after| {
-            after.reader.arrived = true;
-            after.reader.owed = owed;
+            after.reader.read_arrived = true;
+            after.reader.required_writes = required_writes;
         });
     }
 }
--- a/tests/model/rules.rs
+++ b/tests/model/rules.rs
@@ -21,10 +21,10 @@
 pub type Handle = u32;
 
 /// Every deadline within a machine's state; time itself is not modelled.
-const DEADLINE: Duration = Duration::from_secs(1);
+const MACHINE_DEADLINE: Duration = Duration::from_secs(1);
 
 /// A time after every deadline, and after every rank's delay.
-const AFTER: Duration = Duration::from_secs(9);
+const TIME_AFTER_DEADLINES: Duration = Duration::from_secs(9);
 
 /// The proxies' rules.
 pub struct Rules {
@@ -35,7 +35,7 @@
 /// All states of promotion machines met so far, and where their events lead.
 #[derive(Default)]
 struct Machines {
-    known: Vec<promote::Machine>,
+    states: Vec<promote::Machine>,
     handles: HashMap<promote::Machine, Handle>,
     steps: HashMap<(Handle, promote::Event, bool), (Handle, Vec<promote::Action>)>,
 }
@@ -50,7 +50,7 @@
     }
 
     /// Handle of a new machine.
-    pub fn fresh(&self) -> Handle {
+    pub fn new_machine(&self) -> Handle {
         let machine = promote::Machine::new(state::INSTANCES, 0);
         self.machines.borrow_mut().handle(machine)
     }
@@ -58,14 +58,14 @@
     /// Where a machine stands.
     pub fn phase(&self, handle: Handle) -> promote::Phase {
         let machines = self.machines.borrow();
-        machines.known[handle as usize].phase().clone()
+        machines.states[handle as usize].phase().clone()
     }
 
     /// Gives an event to a machine before any of its deadlines.
     pub fn step(&self, handle: Handle, event: promote::Event) -> (Handle, Vec<promote::Action>) {
         let event = match event {
             promote::Event::Fenced(index, status) => {
-                promote::Event::Fenced(index, self.told(status))
+                promote::Event::Fenced(index, self.mutated_status(status))
             }
             other => other,
         };
@@ -80,8 +80,11 @@
 
     /// Lets a machine suspect the primary, to replace `avoid` if given, and ask for a
     /// term; says above which.
-    pub fn suspect(&self, handle: Handle, avoid: Option<u8>) -> (Handle, id::Term) {
-        let named = self.machines.borrow_mut().avoid(handle, avoid);
+    pub fn suspect(&self, handle: Handle, replaced_instance: Option<u8>) -> (Handle, id::Term) {
+        let named = self
+            .machines
+            .borrow_mut()
+            .set_replaced(handle, replaced_instance);
         let (waiting, _) = match self.phase(named) {
             promote::Phase::Idle => self.timeout(named),
             _ => (named, Vec::new()),
@@ -94,18 +97,18 @@
     }
 
     /// Whether a probe's answer confirms a write.
-    pub fn confirmed(&self, place: state::Place, index: u8, view: instance::View) -> bool {
-        let alone = self.config.broken(Mutation::PrimaryConfirms);
+    pub fn confirms(&self, place: state::Place, index: u8, view: instance::View) -> bool {
+        let alone = self.config.has_mutation(Mutation::PrimaryAloneConfirms);
         if alone {
             return board::Board::new(1).confirmed(place.stamp(), 0, Duration::ZERO);
         }
-        let mut status = self.told(view.status());
+        let mut status = self.mutated_status(view.status());
         let later = status.stamp.term > place.stamp().term;
-        if later && self.config.broken(Mutation::LaterTermConfirms) {
+        if later && self.config.has_mutation(Mutation::LaterTermConfirms) {
             status.stamp = place.stamp();
             status.fence = place.term.into();
         }
-        if self.config.broken(Mutation::FencedConfirms) {
+        if self.config.has_mutation(Mutation::HigherFenceConfirms) {
             status.fence = status.stamp.term;
         }
         let mut board = board::Board::new(state::INSTANCES);
@@ -114,47 +117,47 @@
     }
 
     /// What the reading proxy keeps of a probe's answer.
-    pub fn sampled(&self, view: instance::View) -> instance::View {
-        if self.config.broken(Mutation::FenceTermCompared) {
+    pub fn reader_view(&self, view: instance::View) -> instance::View {
+        if self.config.has_mutation(Mutation::FenceTermCompared) {
             return view;
         }
-        view.sampled()
+        view.read_view()
     }
 
     /// Notes a probe's answer on the reading proxy's board.
-    pub fn answered(&self, reader: &mut state::Reader, index: usize, seen: state::Seen) {
-        let mut board = self.board(&reader.seen);
-        let observation = self.observation(seen);
+    pub fn record_answer(&self, reader: &mut state::Reader, index: usize, sample: state::Sample) {
+        let mut board = self.board(&reader.samples);
+        let observation = self.observation(sample);
         board.record_answer(index, observation);
         if board.instances()[index].last == Some(observation) {
-            reader.seen[index] = Some(seen);
+            reader.samples[index] = Some(sample);
         }
     }
 
     /// Stamp that a read which carries nothing must see.
     pub fn floor(&self, reader: &state::Reader) -> Option<stamp::Stamp> {
-        let arrived = id::Time::from_secs(1);
-        if self.config.broken(Mutation::OneSampled) {
-            return reader.seen.iter().flatten().find_map(|seen| {
+        let read_arrived = id::Time::from_secs(1);
+        if self.config.has_mutation(Mutation::OneSampledInstance) {
+            return reader.samples.iter().flatten().find_map(|sample| {
                 let mut board = board::Board::new(1);
-                board.record_answer(0, self.observation(*seen));
-                board.floor(arrived)
+                board.record_answer(0, self.observation(*sample));
+                board.floor(read_arrived)
             });
         }
-        self.board(&reader.seen).floor(arrived)
+        self.board(&reader.samples).floor(read_arrived)
     }
 
     /// Whether the instance may serve a read that must see `floor`.
-    pub fn serves(
+    pub fn may_serve(
         &self,
         reader: &state::Reader,
         index: usize,
         floor: stamp::Stamp,
-        now: u8,
+        incarnation: u8,
     ) -> bool {
-        let stamp = reader.seen[index]
-            .filter(|seen| self.same(seen.view.incarnation, now))
-            .map(|seen| self.told(seen.view.status()).stamp);
+        let stamp = reader.samples[index]
+            .filter(|sample| self.incarnation_matches(sample.view.incarnation, incarnation))
+            .map(|sample| self.mutated_status(sample.view.status()).stamp);
         let candidate = route::Candidate {
             index,
             stamp,
@@ -166,35 +169,39 @@
         route::read(floor, None, &[candidate]).is_some()
     }
 
-    fn same(&self, seen: u8, now: u8) -> bool {
-        seen == now || self.config.broken(Mutation::IncarnationIgnored)
+    fn incarnation_matches(&self, sampled: u8, current: u8) -> bool {
+        sampled == current || self.config.has_mutation(Mutation::IncarnationIgnored)
     }
 
-    fn board(&self, seen: &[Option<state::Seen>; state::INSTANCES]) -> board::Board {
+    fn board(&self, samples: &[Option<state::Sample>; state::INSTANCES]) -> board::Board {
         let mut board = board::Board::new(state::INSTANCES);
-        for (index, seen) in seen.iter().enumerate() {
-            if let Some(seen) = seen {
-                board.record_answer(index, self.observation(*seen));
+        for (index, sample) in samples.iter().enumerate() {
+            if let Some(sample) = sample {
+                board.record_answer(index, self.observation(*sample));
             }
         }
         board
     }
 
-    fn observation(&self, seen: state::Seen) -> board::Observation {
-        let started = if self.config.broken(Mutation::FinishedCompared) {
-            seen.finished
+    fn observation(&self, sample: state::Sample) -> board::Observation {
+        let started = if self.config.has_mutation(Mutation::AnswerTimeCompared) {
+            sample.finished
         } else {
-            seen.started
+            sample.started
         };
-        observation(started, seen.finished, self.told(seen.view.status()))
+        observation(
+            started,
+            sample.finished,
+            self.mutated_status(sample.view.status()),
+        )
     }
 
     /// The status as a broken rule reads it.
-    fn told(&self, mut status: status::Status) -> status::Status {
-        if self.config.broken(Mutation::FenceTermCompared) {
+    fn mutated_status(&self, mut status: status::Status) -> status::Status {
+        if self.config.has_mutation(Mutation::FenceTermCompared) {
             status.stamp.term = status.fence;
         }
-        if self.config.broken(Mutation::WipedVotes) {
+        if self.config.has_mutation(Mutation::EmptyInstanceVotes) {
             status.voter = true;
         }
         status
@@ -211,16 +218,16 @@
 
 impl Machines {
     fn handle(&mut self, machine: promote::Machine) -> Handle {
-        let next = Handle::try_from(self.known.len()).expect("few machine states");
-        let known = &mut self.known;
+        let next = Handle::try_from(self.states.len()).expect("few machine states");
+        let states = &mut self.states;
         *self.handles.entry(machine).or_insert_with_key(|machine| {
-            known.push(machine.clone());
+            states.push(machine.clone());
             next
         })
     }
 
-    fn avoid(&mut self, handle: Handle, index: Option<u8>) -> Handle {
-        let mut machine = self.known[handle as usize].clone();
+    fn set_replaced(&mut self, handle: Handle, index: Option<u8>) -> Handle {
+        let mut machine = self.states[handle as usize].clone();
         machine.set_replaced(index.map(usize::from));
         self.handle(machine)
     }
@@ -229,31 +236,35 @@
         &mut self,
         handle: Handle,
         event: promote::Event,
-        late: bool,
+        past_deadlines: bool,
     ) -> (Handle, Vec<promote::Action>) {
-        if let Some(known) = self.steps.get(&(handle, event, late)) {
+        if let Some(known) = self.steps.get(&(handle, event, past_deadlines)) {
             return known.clone();
         }
-        let mut machine = self.known[handle as usize].clone();
-        let now = if late { AFTER } else { Duration::ZERO };
+        let mut machine = self.states[handle as usize].clone();
+        let now = if past_deadlines {
+            TIME_AFTER_DEADLINES
+        } else {
+            Duration::ZERO
+        };
         let actions = machine.step(now, event);
-        let next = self.handle(timeless(&machine));
+        let next = self.handle(normalise_times(&machine));
         self.steps
-            .insert((handle, event, late), (next, actions.clone()));
+            .insert((handle, event, past_deadlines), (next, actions.clone()));
         (next, actions)
     }
 }
 
 /// The machine with every deadline at `DEADLINE` and without its counts of tries and of
 /// promotions, which only lengthen waits: the state space would have no end otherwise.
-fn timeless(machine: &promote::Machine) -> promote::Machine {
+fn normalise_times(machine: &promote::Machine) -> promote::Machine {
     let mut value = serde_json::to_value(machine).expect("machines serialise");
     value["tries"] = 0.into();
     value["recent"] = 0.into();
     value["quiet"] = serde_json::to_value(Duration::ZERO).expect("durations serialise");
     let phases = value["phase"].as_object_mut();
     for until in phases.into_iter().flat_map(|phases| phases.values_mut()) {
-        until["until"] = serde_json::to_value(DEADLINE).expect("durations serialise");
+        until["until"] = serde_json::to_value(MACHINE_DEADLINE).expect("durations serialise");
     }
     serde_json::from_value(value).expect("machines deserialise")
 }
--- a/tests/model/search.rs
+++ b/tests/model/search.rs
@@ -25,12 +25,12 @@
     /// Whether every reachable state was visited.
     pub exhausted: bool,
     /// The shortest way to a violation, if there is one.
-    pub found: Option<Found>,
+    pub violation: Option<Violation>,
 }
 
 /// A counterexample.
 #[derive(Debug)]
-pub struct Found {
+pub struct Violation {
     /// The violated property.
     pub property: property::Property,
     /// The steps that lead to it.
@@ -44,18 +44,18 @@
             states,
             depth,
             exhausted,
-            found,
+            violation,
         } = self;
         write!(
             f,
             "{name}: {states} states, depth {depth}, exhausted {exhausted}"
         )?;
-        let Some(found) = found else {
+        let Some(violation) = violation else {
             return write!(f, ", no violation");
         };
-        let length = found.path.len();
-        write!(f, ", {:?} after {length} steps: ", found.property)?;
-        f.debug_list().entries(&found.path).finish()
+        let length = violation.path.len();
+        write!(f, ", {:?} after {length} steps: ", violation.property)?;
+        f.debug_list().entries(&violation.path).finish()
     }
 }
 
@@ -84,14 +84,16 @@
 /// Searches for a violation of the properties.
 pub fn run(config: &config::Config) -> Report {
     let rules = rules::Rules::new(config);
-    run_until(config, &rules, |state| property::violated(state, &rules))
+    run_until(config, &rules, |state| {
+        property::first_violation(state, &rules)
+    })
 }
 
 /// Searches for a state that `judge` finds fault with.
 pub fn run_until(
     config: &config::Config,
     rules: &rules::Rules,
-    judge: impl Fn(&state::State) -> Option<property::Property>,
+    check: impl Fn(&state::State) -> Option<property::Property>,
 ) -> Report {
     let first = Node {
         state: state::State::new(config, rules),
@@ -99,7 +101,7 @@
         step: step::Step::Start,
     };
     let visited = Cell::new(0);
-    let mut ways = Vec::new();
+    let mut predecessors = Vec::new();
     let nodes = bfs_reach(first, |node: &Node| {
         let parent = visited.get();
         next::successors(&node.state, config, rules)
@@ -115,31 +117,31 @@
         states: 0,
         depth: 0,
         exhausted: true,
-        found: None,
+        violation: None,
     };
     for node in nodes {
-        ways.push((node.parent, node.step));
+        predecessors.push((node.parent, node.step));
         visited.set(visited.get() + 1);
-        if let Some(property) = judge(&node.state) {
-            let path = path(&ways);
-            report.found = Some(Found { property, path });
+        if let Some(property) = check(&node.state) {
+            let path = path(&predecessors);
+            report.violation = Some(Violation { property, path });
         }
-        report.exhausted = report.found.is_none() && ways.len() < config.limit;
+        report.exhausted = report.violation.is_none() && predecessors.len() < config.max_states;
         if !report.exhausted {
             break;
         }
     }
-    report.states = ways.len();
-    report.depth = path(&ways).len();
+    report.states = predecessors.len();
+    report.depth = path(&predecessors).len();
     report
 }
 
 /// The steps to the node visited last.
-fn path(ways: &[(u32, step::Step)]) -> Vec<step::Step> {
-    let mut index = ways.len() - 1;
+fn path(predecessors: &[(u32, step::Step)]) -> Vec<step::Step> {
+    let mut index = predecessors.len() - 1;
     let mut path = Vec::new();
     while index != 0 {
-        let (parent, step) = ways[index];
+        let (parent, step) = predecessors[index];
         path.push(step);
         index = parent as usize;
     }
--- a/tests/model/sound.rs
+++ b/tests/model/sound.rs
@@ -9,20 +9,22 @@
 use crate::search;
 
 /// Held by one search at a time, to bound the memory that is needed at once.
-static TURN: sync::Mutex<()> = sync::Mutex::new(());
+static SEARCH_LOCK: sync::Mutex<()> = sync::Mutex::new(());
 
 /// Searches the whole space and checks that nothing is violated.
-fn holds(config: &config::Config) {
-    let _turn = TURN.lock().unwrap_or_else(sync::PoisonError::into_inner);
+fn assert_no_violation(config: &config::Config) {
+    let _guard = SEARCH_LOCK
+        .lock()
+        .unwrap_or_else(sync::PoisonError::into_inner);
     let report = search::run(config);
     println!("{report}");
-    assert!(report.found.is_none(), "{report}");
+    assert!(report.violation.is_none(), "{report}");
     assert!(report.exhausted, "{report}");
 }
 
 #[test]
 fn one_write() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         extras: &[Extra::Refusals],
         ..config::Config::new("one write, two promoters")
     });
@@ -30,7 +32,7 @@
 
 #[test]
 fn two_writes() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         writes: 2,
         extras: &[Extra::Refusals],
         ..config::Config::new("two writes, two promoters")
@@ -39,7 +41,7 @@
 
 #[test]
 fn three_writes() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         writes: 3,
         ..config::Config::new("three writes, two promoters")
     });
@@ -47,17 +49,17 @@
 
 #[test]
 fn three_promotions() {
-    holds(&config::Config {
-        reserved: [0, 0],
-        claimants: 2,
-        terms: 4,
+    assert_no_violation(&config::Config {
+        reserved_terms: [0, 0],
+        claiming_promoters: 2,
+        max_term: 4,
         ..config::Config::new("one write, three terms claimed from the store")
     });
 }
 
 #[test]
 fn slow_fencing_answers() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         extras: &[Extra::SlowFences],
         ..config::Config::new("one write, two promoters, late fencing answers")
     });
@@ -65,7 +67,7 @@
 
 #[test]
 fn stale_status_at_confirmation() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         extras: &[Extra::StaleStatus],
         ..config::Config::new("one write, two promoters, status of any age confirms")
     });
@@ -73,25 +75,25 @@
 
 #[test]
 fn named_instance_to_replace() {
-    holds(&config::Config {
-        extras: &[Extra::Avoidance],
+    assert_no_violation(&config::Config {
+        extras: &[Extra::InstanceReplacement],
         ..config::Config::new("one write, two promoters, any instance to be replaced")
     });
 }
 
 #[test]
 fn replaced_promoters() {
-    holds(&config::Config {
-        reserved: [2, 0],
-        claimants: 2,
-        extras: &[Extra::Replacements],
+    assert_no_violation(&config::Config {
+        reserved_terms: [2, 0],
+        claiming_promoters: 2,
+        extras: &[Extra::PromoterReplacement],
         ..config::Config::new("one write, two promoters that may be replaced")
     });
 }
 
 #[test]
 fn two_losses_of_a_log() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         wipes: 2,
         ..config::Config::new("one write, two promoters, two logs lost")
     });
@@ -99,7 +101,7 @@
 
 #[test]
 fn loss_of_a_log_with_the_fence_kept() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         wipes: 1,
         readmission: config::Readmission::KeptFence,
         ..config::Config::new("one write, two promoters, log lost but fence kept")
@@ -108,17 +110,17 @@
 
 #[test]
 fn read_with_two_promoters() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         extras: &[Extra::Reader],
-        limit: 6_000_000,
+        max_states: 6_000_000,
         ..config::Config::new("one write, two promoters, reader")
     });
 }
 
 #[test]
 fn read_with_slow_probes() {
-    holds(&config::Config {
-        reserved: [2, 0],
+    assert_no_violation(&config::Config {
+        reserved_terms: [2, 0],
         extras: &[Extra::Reader, Extra::SlowProbes],
         ..config::Config::new("one write, one promotion, reader with late answers")
     });
@@ -126,9 +128,9 @@
 
 #[test]
 fn read_of_two_writes() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         writes: 2,
-        reserved: [2, 0],
+        reserved_terms: [2, 0],
         extras: &[Extra::Reader],
         ..config::Config::new("two writes, one promotion, reader")
     });
@@ -136,8 +138,8 @@
 
 #[test]
 fn read_with_loss_of_a_log() {
-    holds(&config::Config {
-        reserved: [2, 0],
+    assert_no_violation(&config::Config {
+        reserved_terms: [2, 0],
         wipes: 1,
         extras: &[Extra::Reader],
         ..config::Config::new("one write, one promotion, log lost, reader")
@@ -146,8 +148,8 @@
 
 #[test]
 fn read_with_restart() {
-    holds(&config::Config {
-        reserved: [2, 0],
+    assert_no_violation(&config::Config {
+        reserved_terms: [2, 0],
         restarts: 1,
         extras: &[Extra::Reader],
         ..config::Config::new("one write, one promotion, restart, reader")
@@ -157,21 +159,21 @@
 /// Safety does not need the first record of a term.
 #[test]
 fn no_first_record() {
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         writes: 3,
         extras: &[Extra::NoFirstRecord],
         ..config::Config::new("three writes, two promoters, no first record")
     });
-    holds(&config::Config {
-        reserved: [0, 0],
-        claimants: 2,
-        terms: 4,
+    assert_no_violation(&config::Config {
+        reserved_terms: [0, 0],
+        claiming_promoters: 2,
+        max_term: 4,
         extras: &[Extra::NoFirstRecord],
         ..config::Config::new("one write, three terms, no first record")
     });
-    holds(&config::Config {
+    assert_no_violation(&config::Config {
         writes: 2,
-        reserved: [2, 0],
+        reserved_terms: [2, 0],
         extras: &[Extra::Reader, Extra::NoFirstRecord],
         ..config::Config::new("two writes, one promotion, reader, no first record")
     });
@@ -209,5 +211,5 @@
         late.then_some(property::Property::ConfirmedLate)
     });
     println!("{report}");
-    assert!(report.found.is_some());
+    assert!(report.violation.is_some());
 }
--- a/tests/model/state.rs
+++ b/tests/model/state.rs
@@ -51,7 +51,7 @@
 
 /// A kept answer of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct Answer {
     /// The instance.
     pub index: u8,
     /// What it answered.
@@ -62,7 +62,7 @@
 
 /// What the reading proxy last saw of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Seen {
+pub struct Sample {
     /// What the instance answered.
     pub view: instance::View,
     /// Time the probe started.
@@ -75,13 +75,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Reader {
     /// Its board.
-    pub seen: [Option<Seen>; INSTANCES],
+    pub samples: [Option<Sample>; INSTANCES],
     /// A probe's answer that is still on its way.
-    pub kept: Option<Kept>,
+    pub late_answer: Option<Answer>,
     /// Whether the read has arrived.
-    pub arrived: bool,
+    pub read_arrived: bool,
     /// Writes confirmed before it arrived, one bit each.
-    pub owed: u8,
+    pub required_writes: u8,
 }
 
 /// Everything.
@@ -92,48 +92,48 @@
     /// Promotion machine of each promoter, as a number known to `rules::Rules`.
     pub machines: [rules::Handle; PROMOTERS],
     /// A fencing call's answer that is still on its way, by promoter.
-    pub late: [Option<Kept>; PROMOTERS],
+    pub late_answers: [Option<Answer>; PROMOTERS],
     /// Term that each promoter has claimed in advance; 0 for none.
-    pub reserved: [u8; PROMOTERS],
+    pub reserved_terms: [u8; PROMOTERS],
     /// Highest term claimed from the store.
-    pub claimed: u8,
+    pub highest_claimed_term: u8,
     /// Terms whose fencing calls were sent, one bit each; a call may arrive at any time and twice.
-    pub fences: u8,
+    pub fencing_terms: u8,
     /// By term, the instances that a promotion call was sent to, one bit each.
-    pub promotes: [u8; TERMS],
+    pub promotion_targets: [u8; TERMS],
     /// By term, the instances that have led it, one bit each.
-    pub reigns: [u8; TERMS],
+    pub primaries_by_term: [u8; TERMS],
     /// The writes.
     pub writes: [Write; WRITES],
     /// A status that the writer holds, of any age.
-    pub stale: Option<Kept>,
+    pub kept_status: Option<Answer>,
     /// The reading proxy.
     pub reader: Reader,
     /// Instances that may still lose their log.
-    pub wipes: u8,
+    pub remaining_wipes: u8,
     /// Restarts that may still happen.
-    pub restarts: u8,
+    pub remaining_restarts: u8,
 }
 
 impl State {
     /// The first state: instance 0 leads term 1.
     pub fn new(config: &config::Config, rules: &rules::Rules) -> Self {
-        let mut reigns = [0; TERMS];
-        reigns[1] = 1;
+        let mut primaries_by_term = [0; TERMS];
+        primaries_by_term[1] = 1;
         Self {
             instances: [0, 1, 2].map(|index| instance::Instance::new(index == 0)),
-            machines: [rules.fresh(); PROMOTERS],
-            late: [None; PROMOTERS],
-            reserved: config.reserved,
-            claimed: config.reserved.into_iter().max().unwrap_or(0).max(1),
-            fences: 0,
-            promotes: [0; TERMS],
-            reigns,
+            machines: [rules.new_machine(); PROMOTERS],
+            late_answers: [None; PROMOTERS],
+            reserved_terms: config.reserved_terms,
+            highest_claimed_term: config.reserved_terms.into_iter().max().unwrap_or(0).max(1),
+            fencing_terms: 0,
+            promotion_targets: [0; TERMS],
+            primaries_by_term,
             writes: [Write::New; WRITES],
-            stale: None,
+            kept_status: None,
             reader: Reader::default(),
-            wipes: config.wipes,
-            restarts: config.restarts,
+            remaining_wipes: config.wipes,
+            remaining_restarts: config.restarts,
         }
     }
 
