--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,8 +1,8 @@
-//! Exhaustive check of the core protocol over the real decision code.
+//! Exhaustive model check of the core protocol, run on the production decision code.
 //!
-//! `docs/MODEL.md` says what is modelled and what is not. Each test prints the
-//! states explored, the depth and whether the space was exhausted; run with
-//! `cargo test --test model -- --nocapture` to see them.
+//! `docs/MODEL.md` describes the scope of the model. Each test prints the number of states
+//! visited, the depth and whether the state space was exhausted; run
+//! `cargo test --test model -- --nocapture` to see these figures.
 
 #[path = "model/broken.rs"]
 mod broken;
--- a/tests/model/claims.rs
+++ b/tests/model/claims.rs
@@ -1,32 +1,31 @@
-//! Claims of terms from the store by compare-and-swap, with answers lost.
+//! Model of claiming terms from the store by compare-and-swap when answers are lost.
 //!
-//! Two claimants run the loop of `term::Registry` over the real `term::Record`, each
-//! for two claims, at a store whose every call may lose its answer.
+//! Two claimants run the loop of `term::Registry` with the production `term::Record`, for
+//! two claims each. The answer to any swap may be lost, up to a bounded number of times.
 
 use mangotray::id;
 use mangotray::term;
 use pathfinding::prelude::bfs_reach;
 
-/// Claims of each claimant.
 const CLAIMS_PER_CLAIMANT: u8 = 2;
 
-/// A broken variant of the loop.
+/// Deliberate defect of the claiming loop.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Defect {
-    /// Nothing is broken.
+    /// The loop is as in production.
     None,
-    /// The store takes a value whatever version it replaces.
+    /// The store accepts a swap without comparing the version.
     SwapWithoutVersion,
-    /// A lost answer is taken for success.
+    /// A claimant treats a lost answer as success.
     LossTakenForSuccess,
 }
 
-/// Where a claimant stands.
+/// Progress of a claimant's current claim.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// About to read the record.
+    /// The record is to be read.
     Reading,
-    /// Has read the record at a version.
+    /// The record was read at `version` and is to be swapped.
     Swapping {
         next: id::Term,
         latest: Option<(id::Term, term::Attempt)>,
@@ -34,7 +33,7 @@
     },
 }
 
-/// The store and both claimants.
+/// State of the store and of both claimants.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct State {
     next: id::Term,
@@ -93,7 +92,7 @@
         .collect()
 }
 
-/// Reads the record, which settles a claim whose answer was lost if it shows.
+/// Reads the record. If it holds the present claim, whose answer was lost, the claim succeeds.
 fn read_record(state: &State, claimant: usize) -> State {
     let mut after = state.clone();
     match record(state.next, state.latest).term_of(attempt(state, claimant)) {
@@ -109,7 +108,7 @@
     after
 }
 
-/// Swaps the record: answered, or with the answer lost.
+/// Outcomes of swapping the record: one with an answer and, if allowed, one without.
 fn swap_outcomes(
     state: &State,
     claimant: usize,
@@ -141,13 +140,13 @@
     outcomes
 }
 
-/// Number of the present claim; every claim draws its own.
+/// Number of the present claim; it is unique to the claim.
 fn attempt(state: &State, claimant: usize) -> term::Attempt {
     let claim = usize::from(state.completed_claims[claimant]);
     term::Attempt::from([[1_u8, 2], [3, 4]][claimant][claim])
 }
 
-/// Whether two claims can be handed one term, and how many states were visited.
+/// Whether two claims can get the same term, and how many states were visited.
 fn search(defect: Defect) -> (bool, usize) {
     let mut visited = 0;
     let duplicate = bfs_reach(State::new(), |state| successors(state, defect))
@@ -164,8 +163,8 @@
 }
 
 // Symptom: two promoters get one term.
-// Events: both read the record, both write it.
-// Cause: the second overwrote what it had not read.
+// Events: both read the record, then both write it.
+// Cause: the second overwrites a version that it has not read.
 #[test]
 fn swap_without_version_gives_a_term_twice() {
     let (duplicate, visited) = search(Defect::SwapWithoutVersion);
@@ -174,8 +173,8 @@
 }
 
 // Symptom: two promoters get one term.
-// Events: one swap wins; the answer to the other, which lost, does not arrive.
-// Cause: the loser took the term without reading back.
+// Events: one swap succeeds, the other fails and its answer is lost.
+// Cause: the second promoter uses the term without reading the record again.
 #[test]
 fn lost_answer_taken_for_success_gives_a_term_twice() {
     let (duplicate, visited) = search(Defect::LossTakenForSuccess);
--- a/tests/model/config.rs
+++ b/tests/model/config.rs
@@ -1,67 +1,67 @@
-//! Bounds of one search.
+//! Scope and bounds of a search.
 
 use crate::mutation;
 use crate::state;
 
-/// Something that a search may include besides the basic steps.
+/// An optional kind of step or condition of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Extra {
-    /// Fencing answers may arrive late, one at a time for each promoter.
+    /// Fencing answers may be delayed, at most one for each promoter at a time.
     SlowFences,
-    /// The writer may confirm with a status of any age.
+    /// A status of any age may confirm a write.
     StaleStatus,
     /// Writes may be refused as not run.
     Refusals,
     /// A proxy that serves reads.
     Reader,
-    /// Answers to its probes may arrive late, one at a time.
+    /// Answers to the probes of that proxy may be delayed, at most one at a time.
     SlowProbes,
-    /// Promoters may be replaced by ones that know nothing, any number of times.
+    /// A promoter may be replaced by a new one without any state, any number of times.
     PromoterReplacement,
-    /// Promoters may name an instance to be replaced.
+    /// A promoter may claim a term to replace a given instance.
     InstanceReplacement,
-    /// Terms start without an empty record.
+    /// A primary does not start its term with an empty record.
     NoFirstRecord,
 }
 
-/// When an instance that lost its log may count as a voter again.
+/// When an instance that lost its log counts as a voter again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readmission {
-    /// Once it holds a record of a term that was claimed after the loss.
+    /// When it holds a record of a term that was claimed after the loss.
     LaterTerm,
-    /// Once it holds a whole log of a term that is not below the fence it had before.
+    /// When it holds the whole log of a primary whose term is at least its fence before the loss.
     KeptFence,
 }
 
-/// What a search includes and when it stops.
+/// Scope and bounds of one search.
 #[derive(Clone, Copy, Debug)]
 pub struct Config {
-    /// Name for the report.
+    /// Name in the report.
     pub name: &'static str,
     /// Number of writes.
     pub writes: u8,
-    /// Term that each promoter has claimed in advance; 0 for none.
+    /// Term that each promoter has claimed before the search starts; 0 for none.
     pub reserved_terms: [u8; state::PROMOTERS],
-    /// Promoters that may also claim from the store.
+    /// Number of promoters that may also claim terms from the store.
     pub claiming_promoters: usize,
-    /// Highest term that the store gives out.
+    /// Highest term that the store grants.
     pub max_term: u8,
-    /// Instances that may lose their log.
+    /// Maximum number of log losses.
     pub wipes: u8,
-    /// When these count as voters again.
+    /// When an instance that lost its log counts as a voter again.
     pub readmission: Readmission,
-    /// Restarts that may happen.
+    /// Maximum number of restarts.
     pub restarts: u8,
-    /// What else is included.
+    /// Optional kinds of steps.
     pub extras: &'static [Extra],
-    /// The broken rule, if any.
+    /// Deliberately broken rule, if any.
     pub mutation: Option<mutation::Mutation>,
-    /// States after which the search gives up.
+    /// Number of states after which the search stops without having exhausted the space.
     pub max_states: usize,
 }
 
 impl Config {
-    /// One write, two promoters with a term each, nothing else.
+    /// One write and two promoters with a reserved term each, without faults or extras.
     pub const fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Whether the given rule is the broken one.
+    /// Whether the search breaks this rule.
     pub fn has_mutation(&self, mutation: mutation::Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
-    /// Whether the search includes something.
+    /// Whether the search includes this kind of step.
     pub fn includes(&self, extra: Extra) -> bool {
         self.extras.contains(&extra)
     }
--- a/tests/model/instance.rs
+++ b/tests/model/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the group, as the upstream's contract describes it.
+//! Model of one instance of the group, as the contract of the upstream requires.
 
 use mangotray::id;
 use mangotray::role;
@@ -10,16 +10,17 @@
 /// State of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Instance {
-    /// Its log.
     pub log: log::Log,
-    /// Highest term it has been fenced at.
+    /// Highest term at which the instance was fenced.
     pub fence: u8,
-    /// Term it last led with its present log; 0 if none. It believes that it leads
-    /// while this is its fence. Once deposed, records it sent before may still arrive.
+    /// Term in which the instance was last primary with its present log; 0 if none. It acts
+    /// as primary while this equals its fence. After that, records that it sent earlier may
+    /// still arrive.
     pub last_led_term: u8,
-    /// Number of its process.
+    /// Number of the instance's process, from 0; each restart adds one.
     pub incarnation: u8,
-    /// 0 for a voter; for one that lost its log, the term that decides when it is one again.
+    /// 0 for a voter. For an instance that lost its log, the term that `config::Readmission`
+    /// compares to decide when it is a voter again.
     pub readmission_term: u8,
 }
 
@@ -37,17 +38,17 @@
         }
     }
 
-    /// Whether it believes that it leads.
+    /// Whether the instance acts as primary, even if another one was promoted since.
     pub fn is_primary(&self) -> bool {
         self.last_led_term != 0 && self.last_led_term == self.fence
     }
 
-    /// Whether it counts towards a majority.
+    /// Whether the instance counts towards a majority.
     pub fn is_voter(&self) -> bool {
         self.readmission_term == 0
     }
 
-    /// What a probe would see now.
+    /// Answer of the instance to a probe.
     pub fn view(&self) -> View {
         View {
             term: self.log.term(),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Appends a write if it believes that it leads, and says at which stamp.
+    /// Appends a write and returns its stamp; `None` if the instance is not primary.
     pub fn write(&mut self, write: u8) -> Option<stamp::Stamp> {
         if !self.is_primary() {
             return None;
@@ -71,12 +72,12 @@
         Some(self.log.stamp())
     }
 
-    /// Takes a fencing call.
+    /// Applies a fencing call.
     pub fn raise_fence(&mut self, term: u8) {
         self.fence = self.fence.max(term);
     }
 
-    /// Starts to lead a term, with a first record if `first` says so.
+    /// Makes the instance primary of a term, optionally with a first, empty record.
     pub fn promote(&mut self, term: u8, with_first_record: bool) {
         if self.is_primary() {
             return;
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Takes one step to follow `source`: cuts off what it does not have, or else
-    /// applies one record.
+    /// Takes one step to follow `source`: truncates the records that `source` does not have
+    /// or, if there are none, applies the next record.
     pub fn follow(&mut self, source: &Self) {
         let common_len = self.log.common_len(&source.log);
         if common_len < self.log.len() {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Loses everything and starts anew.
+    /// Loses the log and the fence and restarts.
     pub fn wipe(&mut self, readmission_term: u8) {
         *self = Self {
             log: log::Log::default(),
@@ -112,26 +113,26 @@
     }
 }
 
-/// What a probe saw of an instance; `status::Status` in few bytes.
+/// Answer to a probe: a `status::Status` in few bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct View {
     /// Term of the last record.
     pub term: u8,
     /// Position of the last record.
     pub position: u8,
-    /// Highest term it has been fenced at.
+    /// Highest term at which the instance was fenced.
     pub fence: u8,
-    /// Whether it believes that it leads.
+    /// Whether the instance acts as primary.
     pub is_primary: bool,
-    /// Whether it counts towards a majority.
+    /// Whether the instance counts towards a majority.
     pub voter: bool,
-    /// Number of its process.
+    /// Number of the instance's process.
     pub incarnation: u8,
 }
 
 impl View {
-    /// The view without what neither promotions nor confirmations look at, which
-    /// would only multiply the states.
+    /// The view without the fields that neither promotions nor confirmations use; they would
+    /// only multiply the states.
     pub fn promotion_view(self) -> Self {
         Self {
             is_primary: false,
@@ -140,7 +141,8 @@
         }
     }
 
-    /// The view without what neither samples nor the choice of an instance look at.
+    /// The view without the fields that neither the board's floor nor the choice of an instance
+    /// for a read uses.
     pub fn read_view(self) -> Self {
         Self {
             is_primary: false,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// The status that the decision code knows.
+    /// The view as the type that the decision code takes.
     pub fn status(self) -> status::Status {
         status::Status {
             stamp: stamp::Stamp::new(self.term.into(), self.position.into()),
--- a/tests/model/log.rs
+++ b/tests/model/log.rs
@@ -1,11 +1,11 @@
-//! Log of one instance.
+//! Log of a modelled instance.
 
 use mangotray::stamp;
 
-/// Most records of a log in any configuration.
+/// Upper bound of the log length in every configuration.
 const MAX_RECORDS: usize = 6;
 
-/// One record.
+/// A record of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Record {
     /// Term of the primary that wrote it.
@@ -54,7 +54,7 @@
         stamp::Stamp::new(self.term().into(), self.len.into())
     }
 
-    /// Number of leading records that both logs have.
+    /// Length of the common prefix of both logs.
     pub fn common_len(&self, other: &Self) -> u8 {
         let shared_records = self
             .records()
@@ -64,7 +64,7 @@
         u8::try_from(shared_records.count()).expect("logs are short")
     }
 
-    /// How often a write is in the log.
+    /// Number of records of a write.
     pub fn count(&self, write: u8) -> usize {
         let found = self.records().iter().filter(|record| record.write == write);
         found.count()
--- a/tests/model/mutation.rs
+++ b/tests/model/mutation.rs
@@ -1,4 +1,4 @@
-//! Broken variants of the rules, each of which the checker must notice.
+//! Deliberately broken rules, to check that the search finds their violations.
 
 /// A broken rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -7,15 +7,15 @@
     FenceTermCompared,
     /// One fenced instance suffices for a promotion.
     OneFencedInstance,
-    /// An instance fenced higher still takes the log of a lower term.
+    /// An instance accepts the log of a term below its fence.
     LowerTermLogAccepted,
     /// A replica's stamp of a later term confirms a record.
     LaterTermConfirms,
-    /// A replica that has been fenced higher still confirms.
+    /// The status of a replica fenced at a later term confirms a record.
     HigherFenceConfirms,
-    /// The primary alone confirms.
+    /// The primary confirms without any replica.
     PrimaryAloneConfirms,
-    /// One instance is sampled for a read that carries nothing.
+    /// One sampled instance suffices for a read without a token.
     OneSampledInstance,
     /// Two promoters hold the same term.
     TermShared,
@@ -30,9 +30,9 @@
     WitnessedCopyVotes,
     /// An instance that lost its log can be promoted.
     EmptyInstancePromoted,
-    /// A status is taken as fresh by the time its answer arrived.
+    /// The freshness of a status is judged by the time of its answer.
     AnswerTimeCompared,
-    /// A stamp seen before the instance lost its log still counts.
+    /// A stamp sampled before the instance lost its log still counts.
     IncarnationIgnored,
     /// A write whose answer was lost is reported as not run.
     LostAnswerReportedNotRun,
--- a/tests/model/next.rs
+++ b/tests/model/next.rs
@@ -1,4 +1,4 @@
-//! What can happen next: writes, replication, confirmation and faults.
+//! Expansion of a state: writes, replication, confirmations and faults.
 
 use crate::config;
 use crate::config::Extra;
@@ -8,7 +8,7 @@
 use crate::state;
 use crate::step;
 
-/// All that can happen next.
+/// All steps that change the state, with the states that they lead to.
 pub fn successors(
     state: &state::State,
     config: &config::Config,
@@ -32,19 +32,19 @@
     expansion.successors
 }
 
-/// The steps out of one state.
+/// Expansion of one state into its successors.
 pub struct Expansion<'a> {
-    /// The state.
+    /// State to expand.
     pub state: &'a state::State,
-    /// What is included.
+    /// Scope of the search.
     pub config: &'a config::Config,
-    /// The proxies' rules.
+    /// Rules of the proxies.
     pub rules: &'a rules::Rules,
     successors: Vec<(step::Step, state::State)>,
 }
 
 impl Expansion<'_> {
-    /// Adds a step if it changes anything.
+    /// Adds a step if it changes the state.
     pub fn add(&mut self, step: step::Step, change: impl FnOnce(&mut state::State)) {
         let mut after = *self.state;
         change(&mut after);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Sends writes again whose answer was taken for lost.
+    /// Sends an answered write again, as if its answer had been lost, if that rule is broken.
     fn add_retries(&mut self) {
         if !self.config.has_mutation(Mutation::LostAnswerRetried) {
             return;
@@ -192,7 +192,7 @@
         }
     }
 
-    /// What a probe of the instance would see.
+    /// Answer of the instance to a probe.
     pub fn view(&self, index: u8) -> instance::View {
         self.state.instances[usize::from(index)].view()
     }
--- a/tests/model/promotion.rs
+++ b/tests/model/promotion.rs
@@ -1,4 +1,4 @@
-//! Steps of promoters, and of their calls to instances.
+//! Steps of promoters and of their calls to instances.
 
 use std::iter;
 
@@ -15,7 +15,7 @@
 use crate::step;
 
 impl Expansion<'_> {
-    /// What promoters do, and what arrives of it.
+    /// Adds the next steps of each promoter and its delayed fencing answers.
     pub fn add_promoter_steps(&mut self) {
         for promoter in (0..).take(state::PROMOTERS) {
             let handle = self.state.machines[usize::from(promoter)];
@@ -165,7 +165,7 @@
         });
     }
 
-    /// Calls that arrive without their answer being awaited any more.
+    /// Adds arrivals of calls whose answer is lost or no longer awaited.
     pub fn add_unanswered_calls(&mut self) {
         for (term, index) in
             step::terms().flat_map(|term| step::indices().map(move |index| (term, index)))
@@ -185,8 +185,8 @@
         }
     }
 
-    /// A promotion call arrives at an instance, which refuses unless it is fenced at
-    /// exactly the term and has not lost its log.
+    /// Delivers a promotion call to an instance, which refuses it unless it is fenced at
+    /// exactly this term and is a voter.
     fn deliver_promotion(&self, after: &mut state::State, term: u8, index: usize) {
         let instance = &mut after.instances[index];
         let able = instance.is_voter() || self.config.has_mutation(Mutation::EmptyInstancePromoted);
@@ -198,7 +198,7 @@
     }
 }
 
-/// Sets a promoter's machine and sends what it asks for.
+/// Sets the state of a promoter's machine and sends the calls that it requests.
 fn apply_outcome(
     state: &mut state::State,
     promoter: u8,
--- a/tests/model/property.rs
+++ b/tests/model/property.rs
@@ -1,4 +1,4 @@
-//! What must hold in every state.
+//! Properties that must hold in every state.
 
 use crate::instance;
 use crate::log;
@@ -20,9 +20,9 @@
     ReadMisses,
     /// A read with a token can be served without the token's record.
     TokenMisses,
-    /// The leader's stamp is behind another instance's, see `leader_behind`.
+    /// The primary's stamp is below another instance's, see `leader_behind`.
     LeaderBehind,
-    /// A write may be confirmed after a promotion elsewhere, see `confirmed_late`.
+    /// A write can be confirmed after a later promotion, see `confirmed_late`.
     ConfirmedLate,
 }
 
@@ -41,9 +41,9 @@
         .find_map(|(property, violated)| violated.then_some(property))
 }
 
-/// Whether no instance is fenced above an instance that leads, yet another one's stamp
-/// is higher: reads that must see that stamp cannot be served by the group's leader.
-/// This is no property that safety needs; it shows what the first record of a term is for.
+/// Whether an instance has a higher stamp than the primary although none has a higher fence:
+/// the primary cannot serve reads that must see that stamp. Safety does not require the
+/// opposite; the check shows the purpose of the first record of a term.
 pub fn leader_behind(state: &state::State) -> bool {
     let top = state.instances.iter().map(|instance| instance.fence).max();
     state
@@ -56,8 +56,9 @@
         })
 }
 
-/// Whether a write of a term can be confirmed while an instance already leads a later one.
-/// The later one's log has the write; but the caller hears of it from a replaced primary.
+/// Whether a write can be confirmed while an instance is already primary of a later term. The
+/// log of the later primary has the write, but the caller gets the confirmation through the
+/// replaced primary.
 pub fn confirmed_late(state: &state::State, rules: &rules::Rules) -> bool {
     state.writes.iter().any(|write| {
         let state::Write::Answered(place) = *write else {
--- a/tests/model/reading.rs
+++ b/tests/model/reading.rs
@@ -7,7 +7,7 @@
 use crate::step;
 
 impl Expansion<'_> {
-    /// Probes, and the arrival of the read.
+    /// Adds the probes and the arrival of the read.
     pub fn add_reads(&mut self) {
         let now = u8::from(self.state.reader.read_arrived);
         for index in step::indices() {
@@ -44,7 +44,8 @@
         self.add(step, |after| after.reader = reader);
     }
 
-    /// A read that is owed nothing cannot miss anything, so it is left out.
+    /// Adds the arrival of the read. It is left out while no write is confirmed, as it could
+    /// not miss any.
     fn add_read(&mut self) {
         let required_writes = self
             .state
--- a/tests/model/rules.rs
+++ b/tests/model/rules.rs
@@ -1,4 +1,4 @@
-//! The real decision code, with the broken variants around it.
+//! The production decision code, wrapped to break one rule where a search asks for it.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,22 +17,22 @@
 use crate::mutation::Mutation;
 use crate::state;
 
-/// Number of a promotion machine's state.
+/// Number that stands for a state of a promotion machine.
 pub type Handle = u32;
 
-/// Every deadline within a machine's state; time itself is not modelled.
+/// Value of every deadline in a machine's state; time itself is not modelled.
 const MACHINE_DEADLINE: Duration = Duration::from_secs(1);
 
-/// A time after every deadline, and after every rank's delay.
+/// A time after every deadline and after the delay of every rank.
 const TIME_AFTER_DEADLINES: Duration = Duration::from_secs(9);
 
-/// The proxies' rules.
+/// Rules of the proxies.
 pub struct Rules {
     config: config::Config,
     machines: RefCell<Machines>,
 }
 
-/// All states of promotion machines met so far, and where their events lead.
+/// Known states of promotion machines and the transitions between them.
 #[derive(Default)]
 struct Machines {
     states: Vec<promote::Machine>,
@@ -49,19 +49,19 @@
         }
     }
 
-    /// Handle of a new machine.
+    /// Handle of a machine in its initial state.
     pub fn new_machine(&self) -> Handle {
         let machine = promote::Machine::new(state::INSTANCES, 0);
         self.machines.borrow_mut().handle(machine)
     }
 
-    /// Where a machine stands.
+    /// Phase of a machine.
     pub fn phase(&self, handle: Handle) -> promote::Phase {
         let machines = self.machines.borrow();
         machines.states[handle as usize].phase().clone()
     }
 
-    /// Gives an event to a machine before any of its deadlines.
+    /// Passes an event to a machine before any of its deadlines.
     pub fn step(&self, handle: Handle, event: promote::Event) -> (Handle, Vec<promote::Action>) {
         let event = match event {
             promote::Event::Fenced(index, status) => {
@@ -78,8 +78,8 @@
         self.machines.borrow_mut().step(handle, event, true)
     }
 
-    /// Lets a machine suspect the primary, to replace `avoid` if given, and ask for a
-    /// term; says above which.
+    /// Lets a machine suspect the primary and claim a term, to replace `replaced_instance` if
+    /// it is given; also returns the term above which it claims.
     pub fn suspect(&self, handle: Handle, replaced_instance: Option<u8>) -> (Handle, id::Term) {
         let named = self
             .machines
@@ -91,7 +91,7 @@
         };
         let (claiming, actions) = self.timeout(waiting);
         let [promote::Action::Claim { above }] = actions[..] else {
-            unreachable!("a waiting machine claims when its time has come");
+            unreachable!("a waiting machine claims a term after its delay");
         };
         (claiming, above)
     }
@@ -116,7 +116,7 @@
         board.confirmed(place.stamp(), place.primary.into(), Duration::ZERO)
     }
 
-    /// What the reading proxy keeps of a probe's answer.
+    /// The part of a probe's answer that the reading proxy stores.
     pub fn reader_view(&self, view: instance::View) -> instance::View {
         if self.config.has_mutation(Mutation::FenceTermCompared) {
             return view;
@@ -124,7 +124,7 @@
         view.read_view()
     }
 
-    /// Notes a probe's answer on the reading proxy's board.
+    /// Records a probe's answer on the board of the reading proxy.
     pub fn record_answer(&self, reader: &mut state::Reader, index: usize, sample: state::Sample) {
         let mut board = self.board(&reader.samples);
         let observation = self.observation(sample);
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Stamp that a read which carries nothing must see.
+    /// Lowest stamp that a read without a token must see; `None` while it is unknown.
     pub fn floor(&self, reader: &state::Reader) -> Option<stamp::Stamp> {
         let read_arrived = id::Time::from_secs(1);
         if self.config.has_mutation(Mutation::OneSampledInstance) {
@@ -147,7 +147,7 @@
         self.board(&reader.samples).floor(read_arrived)
     }
 
-    /// Whether the instance may serve a read that must see `floor`.
+    /// Whether the instance, of the given incarnation, may serve a read that must see `floor`.
     pub fn may_serve(
         &self,
         reader: &state::Reader,
@@ -196,7 +196,7 @@
         )
     }
 
-    /// The status as a broken rule reads it.
+    /// The status as the broken rule, if any, reads it.
     fn mutated_status(&self, mut status: status::Status) -> status::Status {
         if self.config.has_mutation(Mutation::FenceTermCompared) {
             status.stamp.term = status.fence;
@@ -255,8 +255,9 @@
     }
 }
 
-/// The machine with every deadline at `DEADLINE` and without its counts of tries and of
-/// promotions, which only lengthen waits: the state space would have no end otherwise.
+/// The machine with every deadline at `MACHINE_DEADLINE` and with its counts of tries and of
+/// promotions cleared. The counts only lengthen waits; with them the state space would be
+/// infinite.
 fn normalise_times(machine: &promote::Machine) -> promote::Machine {
     let mut value = serde_json::to_value(machine).expect("machines serialise");
     value["tries"] = 0.into();
--- a/tests/model/search.rs
+++ b/tests/model/search.rs
@@ -1,4 +1,4 @@
-//! Breadth-first search.
+//! Breadth-first search of the state space.
 
 use std::cell::Cell;
 use std::fmt;
@@ -13,22 +13,22 @@
 use crate::state;
 use crate::step;
 
-/// What a search found.
+/// Result of a search.
 #[derive(Debug)]
 pub struct Report {
     /// Name of the configuration.
     pub name: &'static str,
-    /// States visited.
+    /// Number of states visited.
     pub states: usize,
-    /// Steps from the first state to the last one visited.
+    /// Number of steps from the first state to the last visited state.
     pub depth: usize,
     /// Whether every reachable state was visited.
     pub exhausted: bool,
-    /// The shortest way to a violation, if there is one.
+    /// Shortest counterexample, if there is one.
     pub violation: Option<Violation>,
 }
 
-/// A counterexample.
+/// A violated property with its counterexample.
 #[derive(Debug)]
 pub struct Violation {
     /// The violated property.
@@ -59,7 +59,7 @@
     }
 }
 
-/// A state with the way it was first reached, which does not tell states apart.
+/// A state with its predecessor and the step from it. Only the state is compared and hashed.
 #[derive(Clone)]
 struct Node {
     state: state::State,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Searches for a violation of the properties.
+/// Searches for a state that violates a property.
 pub fn run(config: &config::Config) -> Report {
     let rules = rules::Rules::new(config);
     run_until(config, &rules, |state| {
@@ -89,7 +89,7 @@
     })
 }
 
-/// Searches for a state that `judge` finds fault with.
+/// Searches for a state for which `check` returns a property, and stops there.
 pub fn run_until(
     config: &config::Config,
     rules: &rules::Rules,
@@ -136,7 +136,7 @@
     report
 }
 
-/// The steps to the node visited last.
+/// Steps to the last visited node.
 fn path(predecessors: &[(u32, step::Step)]) -> Vec<step::Step> {
     let mut index = predecessors.len() - 1;
     let mut path = Vec::new();
--- a/tests/model/sound.rs
+++ b/tests/model/sound.rs
@@ -1,4 +1,4 @@
-//! The rules as they are, within several bounds.
+//! Exhaustive searches of the unchanged rules within several bounds.
 
 use std::sync;
 
@@ -8,10 +8,10 @@
 use crate::rules;
 use crate::search;
 
-/// Held by one search at a time, to bound the memory that is needed at once.
+/// Serialises the searches to limit peak memory.
 static SEARCH_LOCK: sync::Mutex<()> = sync::Mutex::new(());
 
-/// Searches the whole space and checks that nothing is violated.
+/// Searches the whole state space and checks that no property is violated.
 fn assert_no_violation(config: &config::Config) {
     let _guard = SEARCH_LOCK
         .lock()
@@ -179,9 +179,9 @@
     });
 }
 
-/// Without the first record of a term, replicas that kept a longer log of the old term
-/// look newer than the primary until its first write: samples then ask for a stamp that
-/// only replaced instances have.
+/// Without the first record of a term, replicas with a longer log of the old term have a
+/// higher stamp than the primary until its first write. Samples then require a stamp that
+/// the primary does not have.
 #[test]
 fn first_record_keeps_the_leader_ahead() {
     let ahead = |extras| {
@@ -200,8 +200,8 @@
     assert!(!ahead(&[Extra::NoFirstRecord]));
 }
 
-/// A known limit, kept here so that a change of it is noticed: a confirmation can leave
-/// while a primary of a later term already leads. The write is in that primary's log.
+/// A known limit; the test fails if it changes: a write can be confirmed while an instance is
+/// already primary of a later term. The write is in the log of that primary.
 #[test]
 fn confirmation_may_follow_a_promotion() {
     let config = config::Config::new("confirmation after a promotion");
--- a/tests/model/state.rs
+++ b/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! State of the whole model.
+//! State of the model: the instances, the proxies and the calls in flight.
 
 use mangotray::stamp;
 
@@ -6,117 +6,117 @@
 use crate::instance;
 use crate::rules;
 
-/// Instances of the group.
+/// Number of instances of the group.
 pub const INSTANCES: usize = 3;
 
-/// Proxies that may promote.
+/// Number of proxies that may promote.
 pub const PROMOTERS: usize = 2;
 
-/// Most writes of any configuration.
+/// Upper bound of the number of writes in every configuration.
 pub const WRITES: usize = 3;
 
-/// Terms of any configuration, counted from 0, which is none.
+/// Number of terms in every configuration, including 0, which stands for none.
 pub const TERMS: usize = 6;
 
-/// What the writer knows of one write.
+/// Outcome of a write as the writer knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Write {
     /// Not yet sent.
     New,
     /// Reported as not run.
     NotRun,
-    /// Answered by the primary, not yet confirmed; unknown if it stays so.
+    /// Answered by the primary but not confirmed; the outcome is unknown if it stays so.
     Answered(Place),
     /// Confirmed to the caller.
     Confirmed(Place),
 }
 
-/// Where a primary put a write.
+/// Place of a write in the log of the primary that ran it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Place {
     /// Term of the record.
     pub term: u8,
     /// Position of the record.
     pub position: u8,
-    /// The primary.
+    /// Index of the primary.
     pub primary: u8,
 }
 
 impl Place {
-    /// The token that the caller is given.
+    /// Token that the caller gets.
     pub fn stamp(self) -> stamp::Stamp {
         stamp::Stamp::new(self.term.into(), self.position.into())
     }
 }
 
-/// A kept answer of an instance.
+/// Answer of an instance that is delayed or kept for later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Answer {
-    /// The instance.
+    /// Index of the instance.
     pub index: u8,
-    /// What it answered.
+    /// Status in the answer.
     pub view: instance::View,
-    /// Time the probe started, see `Reader`.
+    /// Time at which the probe started, on the clock of `Reader`; 0 for other answers.
     pub started: u8,
 }
 
-/// What the reading proxy last saw of an instance.
+/// Last probe of an instance by the reading proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Sample {
-    /// What the instance answered.
+    /// Status in the answer.
     pub view: instance::View,
-    /// Time the probe started.
+    /// Time at which the probe started, on the clock of `Reader`.
     pub started: u8,
-    /// Time the answer arrived.
+    /// Time at which the answer arrived, on the same clock.
     pub finished: u8,
 }
 
 /// A proxy that serves reads. Its clock shows 0 before the read arrives and 1 after.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Reader {
-    /// Its board.
+    /// Last probe of each instance, as on the board of the proxy.
     pub samples: [Option<Sample>; INSTANCES],
-    /// A probe's answer that is still on its way.
+    /// Delayed answer to a probe.
     pub late_answer: Option<Answer>,
     /// Whether the read has arrived.
     pub read_arrived: bool,
-    /// Writes confirmed before it arrived, one bit each.
+    /// Writes confirmed before the read arrived, one bit each.
     pub required_writes: u8,
 }
 
-/// Everything.
+/// State of the group, its proxies and the calls in flight, with the faults still allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     /// The instances.
     pub instances: [instance::Instance; INSTANCES],
-    /// Promotion machine of each promoter, as a number known to `rules::Rules`.
+    /// Promotion machine of each promoter, as a handle of `rules::Rules`.
     pub machines: [rules::Handle; PROMOTERS],
-    /// A fencing call's answer that is still on its way, by promoter.
+    /// Delayed answer to a fencing call, by promoter.
     pub late_answers: [Option<Answer>; PROMOTERS],
-    /// Term that each promoter has claimed in advance; 0 for none.
+    /// Reserved term that each promoter has not used yet; 0 for none.
     pub reserved_terms: [u8; PROMOTERS],
-    /// Highest term claimed from the store.
+    /// Highest term claimed so far, reserved terms included.
     pub highest_claimed_term: u8,
     /// Terms whose fencing calls were sent, one bit each; a call may arrive at any time and twice.
     pub fencing_terms: u8,
-    /// By term, the instances that a promotion call was sent to, one bit each.
+    /// Instances to which a promotion call was sent, by term, one bit each.
     pub promotion_targets: [u8; TERMS],
-    /// By term, the instances that have led it, one bit each.
+    /// Instances that have been primary, by term, one bit each.
     pub primaries_by_term: [u8; TERMS],
     /// The writes.
     pub writes: [Write; WRITES],
-    /// A status that the writer holds, of any age.
+    /// Status that the writer has kept and may use at any later time.
     pub kept_status: Option<Answer>,
     /// The reading proxy.
     pub reader: Reader,
-    /// Instances that may still lose their log.
+    /// Number of log losses that may still happen.
     pub remaining_wipes: u8,
-    /// Restarts that may still happen.
+    /// Number of restarts that may still happen.
     pub remaining_restarts: u8,
 }
 
 impl State {
-    /// The first state: instance 0 leads term 1.
+    /// The initial state: instance 0 is primary of term 1.
     pub fn new(config: &config::Config, rules: &rules::Rules) -> Self {
         let mut primaries_by_term = [0; TERMS];
         primaries_by_term[1] = 1;
