--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -22,35 +22,35 @@
 };
 
 const KEY: &str = "key of the installation";
-const GENEROUS: Duration = Duration::from_secs(20);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Silence that no connection of a test keeps, and one that a test waits for.
-const LONG: Duration = Duration::from_mins(1);
-const SHORT: Duration = Duration::from_millis(300);
-const LARGE: usize = 8 * 1024 * 1024;
-const TOO_LARGE: usize = 65 * 1024 * 1024;
+const UNREACHED_TIMEOUT: Duration = Duration::from_mins(1);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
+const LARGE_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const OVERSIZED_ANSWER_BYTES: usize = 65 * 1024 * 1024;
 
 /// What a served group did, counted where it was done.
 struct Upstream {
     name: &'static str,
-    ran: sync::Mutex<Vec<String>>,
+    statements: sync::Mutex<Vec<String>>,
     lanes: atomic::AtomicUsize,
-    started: (async_channel::Sender<()>, async_channel::Receiver<()>),
-    rolled_back: (async_channel::Sender<()>, async_channel::Receiver<()>),
+    hang_started: (async_channel::Sender<()>, async_channel::Receiver<()>),
+    rollbacks: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
 impl Upstream {
     fn new(name: &'static str) -> sync::Arc<Self> {
         sync::Arc::new(Self {
             name,
-            ran: sync::Mutex::default(),
+            statements: sync::Mutex::default(),
             lanes: atomic::AtomicUsize::new(0),
-            started: async_channel::unbounded(),
-            rolled_back: async_channel::unbounded(),
+            hang_started: async_channel::unbounded(),
+            rollbacks: async_channel::unbounded(),
         })
     }
 
-    fn ran(&self) -> Vec<String> {
-        self.ran.lock().unwrap().clone()
+    fn statements(&self) -> Vec<String> {
+        self.statements.lock().unwrap().clone()
     }
 }
 
@@ -62,15 +62,15 @@
 impl Session {
     async fn answer(&mut self, batch: batch::Batch) -> peer::Answer {
         let text = String::from_utf8(batch.frames[0].body.to_vec()).unwrap();
-        self.upstream.ran.lock().unwrap().push(text.clone());
+        self.upstream.statements.lock().unwrap().push(text.clone());
         let mut body = bytes::Bytes::from(self.upstream.name);
         match text.as_str() {
             "hang" => {
-                self.upstream.started.0.send(()).await.unwrap();
+                self.upstream.hang_started.0.send(()).await.unwrap();
                 future::pending::<()>().await;
             }
-            "large" => body = vec![7; LARGE].into(),
-            "too large" => body = vec![7; TOO_LARGE].into(),
+            "large" => body = vec![7; LARGE_ANSWER_BYTES].into(),
+            "too large" => body = vec![7; OVERSIZED_ANSWER_BYTES].into(),
             _ => {}
         }
         match batch.class {
@@ -98,14 +98,14 @@
 impl Drop for Session {
     fn drop(&mut self) {
         if self.transaction != transaction::State::Idle {
-            self.upstream.rolled_back.0.try_send(()).unwrap();
+            self.upstream.rollbacks.0.try_send(()).unwrap();
         }
     }
 }
 
-struct Local(sync::Arc<Upstream>);
+struct LaneFactory(sync::Arc<Upstream>);
 
-impl Factory for Local {
+impl Factory for LaneFactory {
     fn lane(&self, database: &str) -> Option<Box<dyn Lane>> {
         self.0.lanes.fetch_add(1, atomic::Ordering::Relaxed);
         (database == "shows").then(|| {
@@ -117,18 +117,18 @@
     }
 
     fn deadline(&self, _: &str) -> Duration {
-        GENEROUS
+        REQUEST_TIMEOUT
     }
 }
 
 struct Handler {
-    switch: sync::Arc<Local>,
-    announced: sync::Mutex<Vec<peer::News>>,
+    factory: sync::Arc<LaneFactory>,
+    announced_news: sync::Mutex<Vec<peer::News>>,
 }
 
 impl peer::Handler for Handler {
     fn lanes(&self) -> sync::Arc<dyn Factory> {
-        self.switch.clone()
+        self.factory.clone()
     }
 
     fn exchange(&self, digest: peer::Digest) -> BoxFuture<'_, peer::News> {
@@ -136,7 +136,7 @@
     }
 
     fn announce(&self, news: peer::News) -> BoxFuture<'_, ()> {
-        self.announced.lock().unwrap().push(news);
+        self.announced_news.lock().unwrap().push(news);
         Box::pin(future::ready(()))
     }
 
@@ -145,7 +145,7 @@
     }
 }
 
-fn sign(vm: &str, incarnation: u64) -> evidence::Heartbeat {
+fn heartbeat(vm: &str, incarnation: u64) -> evidence::Heartbeat {
     evidence::Heartbeat {
         vm: vm.into(),
         domain: "patan-hall".into(),
@@ -166,7 +166,7 @@
 
 fn news(revision: u64) -> peer::News {
     peer::News {
-        sign: sign("entry-1", 11),
+        sign: heartbeat("entry-1", 11),
         answer: spread::Answer {
             report: report(revision),
             file: Some(revision::File {
@@ -206,7 +206,7 @@
 
 impl Proxy {
     fn start(name: &'static str) -> Self {
-        Self::listen(name, bind(), LONG)
+        Self::listen(name, bind(), UNREACHED_TIMEOUT)
     }
 
     fn listen(
@@ -217,8 +217,8 @@
         let executor = executor();
         let upstream = Upstream::new(name);
         let handler = sync::Arc::new(Handler {
-            switch: sync::Arc::new(Local(upstream.clone())),
-            announced: sync::Mutex::default(),
+            factory: sync::Arc::new(LaneFactory(upstream.clone())),
+            announced_news: sync::Mutex::default(),
         });
         let server = sync::Arc::new(accept::Server {
             handler: handler.clone(),
@@ -260,16 +260,16 @@
 
 /// A serving set that a test can change.
 #[derive(Default)]
-struct Set(sync::Mutex<Vec<forward::Member>>);
+struct MemberList(sync::Mutex<Vec<forward::Member>>);
 
-impl Set {
+impl MemberList {
     fn new(addresses: &[net::SocketAddr]) -> sync::Arc<Self> {
-        let set = sync::Arc::new(Self::default());
-        set.change(addresses);
-        set
+        let members = sync::Arc::new(Self::default());
+        members.replace(addresses);
+        members
     }
 
-    fn change(&self, addresses: &[net::SocketAddr]) {
+    fn replace(&self, addresses: &[net::SocketAddr]) {
         let member = |address: &net::SocketAddr| forward::Member {
             vm: "entry".into(),
             address: *address,
@@ -278,7 +278,7 @@
     }
 }
 
-impl forward::Directory for Set {
+impl forward::Directory for MemberList {
     fn members(&self, _: &str) -> Vec<forward::Member> {
         self.0.lock().unwrap().clone()
     }
@@ -300,7 +300,7 @@
             hello: hello::Hello::new(key),
             executor: executor.clone(),
             clock: clock.clone(),
-            ping_timeout: LONG,
+            ping_timeout: UNREACHED_TIMEOUT,
         });
         Self {
             clock,
@@ -309,11 +309,11 @@
         }
     }
 
-    fn lane(&self, set: &sync::Arc<Set>, database: &str) -> forward::Lane {
-        forward::Lane::new(self.pool.clone(), set.clone(), database)
+    fn lane(&self, members: &sync::Arc<MemberList>, database: &str) -> forward::Lane {
+        forward::Lane::new(self.pool.clone(), members.clone(), database)
     }
 
-    fn batch(&self, class: class::Class, text: &str, patience: Duration) -> batch::Batch {
+    fn batch(&self, class: class::Class, text: &str, timeout: Duration) -> batch::Batch {
         let now = self.clock.now();
         batch::Batch {
             mixed: false,
@@ -328,24 +328,28 @@
             tables: vec![],
             token: None,
             arrived: now,
-            deadline: now + patience,
+            deadline: now + timeout,
         }
     }
 
     async fn run(&self, lane: &mut forward::Lane, class: class::Class, text: &str) -> peer::Answer {
-        lane.run(self.batch(class, text, GENEROUS)).await
+        lane.run(self.batch(class, text, REQUEST_TIMEOUT)).await
     }
 
-    async fn connection(&self, address: net::SocketAddr, silence: Duration) -> dial::Connection {
+    async fn connection(
+        &self,
+        address: net::SocketAddr,
+        ping_timeout: Duration,
+    ) -> dial::Connection {
         let stream = dial::Connector::connect(&dial::Tcp, address).await.unwrap();
         let hello = hello::Hello::new(KEY);
-        dial::Connection::open(stream, &hello, self.executor.clone(), silence)
+        dial::Connection::open(stream, &hello, self.executor.clone(), ping_timeout)
             .await
             .unwrap()
     }
 }
 
-fn text(answer: &peer::Answer) -> &[u8] {
+fn first_body(answer: &peer::Answer) -> &[u8] {
     &answer.as_ref().unwrap().frames[0].body
 }
 
@@ -355,7 +359,7 @@
 }
 
 /// Why an answer says that the batch surely did not run.
-fn not_run(answer: &peer::Answer) -> Option<Reason> {
+fn not_run_reason(answer: &peer::Answer) -> Option<Reason> {
     match answer {
         Err(Outcome::NotRun { reason, .. }) => Some(*reason),
         _ => None,
@@ -363,7 +367,7 @@
 }
 
 /// Why an answer says that the batch may have run.
-fn unknown(answer: &peer::Answer) -> Option<Reason> {
+fn unknown_reason(answer: &peer::Answer) -> Option<Reason> {
     match answer {
         Err(Outcome::Unknown { reason, .. }) => Some(*reason),
         _ => None,
@@ -371,7 +375,7 @@
 }
 
 /// An address where nothing listens.
-fn vacant() -> net::SocketAddr {
+fn unused_address() -> net::SocketAddr {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
@@ -380,10 +384,10 @@
 fn a_session_opens_runs_and_closes() {
     future::block_on(async {
         let (entry, proxy) = (Entry::start(KEY), Proxy::start("a"));
-        let set = Set::new(&[proxy.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[proxy.address]);
+        let mut lane = entry.lane(&members, "shows");
         let answer = entry.run(&mut lane, class::Class::Begin, "BEGIN").await;
-        assert_eq!(text(&answer), b"a");
+        assert_eq!(first_body(&answer), b"a");
         assert_eq!(answer.unwrap().transaction, transaction::State::Open);
         entry
             .run(&mut lane, class::Class::Write, "INSERT")
@@ -391,8 +395,8 @@
             .unwrap();
         assert_eq!(proxy.upstream.lanes.load(atomic::Ordering::Relaxed), 1);
         drop(lane);
-        proxy.upstream.rolled_back.1.recv().await.unwrap();
-        assert_eq!(proxy.upstream.ran(), ["BEGIN", "INSERT"]);
+        proxy.upstream.rollbacks.1.recv().await.unwrap();
+        assert_eq!(proxy.upstream.statements(), ["BEGIN", "INSERT"]);
     });
 }
 
@@ -400,12 +404,12 @@
 fn a_group_that_is_not_served_is_not_run() {
     future::block_on(async {
         let (entry, proxy) = (Entry::start(KEY), Proxy::start("a"));
-        let set = Set::new(&[proxy.address]);
-        let mut lane = entry.lane(&set, "unheard of");
+        let members = MemberList::new(&[proxy.address]);
+        let mut lane = entry.lane(&members, "unheard of");
         let batch = entry.batch(class::Class::Write, "INSERT", Duration::from_millis(200));
         let answer = lane.run(batch).await;
-        assert_eq!(not_run(&answer), Some(Reason::NoServer));
-        assert!(proxy.upstream.ran().is_empty());
+        assert_eq!(not_run_reason(&answer), Some(Reason::NoServer));
+        assert!(proxy.upstream.statements().is_empty());
     });
 }
 
@@ -417,13 +421,13 @@
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
-        let set = Set::new(&[a.address, b.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address, b.address]);
+        let mut lane = entry.lane(&members, "shows");
         entry
             .run(&mut lane, class::Class::Begin, "BEGIN")
             .await
             .unwrap();
-        set.change(&[b.address]);
+        members.replace(&[b.address]);
         for (class, text) in [
             (class::Class::Write, "INSERT"),
             (class::Class::Commit, "COMMIT"),
@@ -431,8 +435,8 @@
         ] {
             entry.run(&mut lane, class, text).await.unwrap();
         }
-        assert_eq!(a.upstream.ran(), ["BEGIN", "INSERT", "COMMIT"]);
-        assert_eq!(b.upstream.ran(), ["SELECT"]);
+        assert_eq!(a.upstream.statements(), ["BEGIN", "INSERT", "COMMIT"]);
+        assert_eq!(b.upstream.statements(), ["SELECT"]);
     });
 }
 
@@ -444,11 +448,11 @@
     // that nothing was sent.
     future::block_on(async {
         let (entry, proxy) = (Entry::start(KEY), Proxy::start("b"));
-        let set = Set::new(&[vacant(), proxy.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[unused_address(), proxy.address]);
+        let mut lane = entry.lane(&members, "shows");
         let answer = entry.run(&mut lane, class::Class::Write, "INSERT").await;
-        assert_eq!(text(&answer), b"b");
-        assert_eq!(proxy.upstream.ran(), ["INSERT"]);
+        assert_eq!(first_body(&answer), b"b");
+        assert_eq!(proxy.upstream.statements(), ["INSERT"]);
     });
 }
 
@@ -460,19 +464,19 @@
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
-        let set = Set::new(&[a.address, b.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address, b.address]);
+        let mut lane = entry.lane(&members, "shows");
         let killer = async {
-            a.upstream.started.1.recv().await.unwrap();
+            a.upstream.hang_started.1.recv().await.unwrap();
             a.kill().await;
         };
         let write = entry.run(&mut lane, class::Class::Write, "hang");
         let (answer, ()) = future::zip(write, killer).await;
-        assert_eq!(unknown(&answer), Some(Reason::ConnectionLost));
-        assert_eq!(a.upstream.ran(), ["hang"]);
+        assert_eq!(unknown_reason(&answer), Some(Reason::ConnectionLost));
+        assert_eq!(a.upstream.statements(), ["hang"]);
         let answer = entry.run(&mut lane, class::Class::Write, "INSERT").await;
-        assert_eq!(text(&answer), b"b");
-        assert_eq!(b.upstream.ran(), ["INSERT"]);
+        assert_eq!(first_body(&answer), b"b");
+        assert_eq!(b.upstream.statements(), ["INSERT"]);
     });
 }
 
@@ -484,23 +488,23 @@
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
-        let set = Set::new(&[a.address, b.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address, b.address]);
+        let mut lane = entry.lane(&members, "shows");
         let killer = async {
-            a.upstream.started.1.recv().await.unwrap();
-            set.change(&[b.address]);
+            a.upstream.hang_started.1.recv().await.unwrap();
+            members.replace(&[b.address]);
             a.kill().await;
-            b.upstream.started.1.recv().await.unwrap();
+            b.upstream.hang_started.1.recv().await.unwrap();
         };
         let read = async {
-            let patience = Duration::from_secs(2);
-            lane.run(entry.batch(class::Class::Read, "hang", patience))
+            let timeout = Duration::from_secs(2);
+            lane.run(entry.batch(class::Class::Read, "hang", timeout))
                 .await
         };
         let (answer, ()) = future::zip(read, killer).await;
-        assert_eq!(unknown(&answer), Some(Reason::Deadline));
-        assert_eq!(a.upstream.ran(), ["hang"]);
-        assert_eq!(b.upstream.ran(), ["hang"]);
+        assert_eq!(unknown_reason(&answer), Some(Reason::Deadline));
+        assert_eq!(a.upstream.statements(), ["hang"]);
+        assert_eq!(b.upstream.statements(), ["hang"]);
     });
 }
 
@@ -512,17 +516,17 @@
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
-        let set = Set::new(&[a.address, b.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address, b.address]);
+        let mut lane = entry.lane(&members, "shows");
         entry
             .run(&mut lane, class::Class::Begin, "BEGIN")
             .await
             .unwrap();
         a.kill().await;
-        a.upstream.rolled_back.1.recv().await.unwrap();
+        a.upstream.rollbacks.1.recv().await.unwrap();
         // Sent or not, depending on when the break is noticed; lost in any case.
         let answer = entry.run(&mut lane, class::Class::Write, "INSERT").await;
-        let reason = not_run(&answer).or(unknown(&answer));
+        let reason = not_run_reason(&answer).or(unknown_reason(&answer));
         assert_eq!(reason, Some(Reason::ConnectionLost));
         for class in [
             class::Class::Write,
@@ -530,12 +534,12 @@
             class::Class::Commit,
         ] {
             let answer = entry.run(&mut lane, class, "refused").await;
-            assert_eq!(not_run(&answer), Some(Reason::ConnectionLost));
+            assert_eq!(not_run_reason(&answer), Some(Reason::ConnectionLost));
         }
-        assert!(b.upstream.ran().is_empty());
+        assert!(b.upstream.statements().is_empty());
         let answer = entry.run(&mut lane, class::Class::Write, "INSERT").await;
-        assert_eq!(text(&answer), b"b");
-        assert_eq!(a.upstream.ran(), ["BEGIN"]);
+        assert_eq!(first_body(&answer), b"b");
+        assert_eq!(a.upstream.statements(), ["BEGIN"]);
     });
 }
 
@@ -546,8 +550,8 @@
     // Cause: keeping a session after one of its runs was given up.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
-        let set = Set::new(&[a.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address]);
+        let mut lane = entry.lane(&members, "shows");
         entry
             .run(&mut lane, class::Class::Begin, "BEGIN")
             .await
@@ -559,13 +563,13 @@
                 .unwrap();
         };
         let started = async {
-            a.upstream.started.1.recv().await.unwrap();
+            a.upstream.hang_started.1.recv().await.unwrap();
         };
         future::or(hang, started).await;
         let answer = entry.run(&mut lane, class::Class::Write, "INSERT").await;
-        assert_eq!(not_run(&answer), Some(Reason::ConnectionLost));
-        assert_eq!(a.upstream.ran(), ["BEGIN", "hang"]);
-        a.upstream.rolled_back.1.recv().await.unwrap();
+        assert_eq!(not_run_reason(&answer), Some(Reason::ConnectionLost));
+        assert_eq!(a.upstream.statements(), ["BEGIN", "hang"]);
+        a.upstream.rollbacks.1.recv().await.unwrap();
     });
 }
 
@@ -576,16 +580,16 @@
     // Cause: taking the passed deadline for a proof that nothing ran.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
-        let set = Set::new(&[a.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address]);
+        let mut lane = entry.lane(&members, "shows");
         let batch = entry.batch(class::Class::Write, "hang", Duration::from_secs(1));
         let answer = lane.run(batch).await;
-        assert_eq!(unknown(&answer), Some(Reason::Deadline));
+        assert_eq!(unknown_reason(&answer), Some(Reason::Deadline));
         entry
             .run(&mut lane, class::Class::Write, "INSERT")
             .await
             .unwrap();
-        assert_eq!(a.upstream.ran(), ["hang", "INSERT"]);
+        assert_eq!(a.upstream.statements(), ["hang", "INSERT"]);
     });
 }
 
@@ -596,16 +600,16 @@
     // Cause: no memory of what already ran.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
-        let connection = entry.connection(a.address, LONG).await;
-        let batch = entry.batch(class::Class::Write, "INSERT", GENEROUS);
+        let connection = entry.connection(a.address, UNREACHED_TIMEOUT).await;
+        let batch = entry.batch(class::Class::Write, "INSERT", REQUEST_TIMEOUT);
         let run = || {
             let mut run = peer::Run::new(&batch, entry.clock.now());
             run.open = Some("shows".into());
             connection.run(run)
         };
         run().await.unwrap().unwrap();
-        assert!(unknown(&run().await.unwrap()).is_some());
-        assert_eq!(a.upstream.ran(), ["INSERT"]);
+        assert!(unknown_reason(&run().await.unwrap()).is_some());
+        assert_eq!(a.upstream.statements(), ["INSERT"]);
     });
 }
 
@@ -616,13 +620,13 @@
     // Cause: writing what the connection cannot carry.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
-        let set = Set::new(&[a.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address]);
+        let mut lane = entry.lane(&members, "shows");
         let answer = entry.run(&mut lane, class::Class::Read, "large").await;
-        assert_eq!(text(&answer).len(), LARGE);
-        assert!(text(&answer).iter().all(|byte| *byte == 7));
+        assert_eq!(first_body(&answer).len(), LARGE_ANSWER_BYTES);
+        assert!(first_body(&answer).iter().all(|byte| *byte == 7));
         let answer = entry.run(&mut lane, class::Class::Read, "too large").await;
-        assert_eq!(unknown(&answer), Some(Reason::TooLarge));
+        assert_eq!(unknown_reason(&answer), Some(Reason::TooLarge));
         entry
             .run(&mut lane, class::Class::Read, "SELECT")
             .await
@@ -635,10 +639,10 @@
 fn many_sessions_share_a_connection_and_get_their_own_answers() {
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
-        let connection = entry.connection(a.address, LONG).await;
+        let connection = entry.connection(a.address, UNREACHED_TIMEOUT).await;
         let runs = (0..200).map(|number| {
             let text = format!("INSERT {number}");
-            let batch = entry.batch(class::Class::Write, &text, GENEROUS);
+            let batch = entry.batch(class::Class::Write, &text, REQUEST_TIMEOUT);
             let mut run = peer::Run::new(&batch, entry.clock.now());
             run.session = connection.new_session();
             run.open = Some("shows".into());
@@ -646,23 +650,23 @@
         });
         let answers = futures_util::future::join_all(runs).await;
         assert!(answers.iter().all(|answer| matches!(answer, Ok(Ok(_)))));
-        let ran: HashSet<_> = a.upstream.ran().into_iter().collect();
-        assert_eq!(ran.len(), 200);
+        let statements: HashSet<_> = a.upstream.statements().into_iter().collect();
+        assert_eq!(statements.len(), 200);
     });
 }
 
 #[test]
-fn a_stranger_is_refused() {
+fn a_client_with_another_key_or_protocol_is_refused() {
     // Symptom: a proxy of another installation runs statements here.
     // Events: a client with another key; a client that speaks another protocol.
     // Cause: serving whoever connects.
     future::block_on(async {
         let (entry, a) = (Entry::start("another key"), Proxy::start("a"));
-        let set = Set::new(&[a.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[a.address]);
+        let mut lane = entry.lane(&members, "shows");
         let batch = entry.batch(class::Class::Read, "SELECT", Duration::from_millis(300));
         let answer = lane.run(batch).await;
-        assert_eq!(not_run(&answer), Some(Reason::NoServer));
+        assert_eq!(not_run_reason(&answer), Some(Reason::NoServer));
 
         let mut stream = net::TcpStream::connect(a.address).unwrap();
         stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
@@ -677,15 +681,15 @@
 fn news_and_suspicions_pass_between_peers() {
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
-        let connection = entry.connection(a.address, LONG).await;
+        let connection = entry.connection(a.address, UNREACHED_TIMEOUT).await;
         let digest = peer::Digest {
-            sign: sign("entry-2", 3),
+            sign: heartbeat("entry-2", 3),
             report: Some(report(8)),
             roster: None,
         };
         assert_eq!(connection.exchange(digest).await, Ok(news(9)));
         assert_eq!(connection.announce(news(10)).await, Ok(()));
-        assert_eq!(*a.handler.announced.lock().unwrap(), [news(10)]);
+        assert_eq!(*a.handler.announced_news.lock().unwrap(), [news(10)]);
         let suspect = |term| peer::Suspect {
             group: "dome-sched-1".into(),
             term,
@@ -703,14 +707,14 @@
     future::block_on(async {
         let (entry, b) = (Entry::start(KEY), Proxy::start("b"));
         let silent = bind();
-        let set = Set::new(&[silent.local_addr().unwrap(), b.address]);
-        let mut lane = entry.lane(&set, "shows");
+        let members = MemberList::new(&[silent.local_addr().unwrap(), b.address]);
+        let mut lane = entry.lane(&members, "shows");
         let answer = entry.run(&mut lane, class::Class::Read, "SELECT").await;
-        assert_eq!(text(&answer), b"b");
-        let _a = Proxy::listen("a", silent, LONG);
+        assert_eq!(first_body(&answer), b"b");
+        let _a = Proxy::listen("a", silent, UNREACHED_TIMEOUT);
         loop {
             let answer = entry.run(&mut lane, class::Class::Read, "SELECT").await;
-            if text(&answer) == b"a" {
+            if first_body(&answer) == b"a" {
                 break;
             }
             async_io::Timer::after(Duration::from_millis(10)).await;
@@ -731,8 +735,9 @@
             let hello = hello::Hello::new(KEY);
             hello.accept::<(), ()>(Box::new(stream)).await.unwrap()
         };
-        let (connection, _held) = future::zip(entry.connection(address, SHORT), accept).await;
-        let batch = entry.batch(class::Class::Write, "INSERT", GENEROUS);
+        let (connection, _held) =
+            future::zip(entry.connection(address, SHORT_TIMEOUT), accept).await;
+        let batch = entry.batch(class::Class::Write, "INSERT", REQUEST_TIMEOUT);
         let run = peer::Run::new(&batch, entry.clock.now());
         assert_eq!(connection.run(run).await, Err(dial::Failure::Lost));
         assert!(!connection.alive());
@@ -745,14 +750,14 @@
     // Events: BEGIN is answered; the client's VM vanishes without closing.
     // Cause: waiting for the end of a stream that a silent network never shows.
     future::block_on(async {
-        let (entry, a) = (Entry::start(KEY), Proxy::listen("a", bind(), SHORT));
+        let (entry, a) = (Entry::start(KEY), Proxy::listen("a", bind(), SHORT_TIMEOUT));
         let stream = dial::Connector::connect(&dial::Tcp, a.address);
         let hello = hello::Hello::new(KEY);
         let mut client: hello::Framed<
             tarpc::Response<peer::PeerResponse>,
             tarpc::ClientMessage<peer::PeerRequest>,
         > = hello.connect(stream.await.unwrap()).await.unwrap();
-        let batch = entry.batch(class::Class::Begin, "BEGIN", GENEROUS);
+        let batch = entry.batch(class::Class::Begin, "BEGIN", REQUEST_TIMEOUT);
         let mut run = peer::Run::new(&batch, entry.clock.now());
         run.open = Some("shows".into());
         let request = tarpc::ClientMessage::Request(tarpc::Request {
@@ -762,7 +767,7 @@
         });
         client.send(request).await.unwrap();
         client.next().await.unwrap().unwrap();
-        a.upstream.rolled_back.1.recv().await.unwrap();
+        a.upstream.rollbacks.1.recv().await.unwrap();
     });
 }
 
@@ -774,9 +779,12 @@
     // Cause: ending the sessions of a connection only once all its requests have ended.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
-        let connection = entry.connection(a.address, LONG).await;
+        let connection = entry.connection(a.address, UNREACHED_TIMEOUT).await;
         let run = |class, text| {
-            let mut run = peer::Run::new(&entry.batch(class, text, GENEROUS), entry.clock.now());
+            let mut run = peer::Run::new(
+                &entry.batch(class, text, REQUEST_TIMEOUT),
+                entry.clock.now(),
+            );
             run.session = connection.new_session();
             run.open = Some("shows".into());
             connection.run(run)
@@ -786,10 +794,10 @@
             run(class::Class::Write, "hang").await.ok();
         };
         let started = async {
-            a.upstream.started.1.recv().await.unwrap();
+            a.upstream.hang_started.1.recv().await.unwrap();
         };
         future::or(hang, started).await;
         drop(connection);
-        a.upstream.rolled_back.1.recv().await.unwrap();
+        a.upstream.rollbacks.1.recv().await.unwrap();
     });
 }
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -31,23 +31,23 @@
 use pgwire::messages::response;
 
 /// Generous: a test that waits this long has failed.
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
+const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 type Script = dyn Fn(&batch::Batch) -> future::BoxFuture<'static, Answer> + Send + Sync;
 type Answer = Result<reply::Reply, outcome::Outcome>;
 
 /// Records batches and answers them by a script.
-struct Fake {
+struct ScriptedBackend {
     script: Box<Script>,
     batches: sync::Mutex<Vec<batch::Batch>>,
     lanes: sync::atomic::AtomicUsize,
 }
 
-struct FakeLane(sync::Arc<Fake>);
+struct ScriptedLane(sync::Arc<ScriptedBackend>);
 
-struct FakeSwitch(sync::Arc<Fake>);
+struct ScriptedFactory(sync::Arc<ScriptedBackend>);
 
-impl lane::Lane for FakeLane {
+impl lane::Lane for ScriptedLane {
     fn run(&mut self, batch: batch::Batch) -> future::BoxFuture<'_, Answer> {
         let answer = (self.0.script)(&batch);
         self.0.batches.lock().unwrap().push(batch);
@@ -55,10 +55,10 @@
     }
 }
 
-impl lane::Factory for FakeSwitch {
+impl lane::Factory for ScriptedFactory {
     fn lane(&self, database: &str) -> Option<Box<dyn lane::Lane>> {
         self.0.lanes.fetch_add(1, sync::atomic::Ordering::SeqCst);
-        (database == "dome").then(|| Box::new(FakeLane(self.0.clone())) as Box<dyn lane::Lane>)
+        (database == "dome").then(|| Box::new(ScriptedLane(self.0.clone())) as Box<dyn lane::Lane>)
     }
 
     fn deadline(&self, _: &str) -> time::Duration {
@@ -68,7 +68,7 @@
 
 /// A listener with its executor thread.
 struct Server {
-    fake: sync::Arc<Fake>,
+    backend: sync::Arc<ScriptedBackend>,
     address: net::SocketAddr,
     drain: drain::Signal,
     thread: Option<thread::JoinHandle<()>>,
@@ -79,24 +79,24 @@
         limits: session::Limits,
         script: impl Fn(&batch::Batch) -> future::BoxFuture<'static, Answer> + Send + Sync + 'static,
     ) -> Self {
-        let fake = sync::Arc::new(Fake {
+        let backend = sync::Arc::new(ScriptedBackend {
             script: Box::new(script),
             batches: sync::Mutex::default(),
             lanes: sync::atomic::AtomicUsize::new(0),
         });
         let drain = drain::Signal::new();
         let context = sync::Arc::new(session::Context::new(
-            sync::Arc::new(FakeSwitch(fake.clone())),
+            sync::Arc::new(ScriptedFactory(backend.clone())),
             sync::Arc::new(clock::Monotonic::new()),
             limits,
             drain.clone(),
         ));
-        let any = net::SocketAddr::from(([127, 0, 0, 1], 0));
-        let bounds = listener::Limits {
+        let any_port = net::SocketAddr::from(([127, 0, 0, 1], 0));
+        let listener_limits = listener::Limits {
             connections: 4,
             connections_per_address: 3,
         };
-        let listener = listener::Listener::bind(any, context, bounds);
+        let listener = listener::Listener::bind(any_port, context, listener_limits);
         let listener = futures_lite::future::block_on(listener).unwrap();
         let address = listener.address().unwrap();
         let thread = thread::spawn(move || {
@@ -107,7 +107,7 @@
             }));
         });
         Self {
-            fake,
+            backend,
             address,
             drain,
             thread: Some(thread),
@@ -115,22 +115,22 @@
     }
 
     fn batches(&self) -> Vec<batch::Batch> {
-        self.fake.batches.lock().unwrap().clone()
+        self.backend.batches.lock().unwrap().clone()
     }
 
     fn classes(&self) -> Vec<class::Class> {
         self.batches().iter().map(|batch| batch.class).collect()
     }
 
-    fn raw(&self) -> net::TcpStream {
+    fn connect(&self) -> net::TcpStream {
         let socket = net::TcpStream::connect(self.address).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         socket
     }
 
     /// A raw connection that has passed its startup.
-    fn open(&self) -> net::TcpStream {
-        let mut socket = self.raw();
+    fn open_session(&self) -> net::TcpStream {
+        let mut socket = self.connect();
         socket
             .write_all(&startup(&[("user", "desk"), ("database", "dome")]))
             .unwrap();
@@ -139,7 +139,7 @@
     }
 
     /// Runs a scenario with a real client.
-    fn client<T, F: Future<Output = T>>(
+    fn with_client<T, F: Future<Output = T>>(
         &self,
         options: &str,
         scenario: impl FnOnce(tokio_postgres::Client) -> F,
@@ -154,7 +154,7 @@
                     .await
                     .unwrap();
             let connection = tokio::spawn(connection);
-            let result = tokio::time::timeout(PATIENCE, scenario(client))
+            let result = tokio::time::timeout(TEST_TIMEOUT, scenario(client))
                 .await
                 .expect("scenario within its time");
             connection.abort();
@@ -227,7 +227,7 @@
 }
 
 /// Fields of an error frame as one text.
-fn text(frame: &frame::Frame) -> String {
+fn body_text(frame: &frame::Frame) -> String {
     String::from_utf8_lossy(&frame.body).replace('\0', "|")
 }
 
@@ -236,7 +236,7 @@
         .frames
         .iter()
         .filter(|frame| matches!(frame.tag, b'Q' | b'P'))
-        .map(text)
+        .map(body_text)
         .collect()
 }
 
@@ -257,7 +257,7 @@
 }
 
 fn answer_frame(frame: &frame::Frame) -> Vec<frame::Frame> {
-    let bare = |tag| frame::Frame {
+    let empty_frame = |tag| frame::Frame {
         tag,
         body: bytes::Bytes::new(),
     };
@@ -272,9 +272,9 @@
     let complete = frame::Frame::encode(&response::CommandComplete::new("SELECT 1".to_owned()));
     match frame.tag {
         b'Q' => vec![columns, row("dome"), complete],
-        b'P' => vec![bare(b'1')],
-        b'B' => vec![bare(b'2')],
-        b'C' => vec![bare(b'3')],
+        b'P' => vec![empty_frame(b'1')],
+        b'B' => vec![empty_frame(b'2')],
+        b'C' => vec![empty_frame(b'3')],
         b'D' if frame.body[0] == b'S' => vec![
             frame::Frame::encode(&data::ParameterDescription::new(vec![])),
             columns,
@@ -285,7 +285,7 @@
     }
 }
 
-fn plain(batch: &batch::Batch) -> future::BoxFuture<'static, Answer> {
+fn answer_at_once(batch: &batch::Batch) -> future::BoxFuture<'static, Answer> {
     future::ready(Ok(reply(batch))).boxed()
 }
 
@@ -318,7 +318,7 @@
         future::ready(Ok(reply)).boxed()
     });
     let options = "options='-c mangotray.token=3/77 -c mangotray.deadline=500ms'";
-    let token = server.client(options, |client| async move {
+    let token = server.with_client(options, |client| async move {
         client.simple_query("SELECT 1 FROM shows").await.unwrap();
         client
             .simple_query("INSERT INTO seats VALUES (1)")
@@ -348,8 +348,8 @@
 
 #[test]
 fn prepared_statements_are_self_contained_in_each_batch() {
-    let server = Server::start(limits(), plain);
-    let values = server.client("", |client| async move {
+    let server = Server::start(limits(), answer_at_once);
+    let values = server.with_client("", |client| async move {
         let statement = client.prepare("SELECT name FROM shows").await.unwrap();
         let first = client.query_one(&statement, &[]).await.unwrap();
         let second = client.query_one(&statement, &[]).await.unwrap();
@@ -372,8 +372,8 @@
 
 #[test]
 fn settings_of_the_proxy_are_answered_without_an_upstream() {
-    let server = Server::start(limits(), plain);
-    server.client("", |client| async move {
+    let server = Server::start(limits(), answer_at_once);
+    server.with_client("", |client| async move {
         client
             .batch_execute("SET mangotray.token = '4/8'")
             .await
@@ -415,9 +415,9 @@
         if sql(batch).contains("lost") {
             return future::ready(Err(not_run(reason::Reason::ConnectionLost))).boxed();
         }
-        plain(batch)
+        answer_at_once(batch)
     });
-    server.client("", |client| async move {
+    server.with_client("", |client| async move {
         client.batch_execute("BEGIN").await.unwrap();
         let error = client
             .simple_query("INSERT INTO lost VALUES (1)")
@@ -448,7 +448,7 @@
 }
 
 #[test]
-fn commit_without_answer_is_unknown_and_over() {
+fn commit_without_answer_is_unknown_and_ends_the_transaction() {
     let server = Server::start(limits(), |batch| {
         if batch.class == class::Class::Commit {
             let unknown = outcome::Outcome::Unknown {
@@ -457,9 +457,9 @@
             };
             return future::ready(Err(unknown)).boxed();
         }
-        plain(batch)
+        answer_at_once(batch)
     });
-    server.client("", |client| async move {
+    server.with_client("", |client| async move {
         client.batch_execute("BEGIN").await.unwrap();
         let error = client.batch_execute("COMMIT").await.unwrap_err();
         let database = error.as_db_error().unwrap();
@@ -484,9 +484,9 @@
         if sql(batch).contains("endless") {
             return future::pending().boxed();
         }
-        plain(batch)
+        answer_at_once(batch)
     });
-    let codes = server.client("", |client| async move {
+    let codes = server.with_client("", |client| async move {
         let mut codes = vec![];
         for statement in ["SELECT * FROM endless", "DELETE FROM endless"] {
             let token = client.cancel_token();
@@ -506,22 +506,26 @@
 
 #[test]
 fn unknown_database_is_named() {
-    let server = Server::start(limits(), plain);
-    let mut socket = server.raw();
+    let server = Server::start(limits(), answer_at_once);
+    let mut socket = server.connect();
     socket
         .write_all(&startup(&[("user", "desk"), ("database", "nowhere")]))
         .unwrap();
     let frames = read_until(&mut socket, b'E');
-    assert!(text(&frames[0]).contains("C3D000|"), "{}", text(&frames[0]));
-    assert!(text(&frames[0]).contains("\"nowhere\""));
+    assert!(
+        body_text(&frames[0]).contains("C3D000|"),
+        "{}",
+        body_text(&frames[0])
+    );
+    assert!(body_text(&frames[0]).contains("\"nowhere\""));
     assert_matches!(read_frame(&mut socket), Err(_), "closed after the error");
     server.stop();
 }
 
 #[test]
 fn encryption_requests_are_declined_and_startup_goes_on() {
-    let server = Server::start(limits(), plain);
-    let mut socket = server.raw();
+    let server = Server::start(limits(), answer_at_once);
+    let mut socket = server.connect();
     for code in [80_877_104_u32, 80_877_103] {
         socket
             .write_all(&packet(None, &code.to_be_bytes()))
@@ -539,11 +543,11 @@
 
 #[test]
 fn malformed_input_is_answered_and_the_process_goes_on() {
-    let small = session::Limits {
+    let small_limits = session::Limits {
         max_request_bytes: 2_000,
         ..limits()
     };
-    let server = Server::start(small, plain);
+    let server = Server::start(small_limits, answer_at_once);
     let mut oversized = vec![b'Q'];
     oversized.put_u32(2_000_000);
     let cases = [
@@ -565,15 +569,27 @@
         (packet(Some(b'!'), b""), "unexpected message of type '!'"),
     ];
     for (bytes, expected) in cases {
-        let mut socket = server.open();
+        let mut socket = server.open_session();
         socket.write_all(&bytes).unwrap();
         let error = read_frame(&mut socket).unwrap();
-        assert!(text(&error).contains("SFATAL|"), "{}", text(&error));
-        assert!(text(&error).contains("C08P01|"), "{}", text(&error));
-        assert!(text(&error).contains(expected), "{}", text(&error));
+        assert!(
+            body_text(&error).contains("SFATAL|"),
+            "{}",
+            body_text(&error)
+        );
+        assert!(
+            body_text(&error).contains("C08P01|"),
+            "{}",
+            body_text(&error)
+        );
+        assert!(
+            body_text(&error).contains(expected),
+            "{}",
+            body_text(&error)
+        );
         assert_matches!(read_frame(&mut socket), Err(_));
     }
-    let mut socket = server.open();
+    let mut socket = server.open_session();
     socket.write_all(&query("SELECT 1")).unwrap();
     assert_eq!(tags(&read_until(&mut socket, b'Z')), "TDCZ");
     server.stop();
@@ -581,7 +597,7 @@
 
 #[test]
 fn malformed_startup_is_answered() {
-    let server = Server::start(limits(), plain);
+    let server = Server::start(limits(), answer_at_once);
     let cases: [(Vec<u8>, &str); 4] = [
         (b"GET / HTTP/1.1\r\n\r\n".to_vec(), "invalid length"),
         (packet(None, &[0, 2, 0, 0]), "unsupported protocol 2.0"),
@@ -589,11 +605,19 @@
         (startup(&[("database", "dome")]), "no user name"),
     ];
     for (bytes, expected) in cases {
-        let mut socket = server.raw();
+        let mut socket = server.connect();
         socket.write_all(&bytes).unwrap();
         let error = read_frame(&mut socket).unwrap();
-        assert!(text(&error).contains("SFATAL|"), "{}", text(&error));
-        assert!(text(&error).contains(expected), "{}", text(&error));
+        assert!(
+            body_text(&error).contains("SFATAL|"),
+            "{}",
+            body_text(&error)
+        );
+        assert!(
+            body_text(&error).contains(expected),
+            "{}",
+            body_text(&error)
+        );
     }
     server.stop();
 }
@@ -602,14 +626,14 @@
 fn flush_is_refused_at_once_and_the_rest_is_skipped() {
     // Symptom: the caller hangs. Events: it sends Flush without Sync and waits for an
     // answer. Cause, were it so: an answer that is held back until the Sync.
-    let server = Server::start(limits(), plain);
-    let mut socket = server.open();
+    let server = Server::start(limits(), answer_at_once);
+    let mut socket = server.open_session();
     let parse = packet(Some(b'P'), b"\0SELECT 1\0\0\0");
     socket
         .write_all(&[parse.clone(), packet(Some(b'H'), b"")].concat())
         .unwrap();
     let error = read_frame(&mut socket).unwrap();
-    assert!(text(&error).contains("C0A000|"));
+    assert!(body_text(&error).contains("C0A000|"));
     socket
         .write_all(&[parse, packet(Some(b'S'), b"")].concat())
         .unwrap();
@@ -620,15 +644,15 @@
 
 #[test]
 fn drain_ends_idle_sessions_and_lets_transactions_finish() {
-    let server = Server::start(limits(), plain);
-    let mut idle = server.open();
-    let mut busy = server.open();
+    let server = Server::start(limits(), answer_at_once);
+    let mut idle = server.open_session();
+    let mut busy = server.open_session();
     busy.write_all(&query("BEGIN")).unwrap();
     read_until(&mut busy, b'Z');
     server.drain.start();
     let error = read_frame(&mut idle).unwrap();
-    assert!(text(&error).contains("SFATAL|"));
-    assert!(text(&error).contains("C57P01|"));
+    assert!(body_text(&error).contains("SFATAL|"));
+    assert!(body_text(&error).contains("C57P01|"));
     busy.write_all(&query("INSERT INTO seats /* in_transaction */ VALUES (1)"))
         .unwrap();
     assert_eq!(tags(&read_until(&mut busy, b'Z')), "TDCZ");
@@ -643,19 +667,20 @@
 }
 
 #[test]
-fn connections_over_the_limit_are_told_so() {
-    let server = Server::start(limits(), plain);
-    let mut held: Vec<_> = (0..3).map(|_| server.open()).collect();
-    let mut socket = server.raw();
+fn connections_over_the_limit_get_an_error() {
+    let server = Server::start(limits(), answer_at_once);
+    let mut held: Vec<_> = (0..3).map(|_| server.open_session()).collect();
+    let mut socket = server.connect();
     let error = read_frame(&mut socket).unwrap();
-    assert!(text(&error).contains("C53300|"));
+    assert!(body_text(&error).contains("C53300|"));
     held.pop();
     // The freed place is taken over as soon as the proxy has seen the close.
     let reopened = (0..100).any(|_| {
         thread::sleep(time::Duration::from_millis(50));
-        let mut socket = server.raw();
-        let hello = startup(&[("user", "desk"), ("database", "dome")]);
-        socket.write_all(&hello).is_ok() && read_frame(&mut socket).is_ok_and(|f| f.tag == b'R')
+        let mut socket = server.connect();
+        let startup_message = startup(&[("user", "desk"), ("database", "dome")]);
+        socket.write_all(&startup_message).is_ok()
+            && read_frame(&mut socket).is_ok_and(|f| f.tag == b'R')
     });
     assert!(reopened);
     drop(held);
@@ -663,33 +688,33 @@
 }
 
 #[test]
-fn callers_that_stall_are_let_go() {
+fn stalled_callers_are_disconnected() {
     // Symptom: connections to the database run out. Events: a caller leaves its
     // transaction open, another connects and says nothing, a third sends half a
     // request. Cause, were it so: waits without limit.
-    let hasty = session::Limits {
+    let short_limits = session::Limits {
         startup_timeout: time::Duration::from_millis(300),
         caller_timeout: time::Duration::from_millis(300),
         ..limits()
     };
-    let server = Server::start(hasty, plain);
-    let error = read_frame(&mut server.raw()).unwrap();
-    assert!(text(&error).contains("startup was not completed"));
-    let mut socket = server.open();
+    let server = Server::start(short_limits, answer_at_once);
+    let error = read_frame(&mut server.connect()).unwrap();
+    assert!(body_text(&error).contains("startup was not completed"));
+    let mut socket = server.open_session();
     socket.write_all(&query("BEGIN")).unwrap();
     let frames = read_until(&mut socket, b'E');
-    assert!(text(frames.last().unwrap()).contains("C25P03|"));
-    let mut socket = server.open();
+    assert!(body_text(frames.last().unwrap()).contains("C25P03|"));
+    let mut socket = server.open_session();
     socket
         .write_all(&packet(Some(b'P'), b"\0SELECT 1\0\0\0"))
         .unwrap();
     let error = read_frame(&mut socket).unwrap();
-    assert!(text(&error).contains("request was not completed"));
+    assert!(body_text(&error).contains("request was not completed"));
     server.stop();
 }
 
 #[test]
-fn cancel_that_comes_late_ends_nothing() {
+fn late_cancel_request_has_no_effect() {
     // Symptom: a statement that nobody canceled is. Events: a cancel request arrives
     // after the statement it was meant for has been answered. Cause, were it so: a
     // cancel that waits for the next statement.
@@ -701,12 +726,15 @@
         };
         slow.boxed()
     });
-    let mut socket = server.raw();
-    let hello = startup(&[("user", "desk"), ("database", "dome")]);
-    socket.write_all(&hello).unwrap();
-    let welcome = read_until(&mut socket, b'Z');
-    let key = welcome.iter().find(|frame| frame.tag == b'K').unwrap();
-    let mut cancel = server.raw();
+    let mut socket = server.connect();
+    let startup_message = startup(&[("user", "desk"), ("database", "dome")]);
+    socket.write_all(&startup_message).unwrap();
+    let startup_frames = read_until(&mut socket, b'Z');
+    let key = startup_frames
+        .iter()
+        .find(|frame| frame.tag == b'K')
+        .unwrap();
+    let mut cancel = server.connect();
     let body = [&80_877_102_u32.to_be_bytes(), &key.body[..]].concat();
     cancel.write_all(&packet(None, &body)).unwrap();
     // The proxy closes the connection once it has handled the cancel request.
@@ -730,12 +758,12 @@
             entered.send(()).unwrap();
             drop(held.lock().unwrap());
         }
-        plain(batch)
+        answer_at_once(batch)
     });
-    let (mut first, mut second) = (server.open(), server.open());
+    let (mut first, mut second) = (server.open_session(), server.open_session());
     let closed = gate.lock().unwrap();
     first.write_all(&query("SELECT 1 FROM held")).unwrap();
-    wait.recv_timeout(PATIENCE).unwrap();
+    wait.recv_timeout(TEST_TIMEOUT).unwrap();
     second.write_all(&query("SELECT 2 FROM shows")).unwrap();
     server.drain.start();
     drop(closed);
