--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Drives the real programs as an operator would.
+//! Runs the client and the daemon as an operator would and checks output and exit code.
 
 use std::fs;
 use std::io;
@@ -22,21 +22,22 @@
 const SETTINGS: &str = "[vm]\nname = entry-1\nfailure_domain = patan-hall\n\
     [listen]\ncallers = 127.0.0.1:0\n[platform]\naddress = 127.0.0.1:7000\n";
 
-/// Looks for a change that happens in the background, and the pause between them.
+/// Limit of status checks while a test waits for a change in the background.
 const MAX_STATUS_CHECKS: usize = 600;
+/// Pause between two status checks.
 const STATUS_CHECK_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// Address on which nobody listens: a port that needs rights and has no service.
+/// Address without a listener: a privileged port that no service uses.
 const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
 static NEXT_DIRECTORY: atomic::AtomicUsize = atomic::AtomicUsize::new(0);
 
-/// A directory of its own for the files of one test.
+/// A separate directory for the files of one test, removed at its end.
 struct Environment {
     directory: path::PathBuf,
 }
 
-/// What a program printed and how it ended.
+/// Output and exit code of a program.
 #[derive(Debug)]
 struct Output {
     exit_code: i32,
@@ -86,7 +87,7 @@
     }
 }
 
-/// A stand-in for the platform, served on a thread of its own until it is dropped.
+/// A simulated platform, served on a separate thread until it is dropped.
 struct Platform {
     service: sync::Arc<platform::Platform>,
     stop: Option<async_channel::Sender<()>>,
@@ -99,7 +100,7 @@
         let service = platform::Platform::start(platform::Options::default(), &executor).unwrap();
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let thread = thread::spawn(move || {
-            // The channel is closed to end the thread, never written to.
+            // Nothing is sent; closing the channel ends the thread.
             let _ = async_io::block_on(executor.run(stopped.recv()));
         });
         Self {
@@ -273,8 +274,8 @@
     assert_eq!(listed.expect("both proxies are registered").exit_code, 6);
 }
 
-// Symptom: callers see cut connections at each restart. Events: the platform ends a VM with
-// SIGTERM. Cause: a process that dies of the signal instead of draining.
+// Symptom: callers lose their connections at each restart. Events: the platform ends a VM with
+// SIGTERM. Cause: the signal ends the process before it has drained.
 #[test]
 fn a_terminated_daemon_drains_and_succeeds() {
     let platform = Platform::start();
@@ -300,8 +301,8 @@
     assert_eq!(ended.code(), Some(0));
 }
 
-// Symptom: a status that hangs or looks healthy. Events: the platform's service is down.
-// Cause: a client that takes an empty list for the whole truth.
+// Symptom: the status command hangs or reports a healthy system. Events: the service of the
+// platform is down. Cause: the client treats a failed request as an empty list of proxies.
 #[test]
 fn a_status_without_a_platform_is_unreachable() {
     let run = Environment::new().run_client(&["status", "--platform", UNUSED_ADDRESS]);
@@ -365,8 +366,8 @@
     assert!(same.stdout.ends_with("no change\n"), "{same:?}");
 }
 
-// Symptom: a file that nobody remembers being replaced. Events: two operators start from
-// revision 1; one applies, then the other. Cause: the second write goes over the first.
+// Symptom: an applied file is replaced without notice. Events: two operators start from
+// revision 1; one applies a file, then the other. Cause: the second overwrites the first.
 #[test]
 fn an_apply_from_an_old_revision_is_a_conflict() {
     let platform = Platform::start();
@@ -455,7 +456,7 @@
         })
     });
     proxy.crash();
-    // Nobody listens at the declared addresses.
+    // There is no listener at the declared addresses, so the group has no primary.
     let reached = reached.expect("the proxy follows the file");
     assert_eq!(reached.exit_code, 6, "{reached:?}");
     assert!(
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Forwarding between two proxies over real sockets, each with its own executor.
+//! Forwarding between proxies over TCP sockets; each proxy has its own executor.
 
 use std::collections::HashSet;
 use std::io::{Read, Write};
@@ -22,14 +22,17 @@
 };
 
 const KEY: &str = "key of the installation";
+/// Deadline of a request that a test expects to be answered or refused in time.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Silence that no connection of a test keeps, and one that a test waits for.
+/// Longer than any test runs, so that no connection times out.
 const UNREACHED_TIMEOUT: Duration = Duration::from_mins(1);
+/// Short enough for a test to wait for it.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 const LARGE_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Over the limit of an answer.
 const OVERSIZED_ANSWER_BYTES: usize = 65 * 1024 * 1024;
 
-/// What a served group did, counted where it was done.
+/// Records what the upstream of a served group does.
 struct Upstream {
     name: &'static str,
     statements: sync::Mutex<Vec<String>>,
@@ -188,7 +191,7 @@
     }
 }
 
-/// An executor with a thread of its own.
+/// Starts an executor on a separate thread.
 fn executor() -> sync::Arc<Executor<'static>> {
     let executor = sync::Arc::new(Executor::new());
     let runner = executor.clone();
@@ -196,7 +199,7 @@
     executor
 }
 
-/// A serving proxy that can be killed.
+/// A proxy that serves peers and can be killed.
 struct Proxy {
     address: net::SocketAddr,
     upstream: sync::Arc<Upstream>,
@@ -258,7 +261,7 @@
     }
 }
 
-/// A serving set that a test can change.
+/// A serving set whose members a test can replace.
 #[derive(Default)]
 struct MemberList(sync::Mutex<Vec<forward::Member>>);
 
@@ -284,7 +287,7 @@
     }
 }
 
-/// A proxy that forwards.
+/// A proxy that forwards to its peers.
 struct Entry {
     clock: sync::Arc<clock::Monotonic>,
     pool: sync::Arc<forward::Pool>,
@@ -358,7 +361,7 @@
     future::block_on(bind).unwrap()
 }
 
-/// Why an answer says that the batch surely did not run.
+/// Reason of an answer that the batch did not run.
 fn not_run_reason(answer: &peer::Answer) -> Option<Reason> {
     match answer {
         Err(Outcome::NotRun { reason, .. }) => Some(*reason),
@@ -366,7 +369,7 @@
     }
 }
 
-/// Why an answer says that the batch may have run.
+/// Reason of an answer that the outcome of the batch is unknown.
 fn unknown_reason(answer: &peer::Answer) -> Option<Reason> {
     match answer {
         Err(Outcome::Unknown { reason, .. }) => Some(*reason),
@@ -374,7 +377,7 @@
     }
 }
 
-/// An address where nothing listens.
+/// An address without a listener.
 fn unused_address() -> net::SocketAddr {
     let listener = net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
@@ -415,9 +418,9 @@
 
 #[test]
 fn an_open_transaction_stays_where_it_is() {
-    // Symptom: statements of one transaction on two proxies.
-    // Events: BEGIN at the first member; the serving set changes its order; INSERT.
-    // Cause: choosing a member for each batch without regard to the transaction.
+    // Symptom: statements of one transaction run on two proxies.
+    // Events: BEGIN at the first member; the member leaves the serving set; INSERT.
+    // Cause: a member is chosen for each batch even while a transaction is open.
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
@@ -442,10 +445,10 @@
 
 #[test]
 fn a_member_that_cannot_be_reached_is_passed_over() {
-    // Symptom: a write refused, or run twice, while one member is down.
-    // Events: the first member's process is gone; a write arrives.
-    // Cause: taking "the connection failed" for either answer without knowing
-    // that nothing was sent.
+    // Symptom: a write is refused, or run twice, while one member is down.
+    // Events: the first member does not listen; a write arrives.
+    // Cause: a failure to connect, where nothing was sent, is not told apart from a connection
+    // lost after the write was sent.
     future::block_on(async {
         let (entry, proxy) = (Entry::start(KEY), Proxy::start("b"));
         let members = MemberList::new(&[unused_address(), proxy.address]);
@@ -458,9 +461,9 @@
 
 #[test]
 fn a_write_cut_off_after_it_was_sent_is_unknown_and_never_repeated() {
-    // Symptom: a booking made twice.
-    // Events: a write runs at the first member; the member dies before it answers.
-    // Cause: sending a write again whose fate cannot be known.
+    // Symptom: a booking is made twice.
+    // Events: a write runs at the first member; the member crashes before it answers.
+    // Cause: a write whose outcome is unknown is sent again.
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
@@ -483,8 +486,8 @@
 #[test]
 fn a_read_cut_off_after_it_was_sent_runs_elsewhere() {
     // Symptom: a read fails although another member could answer it.
-    // Events: a read runs at the first member; the member dies before it answers.
-    // Cause: treating reads, which may be repeated, like writes.
+    // Events: a read runs at the first member; the member crashes before it answers.
+    // Cause: a read, which may be repeated, is treated like a write.
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
@@ -510,9 +513,9 @@
 
 #[test]
 fn a_lost_transaction_is_refused_until_it_is_ended() {
-    // Symptom: the second half of a transaction is kept, the first half is not.
-    // Events: BEGIN and INSERT at a member; the member dies; INSERT, COMMIT.
-    // Cause: opening a fresh session elsewhere under an open transaction.
+    // Symptom: the second half of a transaction is committed without the first half.
+    // Events: BEGIN at a member; the member crashes; INSERT, COMMIT.
+    // Cause: a new session is opened at another member while a transaction is open.
     future::block_on(async {
         let entry = Entry::start(KEY);
         let (a, b) = (Proxy::start("a"), Proxy::start("b"));
@@ -524,7 +527,7 @@
             .unwrap();
         a.kill().await;
         a.upstream.rollbacks.1.recv().await.unwrap();
-        // Sent or not, depending on when the break is noticed; lost in any case.
+        // Whether it is sent depends on when the loss is detected; it fails in either case.
         let answer = entry.run(&mut lane, class::Class::Write, "INSERT").await;
         let reason = not_run_reason(&answer).or(unknown_reason(&answer));
         assert_eq!(reason, Some(Reason::ConnectionLost));
@@ -547,7 +550,7 @@
 fn a_run_dropped_half_way_loses_its_transaction() {
     // Symptom: a statement runs in a transaction of unknown state.
     // Events: BEGIN; a statement hangs and its future is dropped; the next one runs.
-    // Cause: keeping a session after one of its runs was given up.
+    // Cause: a session is kept although one of its requests was abandoned.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
         let members = MemberList::new(&[a.address]);
@@ -575,9 +578,9 @@
 
 #[test]
 fn a_write_without_an_answer_in_time_is_unknown() {
-    // Symptom: a late write reported as "not run", then repeated by the caller.
+    // Symptom: a late write is reported as "not run", so the caller repeats it.
     // Events: a write is sent; its deadline passes without an answer.
-    // Cause: taking the passed deadline for a proof that nothing ran.
+    // Cause: an exceeded deadline is treated as proof that the write did not run.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
         let members = MemberList::new(&[a.address]);
@@ -595,9 +598,9 @@
 
 #[test]
 fn a_sequence_number_runs_once() {
-    // Symptom: a booking made twice.
+    // Symptom: a booking is made twice.
     // Events: the same message reaches a member twice.
-    // Cause: no memory of what already ran.
+    // Cause: the member does not record the sequence numbers of requests that ran.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
         let connection = entry.connection(a.address, UNREACHED_TIMEOUT).await;
@@ -615,9 +618,9 @@
 
 #[test]
 fn answers_are_whole_or_refused() {
-    // Symptom: an answer cut short, or every session of a connection lost with one.
-    // Events: an answer of many frames' size; an answer over the limit.
-    // Cause: writing what the connection cannot carry.
+    // Symptom: an answer is truncated, or one answer ends all sessions of a connection.
+    // Events: an answer as large as many frames; an answer over the limit.
+    // Cause: an answer over the limit is written to the connection.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
         let members = MemberList::new(&[a.address]);
@@ -658,8 +661,8 @@
 #[test]
 fn a_client_with_another_key_or_protocol_is_refused() {
     // Symptom: a proxy of another installation runs statements here.
-    // Events: a client with another key; a client that speaks another protocol.
-    // Cause: serving whoever connects.
+    // Events: a client with another key connects; a client with another protocol connects.
+    // Cause: connections are served without authentication.
     future::block_on(async {
         let (entry, a) = (Entry::start("another key"), Proxy::start("a"));
         let members = MemberList::new(&[a.address]);
@@ -701,9 +704,9 @@
 
 #[test]
 fn a_member_that_comes_back_is_used_again() {
-    // Symptom: a group's work stays on the second member for ever.
-    // Events: the first member accepts but does not answer; later it is well again.
-    // Cause: never trying a member again after its circuit has opened.
+    // Symptom: the requests of a group stay on the second member for ever.
+    // Events: the first member accepts but does not answer; later it answers again.
+    // Cause: a member is never tried again after its circuit has opened.
     future::block_on(async {
         let (entry, b) = (Entry::start(KEY), Proxy::start("b"));
         let silent = bind();
@@ -724,9 +727,10 @@
 
 #[test]
 fn a_peer_that_falls_silent_is_given_up_before_the_deadline() {
-    // Symptom: every request to a cut-off proxy waits for its whole deadline.
-    // Events: a connection stands; its packets go nowhere from now on; a write.
-    // Cause: waiting for an error that a silent network never gives.
+    // Symptom: every request to an unreachable proxy waits for its whole deadline.
+    // Events: a connection is open; the peer stops answering; a write is sent.
+    // Cause: the client waits for a socket error, which a network that drops packets does not
+    // report.
     future::block_on(async {
         let (entry, silent) = (Entry::start(KEY), bind());
         let address = silent.local_addr().unwrap();
@@ -746,9 +750,10 @@
 
 #[test]
 fn a_client_that_falls_silent_loses_its_transactions() {
-    // Symptom: locks of a dead proxy's transaction are held for ever.
-    // Events: BEGIN is answered; the client's VM vanishes without closing.
-    // Cause: waiting for the end of a stream that a silent network never shows.
+    // Symptom: locks of a failed proxy's transaction are held for ever.
+    // Events: BEGIN is answered; the client's VM fails without closing the connection.
+    // Cause: the server waits for the end of the stream, which a network that drops packets
+    // does not report.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::listen("a", bind(), SHORT_TIMEOUT));
         let stream = dial::Connector::connect(&dial::Tcp, a.address);
@@ -773,10 +778,10 @@
 
 #[test]
 fn a_client_that_ends_loses_its_transactions_at_once() {
-    // Symptom: locks of a dead proxy's transaction are held while another of its
+    // Symptom: locks of a failed proxy's transaction are held while another of its
     // requests runs.
-    // Events: BEGIN in one session; a write hangs in another; the client ends.
-    // Cause: ending the sessions of a connection only once all its requests have ended.
+    // Events: BEGIN in one session; a write hangs in another; the client closes the connection.
+    // Cause: the sessions of a connection end only after all its requests have ended.
     future::block_on(async {
         let (entry, a) = (Entry::start(KEY), Proxy::start("a"));
         let connection = entry.connection(a.address, UNREACHED_TIMEOUT).await;
--- a/tests/session.rs
+++ b/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions of callers over real sockets, with a lane that answers from a script.
+//! Caller sessions over TCP sockets, with a lane whose answers are scripted.
 
 use std::io;
 use std::io::Read;
@@ -30,7 +30,7 @@
 use pgwire::messages::data;
 use pgwire::messages::response;
 
-/// Generous: a test that waits this long has failed.
+/// Limit of a test's waits; exceeding it fails the test.
 const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 type Script = dyn Fn(&batch::Batch) -> future::BoxFuture<'static, Answer> + Send + Sync;
@@ -66,7 +66,7 @@
     }
 }
 
-/// A listener with its executor thread.
+/// A listener whose executor runs on a separate thread.
 struct Server {
     backend: sync::Arc<ScriptedBackend>,
     address: net::SocketAddr,
@@ -128,7 +128,7 @@
         socket
     }
 
-    /// A raw connection that has passed its startup.
+    /// Opens a connection and completes its startup.
     fn open_session(&self) -> net::TcpStream {
         let mut socket = self.connect();
         socket
@@ -138,7 +138,7 @@
         socket
     }
 
-    /// Runs a scenario with a real client.
+    /// Runs a scenario with the client of `tokio_postgres`.
     fn with_client<T, F: Future<Output = T>>(
         &self,
         options: &str,
@@ -156,7 +156,7 @@
             let connection = tokio::spawn(connection);
             let result = tokio::time::timeout(TEST_TIMEOUT, scenario(client))
                 .await
-                .expect("scenario within its time");
+                .expect("the scenario ends in time");
             connection.abort();
             result
         })
@@ -226,7 +226,7 @@
     frames.iter().map(|frame| char::from(frame.tag)).collect()
 }
 
-/// Fields of an error frame as one text.
+/// Body of a frame as text, with `|` in place of each zero byte.
 fn body_text(frame: &frame::Frame) -> String {
     String::from_utf8_lossy(&frame.body).replace('\0', "|")
 }
@@ -240,7 +240,7 @@
         .collect()
 }
 
-/// An instance's answer, frame by frame, with the state that the statements lead to.
+/// Answer of an instance to each frame, with the resulting transaction state.
 fn reply(batch: &batch::Batch) -> reply::Reply {
     let frames = batch.frames.iter().flat_map(answer_frame).collect();
     let transaction = match batch.class {
@@ -407,10 +407,10 @@
 
 #[test]
 fn outcomes_become_errors_and_end_the_transaction() {
-    // Symptom: a caller goes on in a transaction whose first half is gone, and its
-    // second half is committed alone. Events: the connection is lost within the
-    // transaction, the caller sends further statements and a commit. Cause, were it so:
-    // a session that forgets that its transaction ended at the database.
+    // Symptom: the second half of a transaction is committed without the first half.
+    // Events: the connection to the database is lost within the transaction; the caller
+    // sends further statements and a commit. Cause: the session does not record that its
+    // transaction has ended at the database.
     let server = Server::start(limits(), |batch| {
         if sql(batch).contains("lost") {
             return future::ready(Err(not_run(reason::Reason::ConnectionLost))).boxed();
@@ -443,7 +443,10 @@
     });
     let classes = server.classes();
     let expected = [class::Class::Begin, class::Class::Write, class::Class::Read];
-    assert_eq!(classes, expected, "nothing is sent on after the loss");
+    assert_eq!(
+        classes, expected,
+        "no statement is forwarded after the loss"
+    );
     server.stop();
 }
 
@@ -518,7 +521,11 @@
         body_text(&frames[0])
     );
     assert!(body_text(&frames[0]).contains("\"nowhere\""));
-    assert_matches!(read_frame(&mut socket), Err(_), "closed after the error");
+    assert_matches!(
+        read_frame(&mut socket),
+        Err(_),
+        "the connection is closed after the error"
+    );
     server.stop();
 }
 
@@ -625,7 +632,7 @@
 #[test]
 fn flush_is_refused_at_once_and_the_rest_is_skipped() {
     // Symptom: the caller hangs. Events: it sends Flush without Sync and waits for an
-    // answer. Cause, were it so: an answer that is held back until the Sync.
+    // answer. Cause: the answer is delayed until the Sync.
     let server = Server::start(limits(), answer_at_once);
     let mut socket = server.open_session();
     let parse = packet(Some(b'P'), b"\0SELECT 1\0\0\0");
@@ -674,7 +681,7 @@
     let error = read_frame(&mut socket).unwrap();
     assert!(body_text(&error).contains("C53300|"));
     held.pop();
-    // The freed place is taken over as soon as the proxy has seen the close.
+    // A new connection is accepted once the proxy has processed the close.
     let reopened = (0..100).any(|_| {
         thread::sleep(time::Duration::from_millis(50));
         let mut socket = server.connect();
@@ -689,9 +696,9 @@
 
 #[test]
 fn stalled_callers_are_disconnected() {
-    // Symptom: connections to the database run out. Events: a caller leaves its
-    // transaction open, another connects and says nothing, a third sends half a
-    // request. Cause, were it so: waits without limit.
+    // Symptom: connections to the database run out. Events: one caller connects and sends
+    // nothing, another leaves its transaction open, a third sends an incomplete request.
+    // Cause: the proxy waits for callers without a time limit.
     let short_limits = session::Limits {
         startup_timeout: time::Duration::from_millis(300),
         caller_timeout: time::Duration::from_millis(300),
@@ -715,9 +722,9 @@
 
 #[test]
 fn late_cancel_request_has_no_effect() {
-    // Symptom: a statement that nobody canceled is. Events: a cancel request arrives
-    // after the statement it was meant for has been answered. Cause, were it so: a
-    // cancel that waits for the next statement.
+    // Symptom: a statement is canceled although no cancel request was meant for it. Events: a
+    // cancel request arrives while no statement runs; then a statement is sent. Cause: the
+    // cancel request is kept for the next statement.
     let server = Server::start(limits(), |batch| {
         let reply = reply(batch);
         let slow = async move {
@@ -746,15 +753,15 @@
 
 #[test]
 fn request_that_arrived_before_the_drain_is_served() {
-    // Symptom: a caller is cut off with its request in flight. Events: the request is
-    // already in the socket when the process begins to drain, and is read afterwards.
-    // Cause, were it so: a session that looks for the drain before it reads.
+    // Symptom: a caller is disconnected while its request is in flight. Events: the request is
+    // already in the socket buffer when the drain begins, and is read afterwards.
+    // Cause: the session checks for the drain before it reads.
     let gate = sync::Arc::new(sync::Mutex::new(()));
     let held = gate.clone();
     let (entered, wait) = sync::mpsc::channel();
     let server = Server::start(limits(), move |batch| {
         if sql(batch).contains("held") {
-            // Holds the only thread of the executor, so no other session is polled.
+            // Blocks the only thread of the executor, so that no other session is polled.
             entered.send(()).unwrap();
             drop(held.lock().unwrap());
         }
