--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -57,7 +57,7 @@
         if !handshake::negotiate(&instance, &mut stream).await? {
             return Ok(());
         }
-        let seat = stats::Seat::take(&instance);
+        let seat = stats::Connection::acquire(&instance);
         pause(instance.options.connect_cost).await;
         let mut backend = Self {
             database: instance.connect()?,
@@ -103,7 +103,7 @@
             return;
         }
         let _slot = instance.slots.acquire().await;
-        let _busy = stats::Busy::count(&instance);
+        let _busy = stats::BusySlot::count(&instance);
         pause(instance.options.statement_cost).await;
         instance.process.pass().await;
         instance.stats().statements += work.len();
--- a/lab/src/call.rs
+++ b/lab/src/call.rs
@@ -64,22 +64,22 @@
     /// ```
     #[must_use]
     pub fn parse(method: &hyper::Method, uri: &hyper::Uri, body: bytes::Bytes) -> Option<Self> {
-        let query = pairs(uri.query().unwrap_or_default());
+        let query = parse_query(uri.query().unwrap_or_default());
         let path = percent_encoding::percent_decode_str(uri.path())
             .decode_utf8()
             .ok()?
             .into_owned();
-        let parts = |prefix: &str| path.strip_prefix(prefix).map(str::to_owned);
-        let get = *method == hyper::Method::GET;
+        let id_after = |prefix: &str| path.strip_prefix(prefix).map(str::to_owned);
+        let is_get = *method == hyper::Method::GET;
         let (kind, key) = match () {
             () if path == "/v1/vms" => (Kind::Vms, String::new()),
             () if path == "/v1/session/create" => (Kind::Grant, String::new()),
-            () => parts("/v1/session/renew/")
+            () => id_after("/v1/session/renew/")
                 .map(|id| (Kind::Renew, id))
-                .or_else(|| parts("/v1/session/destroy/").map(|id| (Kind::Revoke, id)))
-                .or_else(|| parts("/v1/kv/").map(|key| (key_call(get, &query), key)))?,
+                .or_else(|| id_after("/v1/session/destroy/").map(|id| (Kind::Revoke, id)))
+                .or_else(|| id_after("/v1/kv/").map(|key| (key_call(is_get, &query), key)))?,
         };
-        (get != kind.changes()).then_some(Self {
+        (is_get != kind.changes()).then_some(Self {
             kind,
             key,
             query,
@@ -109,8 +109,8 @@
     }
 }
 
-fn key_call(get: bool, query: &collections::HashMap<String, String>) -> Kind {
-    match get {
+fn key_call(is_get: bool, query: &collections::HashMap<String, String>) -> Kind {
+    match is_get {
         false => Kind::Swap,
         true if query.contains_key("recurse") => Kind::List,
         true if query.contains_key("index") => Kind::Watch,
@@ -118,7 +118,7 @@
     }
 }
 
-fn pairs(query: &str) -> collections::HashMap<String, String> {
+fn parse_query(query: &str) -> collections::HashMap<String, String> {
     query
         .split('&')
         .map(|pair| pair.split_once('=').unwrap_or((pair, "")))
--- a/lab/src/caller.rs
+++ b/lab/src/caller.rs
@@ -16,9 +16,9 @@
 use crate::verdict;
 
 /// Own rows that a read asks for, counted back from the newest.
-const RECENT: u32 = 50;
+const OWN_ROWS_LIMIT: u32 = 50;
 
-const RESIZED: &str = "histograms resize themselves";
+const HISTOGRAM_RESIZES: &str = "histograms resize themselves";
 
 /// What a caller needs to know before it starts.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     /// Seed of the caller's own choices.
     pub seed: u64,
     /// Longest wait for one answer; must exceed the deadline for late answers to be seen.
-    pub patience: time::Duration,
+    pub answer_timeout: time::Duration,
 }
 
 /// One caller with a connection to each proxy.
@@ -71,29 +71,29 @@
     }
 
     /// Pauses, draws a kind of request and a proxy, and runs the request.
-    pub async fn step(&mut self) {
-        let share = self.random.f64() * 2.0;
-        tokio::time::sleep(self.plan.profile.pause.mul_f64(share)).await;
-        let proxy = self.roam().await;
+    pub async fn run_request(&mut self) {
+        let pause_factor = self.random.f64() * 2.0;
+        tokio::time::sleep(self.plan.profile.pause.mul_f64(pause_factor)).await;
+        let proxy = self.choose_proxy().await;
         match self.plan.profile.mix.kind(self.random.u32(..100)) {
-            profile::Kind::Book => {
+            profile::Kind::Write => {
                 let item = self.random.u32(1..=profile::ITEMS);
-                let separate = self.random.u32(..100) < self.plan.profile.separate;
-                self.book(proxy, item, separate).await;
+                let unbatched = self.random.u32(..100) < self.plan.profile.unbatched_percent;
+                self.write(proxy, item, unbatched).await;
             }
-            profile::Kind::Own => self.own(proxy).await,
-            profile::Kind::Detail => self.detail(proxy).await,
-            profile::Kind::List => self.list(proxy).await,
+            profile::Kind::OwnRows => self.read_own_rows(proxy).await,
+            profile::Kind::Item => self.read_item(proxy).await,
+            profile::Kind::Listing => self.read_listing(proxy).await,
         }
     }
 
     /// A proxy drawn among those that take connections, as a balancer would choose.
     /// When none does, any one: the request is then counted as refused.
-    async fn roam(&mut self) -> usize {
+    async fn choose_proxy(&mut self) -> usize {
         let first = self.random.usize(..self.links.len());
         for offset in 0..self.links.len() {
             let proxy = (first + offset) % self.links.len();
-            if self.link(proxy).await.is_some() {
+            if self.connected_link(proxy).await.is_some() {
                 return proxy;
             }
         }
@@ -103,82 +103,90 @@
     /// Writes once to the prober's item, in one batch.
     pub async fn probe(&mut self) {
         let sent = time::Instant::now();
-        let proxy = self.roam().await;
-        let told = self.book(proxy, profile::PROBER_ITEM, false).await;
-        if told == ledger::Told::Confirmed {
+        let proxy = self.choose_proxy().await;
+        let outcome = self.write(proxy, profile::PROBER_ITEM, false).await;
+        if outcome == ledger::Outcome::Confirmed {
             let confirmed = time::Instant::now();
             self.note.probes.push(note::Probe { sent, confirmed });
         }
     }
 
     /// Runs one transaction, statement by statement or as one batch.
-    async fn book(&mut self, proxy: usize, item: ledger::Item, separate: bool) -> ledger::Told {
-        let booking = self.booking(item);
+    async fn write(
+        &mut self,
+        proxy: usize,
+        item: ledger::Item,
+        unbatched: bool,
+    ) -> ledger::Outcome {
+        let booking = self.new_booking(item);
         let statements = self.plan.profile.book(&booking);
-        let batches = if separate {
+        let batches = if unbatched {
             statements.to_vec()
         } else {
             vec![statements.join("; ")]
         };
         let start = time::Instant::now();
-        let told = self.transact(proxy, &batches).await;
-        if told == ledger::Told::Confirmed {
+        let outcome = self.transact(proxy, &batches).await;
+        if outcome == ledger::Outcome::Confirmed {
             self.confirm(booking.sequence, item, start);
         }
-        self.note.promises.push(ledger::Promise {
+        self.note.attempts.push(ledger::Attempt {
             key: booking.key,
             marker: booking.marker,
             item,
-            told,
+            outcome,
         });
-        told
+        outcome
     }
 
     fn confirm(&mut self, sequence: u32, item: ledger::Item, start: time::Instant) {
         let now = time::Instant::now();
-        self.plan.history.confirm(item, now);
+        self.plan.history.record(item, now);
         self.confirmed.insert(sequence, item);
         if item != profile::PROBER_ITEM {
             let latency = note::micros(now - start);
-            self.note.write_latency.record(latency).expect(RESIZED);
+            self.note
+                .write_latency
+                .record(latency)
+                .expect(HISTOGRAM_RESIZES);
         }
     }
 
-    fn booking(&mut self, item: ledger::Item) -> query::Booking {
+    fn new_booking(&mut self, item: ledger::Item) -> query::Booking {
         self.sequence += 1;
         query::Booking {
             key: ledger::key(&self.plan.name, self.sequence),
             caller: self.plan.name.clone(),
             sequence: self.sequence,
-            marker: self.marker(),
+            marker: self.new_marker(),
             item,
         }
     }
 
-    fn marker(&mut self) -> CompactString {
+    fn new_marker(&mut self) -> CompactString {
         compact_str::format_compact!("m{:016x}", self.random.u64(..))
     }
 
     /// Without an answer to all statements before the commit, the commit is not
     /// sent: such a transaction must leave no trace, which the audit checks.
-    async fn transact(&mut self, proxy: usize, batches: &[String]) -> ledger::Told {
+    async fn transact(&mut self, proxy: usize, batches: &[String]) -> ledger::Outcome {
         let Some((commit, before)) = batches.split_last() else {
-            return ledger::Told::NotRun;
+            return ledger::Outcome::NotRun;
         };
         for batch in before {
             let Some(link::Answer::Rows(_)) = self.ask(proxy, batch).await else {
                 self.abandon(proxy).await;
-                return ledger::Told::NotRun;
+                return ledger::Outcome::NotRun;
             };
         }
         let Some(answer) = self.ask(proxy, commit).await else {
-            return ledger::Told::NotRun;
+            return ledger::Outcome::NotRun;
         };
-        let told = answer.told();
-        if told != ledger::Told::Confirmed {
+        let outcome = answer.told();
+        if outcome != ledger::Outcome::Confirmed {
             self.abandon(proxy).await;
         }
-        told
+        outcome
     }
 
     /// Ends a failed transaction, by rollback or by closing the connection.
@@ -193,49 +201,50 @@
     /// Sends one request and waits; `None` when no connection could be had, so
     /// that nothing was sent.
     async fn ask(&mut self, proxy: usize, sql: &str) -> Option<link::Answer> {
-        let patience = self.plan.patience;
-        let link = self.link(proxy).await?;
-        let (answer, elapsed) = link.ask(sql, patience).await;
-        self.note.time(elapsed, self.plan.profile.deadline);
+        let answer_timeout = self.plan.answer_timeout;
+        let link = self.connected_link(proxy).await?;
+        let (answer, elapsed) = link.ask(sql, answer_timeout).await;
+        self.note
+            .record_duration(elapsed, self.plan.profile.deadline);
         match &answer {
             link::Answer::Rows(_) => {}
             link::Answer::Refused(_, refusal) => {
                 *self.note.refusals.entry(refusal.clone()).or_default() += 1;
             }
             link::Answer::Lost => {
-                self.note.cut += 1;
+                self.note.unanswered += 1;
                 self.links[proxy] = None;
             }
         }
         Some(answer)
     }
 
-    async fn link(&mut self, proxy: usize) -> Option<&link::Link> {
+    async fn connected_link(&mut self, proxy: usize) -> Option<&link::Link> {
         let open = self.links[proxy].as_ref().is_some_and(link::Link::is_open);
         if !open {
-            let reach = self.plan.profile.reach;
+            let delay = self.plan.profile.caller_delay;
             let address = self.plan.proxies[proxy];
-            let opened = link::Link::open(address, &self.plan.database, reach).await;
+            let opened = link::Link::open(address, &self.plan.database, delay).await;
             self.links[proxy] = opened.ok();
         }
         self.links[proxy].as_ref()
     }
 
-    async fn own(&mut self, proxy: usize) {
-        let request = self.marker();
-        let after = self.sequence.saturating_sub(RECENT);
+    async fn read_own_rows(&mut self, proxy: usize) {
+        let request = self.new_marker();
+        let after = self.sequence.saturating_sub(OWN_ROWS_LIMIT);
         let sql = self.plan.profile.own(&request, &self.plan.name, after);
         let Some(rows) = self.read(proxy, &sql).await else {
             return;
         };
         let confirmed = self.confirmed.range(after + 1..).map(|(number, _)| *number);
-        let judged = verdict::Own::parse(&rows)
-            .map(|rows| verdict::Verdict::own(&rows, &request, &self.plan.name, confirmed));
-        self.judge(proxy, &sql, judged);
+        let judged = verdict::OwnRow::parse(&rows)
+            .map(|rows| verdict::Verdict::own_rows(&rows, &request, &self.plan.name, confirmed));
+        self.record_verdict(proxy, &sql, judged);
     }
 
-    async fn detail(&mut self, proxy: usize) {
-        let request = self.marker();
+    async fn read_item(&mut self, proxy: usize) {
+        let request = self.new_marker();
         let item = self.random.u32(1..=profile::ITEMS);
         let sql = self.plan.profile.detail(&request, item);
         let Some(rows) = self.read(proxy, &sql).await else {
@@ -243,21 +252,21 @@
         };
         let own = self.confirmed.values().filter(|it| **it == item).count();
         let judged = verdict::Counter::parse(&rows)
-            .map(|rows| verdict::Verdict::detail(&rows, &request, item, own));
-        self.judge(proxy, &sql, judged);
+            .map(|rows| verdict::Verdict::item(&rows, &request, item, own));
+        self.record_verdict(proxy, &sql, judged);
     }
 
-    async fn list(&mut self, proxy: usize) {
-        let request = self.marker();
+    async fn read_listing(&mut self, proxy: usize) {
+        let request = self.new_marker();
         let sql = self.plan.profile.list(&request);
-        let oldest = time::Instant::now().checked_sub(profile::LISTING_AGE);
+        let oldest = time::Instant::now().checked_sub(profile::MAX_LISTING_AGE);
         let Some(rows) = self.read(proxy, &sql).await else {
             return;
         };
-        let confirmed = |item| oldest.map_or(0, |at| self.plan.history.before(item, at));
+        let confirmed = |item| oldest.map_or(0, |at| self.plan.history.confirmed_by(item, at));
         let judged = verdict::Counter::parse(&rows)
-            .map(|rows| verdict::Verdict::list(&rows, &request, confirmed));
-        self.judge(proxy, &sql, judged);
+            .map(|rows| verdict::Verdict::listing(&rows, &request, confirmed));
+        self.record_verdict(proxy, &sql, judged);
     }
 
     async fn read(
@@ -272,14 +281,17 @@
         };
         self.note.reads += 1;
         let latency = note::micros(start.elapsed());
-        self.note.read_latency.record(latency).expect(RESIZED);
+        self.note
+            .read_latency
+            .record(latency)
+            .expect(HISTOGRAM_RESIZES);
         Some(rows)
     }
 
-    fn judge(&mut self, proxy: usize, sql: &str, judged: Option<verdict::Verdict>) {
+    fn record_verdict(&mut self, proxy: usize, sql: &str, judged: Option<verdict::Verdict>) {
         let verdict = judged.unwrap_or(verdict::Verdict::FOREIGN);
         let caller = &self.plan.name;
-        self.note.judge(verdict, || {
+        self.note.record_verdict(verdict, || {
             compact_str::format_compact!("{caller} at proxy {proxy}: {verdict:?}: {sql}")
         });
     }
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -23,12 +23,12 @@
 use crate::profile;
 use crate::stage;
 
-const THREADS: usize = 3;
-const PATIENCE: time::Duration = time::Duration::from_mins(1);
+const STAND_IN_THREADS: usize = 3;
+const START_TIMEOUT: time::Duration = time::Duration::from_mins(1);
 const PLATFORM_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Callers that a proxy admits; more than any section connects.
-const CALLERS: usize = 10_000;
+const MAX_CALLERS: usize = 10_000;
 
 /// What to start.
 #[derive(Clone, Copy, Debug, Default)]
@@ -38,9 +38,9 @@
     /// Groups that the proxies serve.
     pub groups: usize,
     /// Groups that are declared and fall to VMs that do not run, in place of `groups`.
-    pub foreign: usize,
+    pub foreign_groups: usize,
     /// Whether the paths to the platform and to the instances are counted.
-    pub counted: bool,
+    pub count_traffic: bool,
 }
 
 /// Everything that was started.
@@ -52,9 +52,9 @@
     /// Where the proxies take callers.
     pub callers: Vec<net::SocketAddr>,
     /// Bytes between the proxies and the platform.
-    pub store: sync::Arc<relay::Count>,
+    pub store: sync::Arc<relay::Traffic>,
     /// Bytes between the proxies and the instances.
-    pub instances: sync::Arc<relay::Count>,
+    pub instances: sync::Arc<relay::Traffic>,
     profile: profile::Profile,
     daemons: Vec<daemon::Daemon>,
     stop: async_channel::Sender<()>,
@@ -71,8 +71,8 @@
         };
         let executor = sync::Arc::new(async_executor::Executor::new());
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let threads = (0..THREADS)
-            .map(|_| drive(&executor, &stopped))
+        let threads = (0..STAND_IN_THREADS)
+            .map(|_| spawn_executor_thread(&executor, &stopped))
             .collect::<Result<_, _>>()?;
         let platform = platform::Platform::start(platform::Options::default(), &executor)?;
         let clusters = (0..options.groups)
@@ -92,7 +92,7 @@
         let catalog = bench.catalog(options)?;
         apply(&bench.platform, &catalog, &executor)?;
         bench.add_proxies(options)?;
-        bench.settle()?;
+        bench.wait_until_served()?;
         Ok(bench)
     }
 
@@ -129,14 +129,14 @@
             .iter()
             .map(|cluster| self.profile.declare(cluster))
             .collect();
-        if options.counted {
+        if options.count_traffic {
             let instances = groups.iter_mut().flat_map(|group| &mut group.instances);
             for instance in instances {
                 instance.address = relay::start(instance.address, &self.instances)?;
             }
         }
-        groups.extend((0..options.foreign).map(foreign));
-        let absent = (options.foreign > 0).then(|| id::Vm::from("absent"));
+        groups.extend((0..options.foreign_groups).map(foreign_group));
+        let absent = (options.foreign_groups > 0).then(|| id::Vm::from("absent"));
         Ok(catalog::Catalog {
             groups,
             vms: absent.into_iter().collect(),
@@ -145,7 +145,7 @@
 
     fn add_proxies(&mut self, options: Options) -> eyre::Result<()> {
         let mut address = self.platform.address();
-        if options.counted {
+        if options.count_traffic {
             address = relay::start(address, &self.store)?;
         }
         let domains = self.profile.domains;
@@ -153,7 +153,7 @@
             let settings = settings(index, domains[index % domains.len()], address);
             // The daemon's threads take this thread's name, see `usage`.
             let starting = thread::Builder::new()
-                .name(usage::PROXIES.to_owned())
+                .name(usage::PROXY_THREAD_NAME.to_owned())
                 .spawn(move || daemon::Daemon::start(&settings, policy::Policy::Default))?;
             let started = starting.join();
             let daemon = started.map_err(|_| eyre::eyre!("a proxy panicked"))??;
@@ -163,9 +163,12 @@
         Ok(())
     }
 
-    fn settle(&self) -> eyre::Result<()> {
+    fn wait_until_served(&self) -> eyre::Result<()> {
         let configured = || self.daemons.iter().all(|daemon| daemon.revision() > 0);
-        eyre::ensure!(stage::wait_until(PATIENCE, configured), "no configuration");
+        eyre::ensure!(
+            stage::wait_until(START_TIMEOUT, configured),
+            "no configuration"
+        );
         for proxy in &self.callers {
             for group in 0..self.clusters.len() {
                 let database = self.database(group);
@@ -173,7 +176,7 @@
                     let client = client::Client::connect(*proxy, &database);
                     client.is_ok_and(|mut client| client.run("SELECT 1").is_ok())
                 };
-                let answered = stage::wait_until(PATIENCE, answers);
+                let answered = stage::wait_until(START_TIMEOUT, answers);
                 eyre::ensure!(answered, "{database} is not served");
             }
         }
@@ -181,7 +184,7 @@
     }
 }
 
-fn drive(
+fn spawn_executor_thread(
     executor: &sync::Arc<async_executor::Executor<'static>>,
     stopped: &async_channel::Receiver<()>,
 ) -> std::io::Result<thread::JoinHandle<()>> {
@@ -232,8 +235,8 @@
         },
         peers: settings::Peers::default(),
         limits: settings::Limits {
-            callers: CALLERS,
-            callers_per_address: CALLERS,
+            callers: MAX_CALLERS,
+            callers_per_address: MAX_CALLERS,
             ..settings::Limits::default()
         },
         log: settings::Log::default(),
@@ -245,15 +248,15 @@
 }
 
 /// Address of the first instance that nobody connects to.
-const FIRST: u32 = net::Ipv4Addr::new(10, 0, 0, 1).to_bits();
+const FIRST_FOREIGN_ADDRESS: u32 = net::Ipv4Addr::new(10, 0, 0, 1).to_bits();
 
 /// A group like those of the users' profile that nobody ever connects to.
-pub fn foreign(index: usize) -> database::Group {
+pub fn foreign_group(index: usize) -> database::Group {
     let name = compact_str::format_compact!("dome_sched_{index}");
     let domains = profile::Profile::tarapath().domains;
     let instances = domains.iter().enumerate().map(|(number, domain)| {
         let offset = u32::try_from(index * domains.len() + number);
-        let address = net::Ipv4Addr::from_bits(FIRST + offset.unwrap_or_default());
+        let address = net::Ipv4Addr::from_bits(FIRST_FOREIGN_ADDRESS + offset.unwrap_or_default());
         database::Instance {
             name: compact_str::format_compact!("{name}-{number}"),
             address: net::SocketAddr::from((address, 5432)),
--- a/lab/src/capacity/client.rs
+++ b/lab/src/capacity/client.rs
@@ -5,11 +5,11 @@
 use std::net;
 use std::time;
 
-const VERSION: i32 = 196_608;
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
-const HEADER: usize = 5;
-const READY: u8 = b'Z';
-const ERROR: u8 = b'E';
+const PROTOCOL_VERSION: i32 = 196_608;
+const READ_TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const HEADER_BYTES: usize = 5;
+const READY_FOR_QUERY: u8 = b'Z';
+const ERROR_RESPONSE: u8 = b'E';
 
 /// One connection that is open for statements.
 pub struct Client {
@@ -21,12 +21,12 @@
     pub fn connect(proxy: net::SocketAddr, database: &str) -> eyre::Result<Self> {
         let socket = net::TcpStream::connect(proxy)?;
         socket.set_nodelay(true)?;
-        socket.set_read_timeout(Some(PATIENCE))?;
+        socket.set_read_timeout(Some(READ_TIMEOUT))?;
         let mut client = Self { socket };
         let body = format!("user\0desk\0database\0{database}\0\0");
         let length = i32::try_from(body.len() + 8)?;
         let mut message = length.to_be_bytes().to_vec();
-        message.extend(VERSION.to_be_bytes());
+        message.extend(PROTOCOL_VERSION.to_be_bytes());
         message.extend(body.bytes());
         client.exchange(&message)?;
         Ok(client)
@@ -45,17 +45,17 @@
         self.socket.write_all(message)?;
         let mut refusal = None;
         loop {
-            let (tag, body) = self.message()?;
+            let (tag, body) = self.read_message()?;
             match tag {
-                READY => return refusal.map_or(Ok(()), Err),
-                ERROR => refusal = Some(eyre::eyre!("{}", String::from_utf8_lossy(&body))),
+                READY_FOR_QUERY => return refusal.map_or(Ok(()), Err),
+                ERROR_RESPONSE => refusal = Some(eyre::eyre!("{}", String::from_utf8_lossy(&body))),
                 _ => {}
             }
         }
     }
 
-    fn message(&mut self) -> eyre::Result<(u8, Vec<u8>)> {
-        let mut header = [0; HEADER];
+    fn read_message(&mut self) -> eyre::Result<(u8, Vec<u8>)> {
+        let mut header = [0; HEADER_BYTES];
         self.socket.read_exact(&mut header)?;
         let [tag, length @ ..] = header;
         let mut body = vec![0; usize::try_from(i32::from_be_bytes(length))? - 4];
--- a/lab/src/capacity/control.rs
+++ b/lab/src/capacity/control.rs
@@ -12,54 +12,60 @@
 use crate::capacity::fit;
 use crate::capacity::usage;
 
-const SERVED: [usize; 5] = [1, 4, 8, 16, 32];
-const FOREIGN: [usize; 4] = [175, 350, 700, 1_400];
+const SERVED_GROUPS: [usize; 5] = [1, 4, 8, 16, 32];
+const FOREIGN_GROUPS: [usize; 4] = [175, 350, 700, 1_400];
 
 /// Pause between two statements that keep a group's heartbeat quick.
-const TOUCH: time::Duration = time::Duration::from_secs(1);
+const STATEMENT_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
 /// Time after a start in which links open and terms are claimed.
-const CALM: time::Duration = time::Duration::from_secs(7);
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(7);
 
 /// Measures served groups, idle and active, then foreign ones.
 pub fn measure(options: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let mut points = Points::default();
-    for groups in SERVED {
+    for groups in SERVED_GROUPS {
         let bench = bench::Bench::start(bench::Options {
             proxies: 1,
             groups,
-            counted: true,
+            count_traffic: true,
             ..bench::Options::default()
         })?;
-        thread::sleep(CALM);
+        thread::sleep(SETTLE_TIME);
         let size = usage::float(groups);
-        points.idle.watch(size, &bench, options.window)?;
-        points.memory.push((size, usage::memory()?));
+        points.idle.measure(size, &bench, options.window)?;
+        points
+            .served_memory
+            .push((size, usage::resident_kilobytes()?));
         let stop = sync::Arc::new(atomic::AtomicBool::new(false));
-        let touching = touch(&bench, &stop)?;
-        thread::sleep(TOUCH);
-        points.active.watch(size, &bench, options.window)?;
+        let sender = send_statements(&bench, &stop)?;
+        thread::sleep(STATEMENT_INTERVAL);
+        points.active.measure(size, &bench, options.window)?;
         stop.store(true, atomic::Ordering::Relaxed);
-        let _ = touching.join();
+        let _ = sender.join();
         bench.stop();
     }
-    for foreign in FOREIGN {
+    for foreign in FOREIGN_GROUPS {
         let bench = bench::Bench::start(bench::Options {
             proxies: 1,
-            foreign,
+            foreign_groups: foreign,
             ..bench::Options::default()
         })?;
-        thread::sleep(CALM);
+        thread::sleep(SETTLE_TIME);
         let size = usage::float(foreign);
-        points.foreign.push((size, usage::load(options.window)?));
-        points.known.push((size, usage::memory()?));
+        points
+            .foreign_cpu
+            .push((size, usage::cpu_percent(options.window)?));
+        points
+            .foreign_memory
+            .push((size, usage::resident_kilobytes()?));
         bench.stop();
     }
     Ok(points.series())
 }
 
 /// Sends one statement a second to each group.
-fn touch(
+fn send_statements(
     bench: &bench::Bench,
     stop: &sync::Arc<atomic::AtomicBool>,
 ) -> eyre::Result<thread::JoinHandle<()>> {
@@ -72,30 +78,30 @@
             for client in &mut clients {
                 let _ = client.run("SELECT 1");
             }
-            thread::sleep(TOUCH);
+            thread::sleep(STATEMENT_INTERVAL);
         }
     }))
 }
 
 #[derive(Default)]
 struct Points {
-    idle: Watched,
-    active: Watched,
-    memory: Vec<(f64, f64)>,
-    foreign: Vec<(f64, f64)>,
-    known: Vec<(f64, f64)>,
+    idle: GroupCost,
+    active: GroupCost,
+    served_memory: Vec<(f64, f64)>,
+    foreign_cpu: Vec<(f64, f64)>,
+    foreign_memory: Vec<(f64, f64)>,
 }
 
 #[derive(Default)]
-struct Watched {
-    load: Vec<(f64, f64)>,
-    bytes: Vec<(f64, f64)>,
-    packets: Vec<(f64, f64)>,
-    store: Vec<(f64, f64)>,
+struct GroupCost {
+    cpu: Vec<(f64, f64)>,
+    instance_bytes: Vec<(f64, f64)>,
+    instance_packets: Vec<(f64, f64)>,
+    store_bytes: Vec<(f64, f64)>,
 }
 
-impl Watched {
-    fn watch(
+impl GroupCost {
+    fn measure(
         &mut self,
         size: f64,
         bench: &bench::Bench,
@@ -103,25 +109,31 @@
     ) -> eyre::Result<()> {
         let (instances, store) = (&bench.instances, &bench.store);
         let before = (instances.bytes(), instances.chunks(), store.bytes());
-        let load = usage::load(window)?;
+        let load = usage::cpu_percent(window)?;
         let rate = |now: usize, before: usize| usage::float(now - before) / window.as_secs_f64();
-        self.load.push((size, load));
-        self.bytes.push((size, rate(instances.bytes(), before.0)));
-        self.packets
+        self.cpu.push((size, load));
+        self.instance_bytes
+            .push((size, rate(instances.bytes(), before.0)));
+        self.instance_packets
             .push((size, rate(instances.chunks(), before.1)));
-        self.store.push((size, rate(store.bytes(), before.2)));
+        self.store_bytes.push((size, rate(store.bytes(), before.2)));
         Ok(())
     }
 
-    fn series(self, what: &str) -> Vec<fit::Series> {
+    fn series(self, activity: &str) -> Vec<fit::Series> {
         let series = |measure: &str, unit, points| {
-            fit::Series::new(format!("{measure}, {what}"), "served groups", unit, points)
+            fit::Series::new(
+                format!("{measure}, {activity}"),
+                "served groups",
+                unit,
+                points,
+            )
         };
         vec![
-            series("processor", "% of a core", self.load),
-            series("bytes to and from instances", "B/s", self.bytes),
-            series("packets with them", "1/s", self.packets),
-            series("bytes to and from the store", "B/s", self.store),
+            series("processor", "% of a core", self.cpu),
+            series("bytes to and from instances", "B/s", self.instance_bytes),
+            series("packets with them", "1/s", self.instance_packets),
+            series("bytes to and from the store", "B/s", self.store_bytes),
         ]
     }
 }
@@ -135,14 +147,19 @@
                 "resident memory, stand-ins in",
                 "served groups",
                 "kB",
-                self.memory,
+                self.served_memory,
+            ),
+            fit::Series::new(
+                "processor",
+                "foreign groups",
+                "% of a core",
+                self.foreign_cpu,
             ),
-            fit::Series::new("processor", "foreign groups", "% of a core", self.foreign),
             fit::Series::new(
                 "resident memory, stand-ins in",
                 "foreign groups",
                 "kB",
-                self.known,
+                self.foreign_memory,
             ),
         ]);
         series
--- a/lab/src/capacity/decision.rs
+++ b/lab/src/capacity/decision.rs
@@ -16,9 +16,10 @@
 use crate::capacity::fit;
 use crate::capacity::usage;
 
-const SIZES: [usize; 4] = [10_000, 20_000, 40_000, 80_000];
-const POINT: &str = "SELECT seats FROM bookings WHERE id = 'b-1'";
-const JOIN: &str = "SELECT b.id, c.title, count(*) FROM bookings b JOIN calendar c ON c.id = b.item \
+const DECISION_COUNTS: [usize; 4] = [10_000, 20_000, 40_000, 80_000];
+const POINT_READ: &str = "SELECT seats FROM bookings WHERE id = 'b-1'";
+const JOIN_READ: &str = "SELECT b.id, c.title, count(*) FROM bookings b \
+    JOIN calendar c ON c.id = b.item \
     WHERE b.caller = 'desk' AND c.starts > '2026-12-02' GROUP BY b.id, c.title ORDER BY 2 LIMIT 50";
 
 /// Times each decision alone on one thread.
@@ -28,22 +29,22 @@
     let stamp = stamp::Stamp::new(1, 4);
     let since = time::Duration::from_secs(1);
     let candidates = candidates();
-    for text in [POINT, JOIN] {
+    for text in [POINT_READ, JOIN_READ] {
         let verdict = classify::classify(text);
         let read = verdict.is_ok_and(|verdict| verdict.class == class::Class::Read);
         eyre::ensure!(read, "not classified as a read: {text}");
     }
-    let silent = tracing::subscriber::NoSubscriber::default();
+    let no_log = tracing::subscriber::NoSubscriber::default();
     Ok(vec![
-        timed("board.floor", || board.floor(since)),
-        timed("board.confirmed", || board.confirmed(stamp, 0, since)),
-        timed("board.leader", || board.leader()),
-        timed("route::read", || route::read(stamp, leader, &candidates)),
-        timed("classify, point read", || classify::classify(POINT)),
-        timed("classify, join", || classify::classify(JOIN)),
-        logged("decision log, off", silent),
-        logged("decision log, text", subscriber().finish()),
-        logged("decision log, JSON", subscriber().json().finish()),
+        time_decision("board.floor", || board.floor(since)),
+        time_decision("board.confirmed", || board.confirmed(stamp, 0, since)),
+        time_decision("board.leader", || board.leader()),
+        time_decision("route::read", || route::read(stamp, leader, &candidates)),
+        time_decision("classify, point read", || classify::classify(POINT_READ)),
+        time_decision("classify, join", || classify::classify(JOIN_READ)),
+        time_log_line("decision log, off", no_log),
+        time_log_line("decision log, text", subscriber().finish()),
+        time_log_line("decision log, JSON", subscriber().json().finish()),
     ])
 }
 
@@ -58,7 +59,7 @@
     tracing_subscriber::fmt().with_writer(io::sink as fn() -> io::Sink)
 }
 
-fn timed<T>(measure: &str, run: impl Fn() -> T) -> fit::Series {
+fn time_decision<T>(measure: &str, run: impl Fn() -> T) -> fit::Series {
     let point = |size| {
         let started = time::Instant::now();
         for _ in 0..size {
@@ -67,18 +68,18 @@
         (usage::float(size), started.elapsed().as_secs_f64() * 1e9)
     };
     // Once before, so that caches are warm.
-    let _ = point(SIZES[0]);
-    let points = SIZES.into_iter().map(point).collect();
+    let _ = point(DECISION_COUNTS[0]);
+    let points = DECISION_COUNTS.into_iter().map(point).collect();
     fit::Series::new(measure, "decisions", "ns", points)
 }
 
 /// A line with the fields of a routing decision.
-fn logged<S>(measure: &str, subscriber: S) -> fit::Series
+fn time_log_line<S>(measure: &str, subscriber: S) -> fit::Series
 where
     S: tracing::Subscriber + Send + Sync + 'static,
 {
     tracing::subscriber::with_default(subscriber, || {
-        timed(measure, || {
+        time_decision(measure, || {
             tracing::info!(
                 target: "mangotray::route",
                 request = hint::black_box(7_u64),
--- a/lab/src/capacity/document.rs
+++ b/lab/src/capacity/document.rs
@@ -21,25 +21,25 @@
 use crate::capacity::usage;
 use crate::declare;
 
-const GROUPS: [usize; 4] = [175, 350, 700, 1_400];
-const PROXIES: [usize; 5] = [8, 86, 172, 345, 690];
-const DOMAINS: usize = 6;
+const GROUP_COUNTS: [usize; 4] = [175, 350, 700, 1_400];
+const PROXY_COUNTS: [usize; 5] = [8, 86, 172, 345, 690];
+const FAILURE_DOMAINS: usize = 6;
 
 /// Repetitions of one timing; the shortest counts, as others were disturbed.
-const TRIES: usize = 5;
+const TIMING_RUNS: usize = 5;
 
 /// Measures sizes in bytes and times in microseconds.
 pub fn measure(_: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
-    let mut series = files()?;
-    series.extend(rosters()?);
+    let mut series = measure_files()?;
+    series.extend(measure_rosters()?);
     Ok(series)
 }
 
-fn files() -> eyre::Result<Vec<fit::Series>> {
+fn measure_files() -> eyre::Result<Vec<fit::Series>> {
     let mut points = [const { Vec::new() }; 5];
-    for groups in GROUPS {
+    for groups in GROUP_COUNTS {
         let catalog = catalog::Catalog {
-            groups: (0..groups).map(bench::foreign).collect(),
+            groups: (0..groups).map(bench::foreign_group).collect(),
             vms: Vec::new(),
         };
         let text = declare::text(&catalog);
@@ -54,10 +54,10 @@
         let message = postcard::to_stdvec(&news)?;
         let costs = [
             usage::float(text.len()),
-            shortest(|| declaration::Declaration::parse(&text).is_ok()),
+            shortest_run_us(|| declaration::Declaration::parse(&text).is_ok()),
             usage::float(message.len()),
-            shortest(|| postcard::to_stdvec(&news)),
-            shortest(|| postcard::from_bytes::<peer::News>(&message)),
+            shortest_run_us(|| postcard::to_stdvec(&news)),
+            shortest_run_us(|| postcard::from_bytes::<peer::News>(&message)),
         ];
         let size = usage::float(groups);
         points
@@ -75,17 +75,19 @@
     ])
 }
 
-fn rosters() -> eyre::Result<Vec<fit::Series>> {
+fn measure_rosters() -> eyre::Result<Vec<fit::Series>> {
     let mut points = [const { Vec::new() }; 6];
-    for proxies in PROXIES {
-        let entries = (0..proxies).map(entry).collect::<Result<Vec<_>, _>>()?;
+    for proxies in PROXY_COUNTS {
+        let entries = (0..proxies)
+            .map(registration)
+            .collect::<Result<Vec<_>, _>>()?;
         let stored = entries.iter().map(|entry| entry.value.len());
-        let before = usage::memory()?;
-        let many: Vec<_> = (0..COPIES)
+        let before = usage::resident_kilobytes()?;
+        let copies: Vec<_> = (0..ROSTER_COPIES)
             .map(|_| roster::Roster::new(&entries, &[]))
             .collect();
-        let held = (usage::memory()? - before) / usage::float(COPIES);
-        let roster = many[0].clone();
+        let memory = (usage::resident_kilobytes()? - before) / usage::float(ROSTER_COPIES);
+        let roster = copies[0].clone();
         let candidates: Vec<_> = roster.records.values().map(candidate).collect();
         let update = roster::Update {
             mark: roster::Digest {
@@ -97,11 +99,11 @@
         let push = postcard::to_stdvec(&news(None, Some(update)))?;
         let costs = [
             usage::float(stored.sum()),
-            shortest(|| roster::Roster::new(&entries, &[])),
-            shortest(|| place(&candidates)),
-            held,
+            shortest_run_us(|| roster::Roster::new(&entries, &[])),
+            shortest_run_us(|| place_groups(&candidates)),
+            memory,
             usage::float(push.len()),
-            shortest(|| roster.checksum()),
+            shortest_run_us(|| roster.checksum()),
         ];
         let size = usage::float(proxies);
         points
@@ -109,22 +111,22 @@
             .zip(costs)
             .for_each(|(points, cost)| points.push((size, cost)));
     }
-    let [length, parse, place, held, push, checksum] = points;
+    let [length, parse, place, memory, push, checksum] = points;
     Ok(vec![
         fit::Series::new("registrations as stored", "proxies", "B", length),
         fit::Series::new("time to parse the roster", "proxies", "us", parse),
         fit::Series::new("time to place 1400 groups", "proxies", "us", place),
-        fit::Series::new("resident memory of a roster", "proxies", "kB", held),
+        fit::Series::new("resident memory of a roster", "proxies", "kB", memory),
         fit::Series::new("push of a roster", "proxies", "B", push),
         fit::Series::new("time of a roster's checksum", "proxies", "us", checksum),
     ])
 }
 
 /// Copies of a roster whose memory is measured together.
-const COPIES: usize = 50;
+const ROSTER_COPIES: usize = 50;
 
 /// Serving sets of all groups of the target.
-fn place(candidates: &[placement::Candidate]) -> usize {
+fn place_groups(candidates: &[placement::Candidate]) -> usize {
     (0..1_400)
         .map(|group| placement::serving_set(&format!("dome_sched_{group}"), candidates, 3).len())
         .sum()
@@ -138,11 +140,11 @@
     }
 }
 
-fn entry(index: usize) -> eyre::Result<store::Entry> {
+fn registration(index: usize) -> eyre::Result<store::Entry> {
     let vm = compact_str::format_compact!("entry-{}", index + 1);
     let record = enrol::Record {
         vm: vm.clone(),
-        domain: compact_str::format_compact!("domain-{}", index % DOMAINS),
+        domain: compact_str::format_compact!("domain-{}", index % FAILURE_DOMAINS),
         incarnation: fastrand::Rng::with_seed(1).u64(..),
         callers: "10.20.30.40:6432".parse()?,
         peers: "10.20.30.40:6433".parse()?,
@@ -185,12 +187,12 @@
 }
 
 /// Shortest time of a few runs in microseconds.
-fn shortest<T>(run: impl Fn() -> T) -> f64 {
+fn shortest_run_us<T>(run: impl Fn() -> T) -> f64 {
     let time = |_| {
         let started = time::Instant::now();
         hint::black_box(run());
         started.elapsed()
     };
-    let times = (0..TRIES).map(time);
+    let times = (0..TIMING_RUNS).map(time);
     times.min().unwrap_or_default().as_secs_f64() * 1e6
 }
--- a/lab/src/capacity/peers.rs
+++ b/lab/src/capacity/peers.rs
@@ -16,13 +16,13 @@
 use crate::capacity::relay;
 use crate::capacity::usage;
 
-const SIZES: [usize; 4] = [100, 200, 400, 800];
+const CONNECTION_COUNTS: [usize; 4] = [100, 200, 400, 800];
 
 /// Fewer, as each takes two threads of the relay.
-const COUNTED: [usize; 3] = [25, 50, 100];
+const RELAYED_CONNECTION_COUNTS: [usize; 3] = [25, 50, 100];
 
 /// Greeting of the daemons.
-const KEY: &str = "mangotray";
+const HELLO_KEY: &str = "mangotray";
 
 /// Measures both ends of a connection together: a proxy has as many of one as of the other.
 pub fn measure(options: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
@@ -38,32 +38,32 @@
     let entry = entry.ok_or_else(|| eyre::eyre!("the proxy is not registered"))?;
     let record: enrol::Record = serde_json::from_slice(&entry.value)?;
     let (mut memory, mut load) = (Vec::new(), Vec::new());
-    let empty = usage::memory()?;
+    let empty = usage::resident_kilobytes()?;
     let mut peers = Peers::start()?;
-    for size in SIZES {
+    for size in CONNECTION_COUNTS {
         peers.connect(record.peers, size)?;
-        let spent = usage::load(options.window)?;
+        let spent = usage::cpu_percent(options.window)?;
         let size = usage::float(size);
         load.push((size, spent));
-        memory.push((size, usage::memory()? - empty));
+        memory.push((size, usage::resident_kilobytes()? - empty));
     }
     drop(peers);
-    let count = sync::Arc::default();
-    let relay = relay::start(record.peers, &count)?;
+    let traffic = sync::Arc::default();
+    let relay = relay::start(record.peers, &traffic)?;
     let (mut bytes, mut packets) = (Vec::new(), Vec::new());
     let mut peers = Peers::start()?;
-    for size in COUNTED {
+    for size in RELAYED_CONNECTION_COUNTS {
         peers.connect(relay, size)?;
-        let before = (count.bytes(), count.chunks());
+        let before = (traffic.bytes(), traffic.chunks());
         thread::sleep(options.window);
         let rate =
             |now: usize, before: usize| usage::float(now - before) / options.window.as_secs_f64();
         let size = usage::float(size);
-        bytes.push((size, rate(count.bytes(), before.0)));
-        packets.push((size, rate(count.chunks(), before.1)));
+        bytes.push((size, rate(traffic.bytes(), before.0)));
+        packets.push((size, rate(traffic.chunks(), before.1)));
     }
     drop(peers);
-    count.stop();
+    traffic.stop();
     bench.stop();
     let series = |measure: &str, unit, points| {
         fit::Series::new(measure, "idle peer connections", unit, points)
@@ -88,10 +88,10 @@
     fn start() -> eyre::Result<Self> {
         let executor = sync::Arc::new(async_executor::Executor::new());
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let driven = sync::Arc::clone(&executor);
+        let thread_executor = sync::Arc::clone(&executor);
         thread::Builder::new()
-            .name(usage::PROXIES.to_owned())
-            .spawn(move || async_io::block_on(driven.run(stopped.recv())))?;
+            .name(usage::PROXY_THREAD_NAME.to_owned())
+            .spawn(move || async_io::block_on(thread_executor.run(stopped.recv())))?;
         Ok(Self {
             executor,
             connections: Vec::new(),
@@ -105,12 +105,12 @@
             let executor = sync::Arc::clone(&self.executor);
             let opening = async {
                 let stream = dial::Tcp.connect(address).await?;
-                let hello = hello::Hello::new(KEY);
+                let hello = hello::Hello::new(HELLO_KEY);
                 dial::Connection::open(stream, &hello, executor, dial::PING_TIMEOUT).await
             };
             self.connections.push(async_io::block_on(opening)?);
         }
-        thread::sleep(SETTLED);
+        thread::sleep(SETTLE_TIME);
         let alive = self.connections.iter().all(dial::Connection::alive);
         eyre::ensure!(alive, "a connection to the proxy has ended");
         Ok(())
@@ -118,4 +118,4 @@
 }
 
 /// Time after the last connection before anything is measured.
-const SETTLED: time::Duration = time::Duration::from_secs(1);
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(1);
--- a/lab/src/capacity/promotion.rs
+++ b/lab/src/capacity/promotion.rs
@@ -14,36 +14,36 @@
 use crate::remote;
 use crate::stage;
 
-const LOST: [usize; 4] = [1, 4, 8, 16];
+const GROUP_COUNTS: [usize; 4] = [1, 4, 8, 16];
 const PROXIES: usize = 3;
 
 /// Time after a start in which terms are reserved and seats settle.
-const CALM: time::Duration = time::Duration::from_secs(10);
-const PATIENCE: time::Duration = time::Duration::from_mins(1);
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(10);
+const PROMOTION_TIMEOUT: time::Duration = time::Duration::from_mins(1);
 
 /// Time after the last promotion in which its store calls still come.
-const AFTER: time::Duration = time::Duration::from_secs(2);
+const STORE_CALLS_TIME: time::Duration = time::Duration::from_secs(2);
 
 /// Crashes the primaries of more and more groups.
 pub fn measure(_: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let (mut time, mut reads, mut writes) = (Vec::new(), Vec::new(), Vec::new());
-    let mut spent = Vec::new();
-    for groups in LOST {
+    let mut cpu = Vec::new();
+    for groups in GROUP_COUNTS {
         let bench = bench::Bench::start(bench::Options {
             proxies: PROXIES,
             groups,
             ..bench::Options::default()
         })?;
-        thread::sleep(CALM);
+        thread::sleep(SETTLE_TIME);
         let calls = |kind| bench.platform.calls_of(kind);
         let before = (calls(call::Kind::Get), calls(call::Kind::Swap));
-        let processor = usage::processor()?;
+        let processor = usage::cpu_seconds()?;
         let started = time::Instant::now();
-        lose(&bench)?;
+        replace_primaries(&bench)?;
         let size = usage::float(groups);
         time.push((size, started.elapsed().as_secs_f64()));
-        spent.push((size, (usage::processor()? - processor) * 1e3));
-        thread::sleep(AFTER);
+        cpu.push((size, (usage::cpu_seconds()? - processor) * 1e3));
+        thread::sleep(STORE_CALLS_TIME);
         let count = |now: u64, before: u64| usize::try_from(now - before).map(usage::float);
         reads.push((size, count(calls(call::Kind::Get), before.0)?));
         writes.push((size, count(calls(call::Kind::Swap), before.1)?));
@@ -54,30 +54,30 @@
     };
     Ok(vec![
         series("time until all are led again", "s", time),
-        series("processor of 3 proxies meanwhile", "ms", spent),
+        series("processor of 3 proxies meanwhile", "ms", cpu),
         series("store reads of the fleet", "calls", reads),
         series("store writes of the fleet", "calls", writes),
     ])
 }
 
 /// Crashes every primary and waits until other instances lead.
-fn lose(bench: &bench::Bench) -> eyre::Result<()> {
-    let lost = bench.clusters.iter().map(|cluster| {
+fn replace_primaries(bench: &bench::Bench) -> eyre::Result<()> {
+    let crashed = bench.clusters.iter().map(|cluster| {
         let primary = remote::primary(cluster);
         primary.ok_or_else(|| eyre::eyre!("a group has no primary"))
     });
-    let lost = lost.collect::<Result<Vec<_>, _>>()?;
-    for (cluster, index) in bench.clusters.iter().zip(&lost) {
+    let crashed = crashed.collect::<Result<Vec<_>, _>>()?;
+    for (cluster, index) in bench.clusters.iter().zip(&crashed) {
         cluster.crash(*index);
     }
-    let led = |(cluster, lost): (&std::sync::Arc<cluster::Cluster>, &usize)| {
+    let has_new_primary = |(cluster, crashed): (&std::sync::Arc<cluster::Cluster>, &usize)| {
         (0..cluster::SIZE)
-            .filter(|index| index != lost)
+            .filter(|index| index != crashed)
             .any(|index| cluster.status(index).role == role::Role::Primary)
     };
-    let all = || bench.clusters.iter().zip(&lost).all(led);
+    let all_replaced = || bench.clusters.iter().zip(&crashed).all(has_new_primary);
     eyre::ensure!(
-        stage::wait_until(PATIENCE, all),
+        stage::wait_until(PROMOTION_TIMEOUT, all_replaced),
         "a group stays without a primary"
     );
     Ok(())
--- a/lab/src/capacity/relay.rs
+++ b/lab/src/capacity/relay.rs
@@ -7,17 +7,17 @@
 use std::sync::atomic;
 use std::thread;
 
-const BUFFER: usize = 64 << 10;
+const BUFFER_BYTES: usize = 64 << 10;
 
 /// What relays have carried.
 #[derive(Debug, Default)]
-pub struct Count {
+pub struct Traffic {
     bytes: atomic::AtomicUsize,
     chunks: atomic::AtomicUsize,
     stopped: atomic::AtomicBool,
 }
 
-impl Count {
+impl Traffic {
     /// Bytes within the connections, without the headers of packets.
     pub fn bytes(&self) -> usize {
         self.bytes.load(atomic::Ordering::Relaxed)
@@ -35,44 +35,55 @@
 }
 
 /// Starts a relay to `target`; returns where it listens.
-pub fn start(target: net::SocketAddr, count: &sync::Arc<Count>) -> eyre::Result<net::SocketAddr> {
+pub fn start(
+    target: net::SocketAddr,
+    traffic: &sync::Arc<Traffic>,
+) -> eyre::Result<net::SocketAddr> {
     let listener = net::TcpListener::bind((net::Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
-    let count = sync::Arc::clone(count);
+    let traffic = sync::Arc::clone(traffic);
     thread::Builder::new()
         .name("relay".to_owned())
-        .spawn(move || accept(&listener, target, &count))?;
+        .spawn(move || accept_connections(&listener, target, &traffic))?;
     Ok(address)
 }
 
-fn accept(listener: &net::TcpListener, target: net::SocketAddr, count: &sync::Arc<Count>) {
-    for near in listener.incoming().map_while(Result::ok) {
-        if count.stopped.load(atomic::Ordering::Relaxed) {
+fn accept_connections(
+    listener: &net::TcpListener,
+    target: net::SocketAddr,
+    traffic: &sync::Arc<Traffic>,
+) {
+    for client in listener.incoming().map_while(Result::ok) {
+        if traffic.stopped.load(atomic::Ordering::Relaxed) {
             return;
         }
-        let Ok(far) = net::TcpStream::connect(target) else {
+        let Ok(server) = net::TcpStream::connect(target) else {
             continue;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        if let (Ok(near_copy), Ok(far_copy)) = (near.try_clone(), far.try_clone()) {
-            carry(near, far, count);
-            carry(far_copy, near_copy, count);
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        if let (Ok(client_copy), Ok(server_copy)) = (client.try_clone(), server.try_clone()) {
+            forward(client, server, traffic);
+            forward(server_copy, client_copy, traffic);
         }
     }
 }
 
-fn carry(mut from: net::TcpStream, mut to: net::TcpStream, count: &sync::Arc<Count>) {
-    let count = sync::Arc::clone(count);
+fn forward(
+    mut source: net::TcpStream,
+    mut destination: net::TcpStream,
+    traffic: &sync::Arc<Traffic>,
+) {
+    let traffic = sync::Arc::clone(traffic);
     thread::spawn(move || {
-        let mut buffer = vec![0; BUFFER];
-        while let Ok(length @ 1..) = from.read(&mut buffer) {
-            count.bytes.fetch_add(length, atomic::Ordering::Relaxed);
-            count.chunks.fetch_add(1, atomic::Ordering::Relaxed);
-            if to.write_all(&buffer[..length]).is_err() {
+        let mut buffer = vec![0; BUFFER_BYTES];
+        while let Ok(length @ 1..) = source.read(&mut buffer) {
+            traffic.bytes.fetch_add(length, atomic::Ordering::Relaxed);
+            traffic.chunks.fetch_add(1, atomic::Ordering::Relaxed);
+            if destination.write_all(&buffer[..length]).is_err() {
                 break;
             }
         }
-        let _ = to.shutdown(net::Shutdown::Both);
-        let _ = from.shutdown(net::Shutdown::Both);
+        let _ = destination.shutdown(net::Shutdown::Both);
+        let _ = source.shutdown(net::Shutdown::Both);
     });
 }
--- a/lab/src/capacity/statement.rs
+++ b/lab/src/capacity/statement.rs
@@ -11,16 +11,16 @@
 use crate::capacity::fit;
 use crate::capacity::usage;
 
-const SIZES: [usize; 4] = [400, 800, 1_600, 3_200];
+const STATEMENT_COUNTS: [usize; 4] = [400, 800, 1_600, 3_200];
 
 /// One more than serve a group, so that one has to forward.
 const PROXIES: usize = 4;
 
 /// Callers at once: one, for which each read samples alone, and many that share samples.
-const CALLERS: [usize; 2] = [1, 16];
+const CALLER_COUNTS: [usize; 2] = [1, 16];
 
 /// Statements on the way in each kind; `{}` stands for a number that is never repeated.
-const KINDS: [(&str, &str); 3] = [
+const STATEMENTS: [(&str, &str); 3] = [
     ("sampled read", "SELECT {}"),
     ("aged read", "SELECT title FROM calendar WHERE item = {}"),
     (
@@ -38,19 +38,19 @@
     })?;
     let serving = bench.serving()?;
     let mut series = Vec::new();
-    let mut used = 0;
-    for (way, serves) in [("direct", true), ("forwarded", false)] {
+    let mut next_number = 0;
+    for (path, serves) in [("direct", true), ("forwarded", false)] {
         let found = serving.iter().position(|it| *it == serves);
-        let index = found.ok_or_else(|| eyre::eyre!("no proxy is on the {way} way"))?;
-        for (kind, sql) in KINDS {
+        let index = found.ok_or_else(|| eyre::eyre!("no proxy is on the {path} way"))?;
+        for (kind, sql) in STATEMENTS {
             let load = Load {
                 proxy: bench.callers[index],
                 database: bench.database(0),
                 sql,
             };
-            for callers in CALLERS {
-                let points = load.spend(callers, &mut used)?;
-                let name = format!("processor, {kind} {way}, {callers} callers");
+            for callers in CALLER_COUNTS {
+                let points = load.measure(callers, &mut next_number)?;
+                let name = format!("processor, {kind} {path}, {callers} callers");
                 series.push(fit::Series::new(name, "statements", "us", points));
             }
         }
@@ -67,24 +67,24 @@
 }
 
 impl Load {
-    /// Runs growing numbers of statements; `used` counts the numbers drawn so far.
-    fn spend(&self, callers: usize, used: &mut usize) -> eyre::Result<Vec<(f64, f64)>> {
+    /// Runs growing numbers of statements; `next_number` counts the numbers drawn so far.
+    fn measure(&self, callers: usize, next_number: &mut usize) -> eyre::Result<Vec<(f64, f64)>> {
         let point = |size: usize| {
-            let before = usage::processor()?;
-            self.run(callers, *used, size / callers)?;
-            *used += size;
-            let spent = usage::processor()? - before;
+            let before = usage::cpu_seconds()?;
+            self.run(callers, *next_number, size / callers)?;
+            *next_number += size;
+            let spent = usage::cpu_seconds()? - before;
             Ok((usage::float(size), spent * 1e6))
         };
-        SIZES.into_iter().map(point).collect()
+        STATEMENT_COUNTS.into_iter().map(point).collect()
     }
 
-    fn run(&self, callers: usize, first: usize, each: usize) -> eyre::Result<()> {
+    fn run(&self, callers: usize, first: usize, per_caller: usize) -> eyre::Result<()> {
         let threads: Vec<_> = (0..callers)
             .map(|caller| {
                 let load = self.clone();
-                let first = first + caller * each;
-                thread::spawn(move || load.work(first..first + each))
+                let first = first + caller * per_caller;
+                thread::spawn(move || load.run_statements(first..first + per_caller))
             })
             .collect();
         for thread in threads {
@@ -94,7 +94,7 @@
         Ok(())
     }
 
-    fn work(&self, numbers: ops::Range<usize>) -> eyre::Result<()> {
+    fn run_statements(&self, numbers: ops::Range<usize>) -> eyre::Result<()> {
         let mut client = client::Client::connect(self.proxy, &self.database)?;
         for number in numbers {
             client.run(&self.sql.replace("{}", &number.to_string()))?;
--- a/lab/src/capacity/store.rs
+++ b/lab/src/capacity/store.rs
@@ -10,10 +10,10 @@
 use crate::capacity::usage;
 
 /// Proxies and groups of the runs: one of the two is varied at a time.
-const FLEETS: [(usize, usize); 4] = [(1, 3), (2, 3), (4, 3), (8, 3)];
-const GROUPS: [(usize, usize); 4] = [(3, 1), (3, 8), (3, 16), (3, 32)];
+const FLEET_RUNS: [(usize, usize); 4] = [(1, 3), (2, 3), (4, 3), (8, 3)];
+const GROUP_RUNS: [(usize, usize); 4] = [(3, 1), (3, 8), (3, 16), (3, 32)];
 
-const KINDS: [(&str, call::Kind); 6] = [
+const CALL_KINDS: [(&str, call::Kind); 6] = [
     ("get", call::Kind::Get),
     ("list", call::Kind::List),
     ("watch", call::Kind::Watch),
@@ -23,17 +23,17 @@
 ];
 
 /// Time after a start in which seats and terms are taken.
-const CALM: time::Duration = time::Duration::from_secs(10);
+const SETTLE_TIME: time::Duration = time::Duration::from_secs(10);
 
 /// Windows are longer than for other sections: watches end after 20 s, settled records are
 /// read every 30 s.
-const WINDOWS: u32 = 4;
+const WINDOW_FACTOR: u32 = 4;
 
 /// Counts the calls of growing fleets, then of growing numbers of groups.
 pub fn measure(options: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
-    let window = options.window * WINDOWS;
-    let fleets = count(&FLEETS, window)?;
-    let groups = count(&GROUPS, window)?;
+    let window = options.window * WINDOW_FACTOR;
+    let fleets = count(&FLEET_RUNS, window)?;
+    let groups = count(&GROUP_RUNS, window)?;
     let by_fleet = series("3 groups", "proxies", &fleets, |(proxies, _)| proxies);
     let by_groups = series("3 proxies", "groups", &groups, |(_, groups)| groups);
     Ok(by_fleet.into_iter().chain(by_groups).collect())
@@ -47,11 +47,11 @@
         let bench = bench::Bench::start(bench::Options {
             proxies,
             groups,
-            counted: true,
+            count_traffic: true,
             ..bench::Options::default()
         })?;
-        thread::sleep(CALM);
-        let calls = || KINDS.map(|(_, kind)| bench.platform.calls_of(kind));
+        thread::sleep(SETTLE_TIME);
+        let calls = || CALL_KINDS.map(|(_, kind)| bench.platform.calls_of(kind));
         let before = (calls(), bench.store.bytes());
         thread::sleep(window);
         let after = calls();
@@ -60,8 +60,8 @@
             let calls = usize::try_from(after - before).unwrap_or(usize::MAX);
             usage::float(calls) / window.as_secs_f64()
         });
-        let each = bytes / usage::float(proxies);
-        let rates = rates.chain([each]).collect();
+        let bytes_per_proxy = bytes / usage::float(proxies);
+        let rates = rates.chain([bytes_per_proxy]).collect();
         bench.stop();
         Ok(((proxies, groups), rates))
     };
@@ -87,7 +87,7 @@
     });
     let name = format!("bytes of one proxy to and from the store, {fixed}");
     let bytes = fit::Series::new(name, size, "B/s", bytes.collect());
-    KINDS
+    CALL_KINDS
         .iter()
         .enumerate()
         .map(series)
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -260,13 +260,13 @@
 /// One for each ordered pair of instances.
 fn shipments(
     instances: &[Arc<instance::Instance>],
-) -> impl Iterator<Item = journal::Shipment> + '_ {
+) -> impl Iterator<Item = journal::Replication> + '_ {
     let pairs = instances
         .iter()
         .flat_map(move |source| instances.iter().map(move |target| (source, target)));
     pairs
         .filter(|(source, target)| source.index != target.index)
-        .map(|(source, target)| journal::Shipment {
+        .map(|(source, target)| journal::Replication {
             source: Arc::clone(source),
             target: Arc::clone(target),
         })
--- a/lab/src/control.rs
+++ b/lab/src/control.rs
@@ -10,7 +10,7 @@
 use futures_util::future;
 
 /// Longest command line.
-const LINE_LIMIT: u64 = 64 * 1024;
+const MAX_LINE_BYTES: u64 = 64 * 1024;
 
 /// Answers commands.
 pub trait Handler: Send + Sync {
@@ -34,7 +34,7 @@
 
 async fn answer(mut stream: async_net::TcpStream, handler: &dyn Handler) -> eyre::Result<()> {
     let mut line = String::new();
-    let limited = stream.clone().take(LINE_LIMIT);
+    let limited = stream.clone().take(MAX_LINE_BYTES);
     futures_lite::io::BufReader::new(limited)
         .read_line(&mut line)
         .await?;
--- a/lab/src/declare.rs
+++ b/lab/src/declare.rs
@@ -5,7 +5,7 @@
 use mangotray::catalog;
 use mangotray::database;
 
-const INFALLIBLE: &str = "strings take all text";
+const WRITES_TO_STRING: &str = "strings take all text";
 
 /// The operators' file that declares a catalog.
 ///
@@ -45,12 +45,12 @@
     let leaving = group.instances.iter().filter(|instance| instance.leaving);
     let leaving: Vec<_> = leaving.map(|instance| instance.name.as_str()).collect();
     if !leaving.is_empty() {
-        line(&mut text, "leaving", &leaving.join(", "));
+        write_key(&mut text, "leaving", &leaving.join(", "));
     }
     for (index, age) in group.ages.iter().enumerate() {
-        write!(text, "\n[age {name} age-{index}]\n").expect(INFALLIBLE);
-        line(&mut text, "tables", &age.tables.join(", "));
-        line(
+        write!(text, "\n[age {name} age-{index}]\n").expect(WRITES_TO_STRING);
+        write_key(&mut text, "tables", &age.tables.join(", "));
+        write_key(
             &mut text,
             "limit",
             &humantime::format_duration(age.limit).to_string(),
@@ -69,6 +69,6 @@
     format!("{name}@{domain}:{address}")
 }
 
-fn line(text: &mut String, key: &str, value: &str) {
-    writeln!(text, "{key} = {value}").expect(INFALLIBLE);
+fn write_key(text: &mut String, key: &str, value: &str) {
+    writeln!(text, "{key} = {value}").expect(WRITES_TO_STRING);
 }
--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -16,7 +16,7 @@
 const PROXIES: u16 = 2;
 
 /// Longest wait until the proxies take writes.
-const READY_PATIENCE: time::Duration = time::Duration::from_secs(30);
+const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 /// Serves until `lasts` has passed, or for ever.
 ///
@@ -38,36 +38,31 @@
             .collect(),
         policy: policy::Policy::Default,
     })?;
-    ready::wait(
-        &profile,
-        &[profile.group(0)],
-        &stage.callers,
-        READY_PATIENCE,
-    )?;
+    ready::wait(&profile, &[profile.group(0)], &stage.callers, READY_TIMEOUT)?;
     println!("ready");
-    println!("{}", guide(port, control));
+    println!("{}", usage_text(port, control));
     let handler = remote::Both(
         remote::Group(sync::Arc::clone(&stage.clusters[0])),
         remote::Platform(sync::Arc::clone(&stage.platform)),
     );
     async_io::block_on(async {
         let serving = control::serve(listener, &handler);
-        futures_lite::future::or(serving, over(lasts)).await
+        futures_lite::future::or(serving, wait_for_end(lasts)).await
     })?;
     stage.stop();
     Ok(())
 }
 
-async fn over(lasts: Option<time::Duration>) -> eyre::Result<()> {
-    match lasts {
-        Some(lasts) => async_io::Timer::after(lasts).await,
+async fn wait_for_end(duration: Option<time::Duration>) -> eyre::Result<()> {
+    match duration {
+        Some(duration) => async_io::Timer::after(duration).await,
         None => futures_lite::future::pending().await,
     };
     Ok(())
 }
 
 /// What to type next.
-fn guide(port: u16, control: net::SocketAddr) -> String {
+fn usage_text(port: u16, control: net::SocketAddr) -> String {
     let other = port + 1;
     let lab = "cargo run --release --bin mangotray-lab -- fault";
     format!(
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -26,7 +26,7 @@
     ///
     /// # Panics
     /// When the item does not exist.
-    pub fn confirm(&self, item: ledger::Item, at: time::Instant) {
+    pub fn record(&self, item: ledger::Item, at: time::Instant) {
         self.times(item).push(at);
     }
 
@@ -36,15 +36,15 @@
     /// use std::time::{Duration, Instant};
     /// let history = mangotray_lab::history::History::new();
     /// let start = Instant::now();
-    /// history.confirm(2, start + Duration::from_secs(3));
-    /// assert_eq!(history.before(2, start), 0);
-    /// assert_eq!(history.before(2, start + Duration::from_secs(3)), 1);
+    /// history.record(2, start + Duration::from_secs(3));
+    /// assert_eq!(history.confirmed_by(2, start), 0);
+    /// assert_eq!(history.confirmed_by(2, start + Duration::from_secs(3)), 1);
     /// ```
     ///
     /// # Panics
     /// When the item does not exist.
     #[must_use]
-    pub fn before(&self, item: ledger::Item, at: time::Instant) -> usize {
+    pub fn confirmed_by(&self, item: ledger::Item, at: time::Instant) -> usize {
         self.times(item).iter().filter(|time| **time <= at).count()
     }
 
--- a/lab/src/inspect.rs
+++ b/lab/src/inspect.rs
@@ -11,11 +11,11 @@
 ///
 /// # Errors
 /// When the tables are not those of the profile.
-pub fn holding(
+pub fn contents(
     cluster: &cluster::Cluster,
     primary: mangotray::id::Index,
     profile: &profile::Profile,
-) -> eyre::Result<ledger::Holding> {
+) -> eyre::Result<ledger::Contents> {
     let sql = [
         &profile.all_bookings(),
         profile.all_entries(),
@@ -27,10 +27,10 @@
     let [bookings, entries, counters] = tables.as_slice() else {
         eyre::bail!("{} results of {} queries", tables.len(), sql.len());
     };
-    Ok(ledger::Holding {
+    Ok(ledger::Contents {
         bookings: bookings.iter().map(row).collect::<Result<_, _>>()?,
         entries: entries.iter().map(row).collect::<Result<_, _>>()?,
-        taken: counters.iter().map(counter).collect::<Result<_, _>>()?,
+        counters: counters.iter().map(counter).collect::<Result<_, _>>()?,
         logs: (0..cluster::SIZE)
             .map(|index| log(cluster, index))
             .collect(),
--- a/lab/src/instance.rs
+++ b/lab/src/instance.rs
@@ -171,7 +171,7 @@
         if !state.is_primary() || state.reign != reign {
             return Err(sqlstate::Error::read_only("COMMIT"));
         }
-        let record = state.journal.draft(state.fence, writes);
+        let record = state.journal.next_record(state.fence, writes);
         let stamp = record.stamp();
         storage::write_stamp(connection, stamp)?;
         connection.execute_batch("COMMIT")?;
@@ -212,7 +212,7 @@
             return Err(sqlstate::Error::new("55000", words));
         }
         if state.role == role::Role::Replica {
-            let record = Arc::new(state.journal.draft(term, Vec::new()));
+            let record = Arc::new(state.journal.next_record(term, Vec::new()));
             storage::replay(&state.applier, std::slice::from_ref(&record))?;
             state.journal.append(record);
             state.role = role::Role::Primary;
@@ -248,7 +248,7 @@
         let (_, generation) = self.file();
         let (path, next) = self.new_file();
         let applier = storage::create(&path, &self.options.schema).expect("schema applies");
-        for records in prefix.chunks(journal::CHUNK) {
+        for records in prefix.chunks(journal::MAX_RECORDS_PER_LOCK) {
             storage::replay(&applier, records).expect("records apply again");
             futures_lite::future::yield_now().await;
         }
--- a/lab/src/journal.rs
+++ b/lab/src/journal.rs
@@ -10,7 +10,7 @@
 use crate::instance;
 
 /// Records applied under one hold of the replica's lock.
-pub(crate) const CHUNK: usize = 64;
+pub(crate) const MAX_RECORDS_PER_LOCK: usize = 64;
 
 /// A statement that wrote, with its bound parameters.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
     }
 
     /// The record that a commit of `term` would append.
-    pub(crate) fn draft(&self, term: id::Term, statements: Vec<Write>) -> Record {
+    pub(crate) fn next_record(&self, term: id::Term, statements: Vec<Write>) -> Record {
         Record {
             term,
             position: self.records.len() as id::Position + 1,
@@ -88,7 +88,7 @@
 
     /// Number of leading records that both logs hold. Each term has one primary, so
     /// logs that agree on the term at a position agree on all positions before it.
-    fn common(&self, other: &Self) -> usize {
+    fn common_length(&self, other: &Self) -> usize {
         let shorter = self.records.len().min(other.records.len());
         (0..shorter)
             .rev()
@@ -101,36 +101,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     /// More may be due at once.
-    Again,
+    Repeat,
     /// The next record is due at this time.
-    At(time::Instant),
+    WaitUntil(time::Instant),
     /// Nothing to do until something changes.
     Idle,
 }
 
 /// One direction of replication between two instances of a group.
-pub(crate) struct Shipment {
+pub(crate) struct Replication {
     /// Ships while it is the primary.
     pub(crate) source: Arc<instance::Instance>,
     /// Receives.
     pub(crate) target: Arc<instance::Instance>,
 }
 
-impl Shipment {
+impl Replication {
     /// Ships for ever; ends when its task is dropped.
     pub(crate) async fn run(self) {
         loop {
-            let changed = self.source.changed.listen();
-            let touched = self.target.changed.listen();
+            let source_changed = self.source.changed.listen();
+            let target_changed = self.target.changed.listen();
             match self.step().await {
-                Step::Again => futures_lite::future::yield_now().await,
-                Step::At(due) => {
+                Step::Repeat => futures_lite::future::yield_now().await,
+                Step::WaitUntil(due) => {
                     let timer = async {
                         async_io::Timer::at(due).await;
                     };
-                    futures_lite::future::or(timer, either(changed, touched)).await;
+                    futures_lite::future::or(timer, first_of(source_changed, target_changed)).await;
                 }
-                Step::Idle => either(changed, touched).await,
+                Step::Idle => first_of(source_changed, target_changed).await,
             }
         }
     }
@@ -142,17 +142,17 @@
         match offer {
             Offer::Join => {
                 self.target.fence(term);
-                Step::Again
+                Step::Repeat
             }
             Offer::Repair(prefix) => {
                 self.target.rebuild(term, prefix).await;
-                Step::Again
+                Step::Repeat
             }
             Offer::Records(records) => {
                 self.target.append(term, &records);
-                Step::Again
+                Step::Repeat
             }
-            Offer::Wait(due) => Step::At(due),
+            Offer::WaitUntil(due) => Step::WaitUntil(due),
             Offer::Complete(length) => {
                 self.target.readmit(term, length);
                 Step::Idle
@@ -177,7 +177,7 @@
         if target.fence < source.fence {
             return Some((source.fence, Offer::Join));
         }
-        let common = target.journal.common(&source.journal);
+        let common = target.journal.common_length(&source.journal);
         let offer = if target.journal.records.len() > common {
             Offer::Repair(target.journal.records[..common].to_vec())
         } else {
@@ -196,7 +196,7 @@
     /// Records that are due.
     Records(Vec<Arc<Record>>),
     /// The next record is due then.
-    Wait(time::Instant),
+    WaitUntil(time::Instant),
     /// The replica holds the whole log, of this length.
     Complete(usize),
 }
@@ -207,17 +207,17 @@
         let due: Vec<_> = missing
             .iter()
             .take_while(|record| record.committed + lag <= now)
-            .take(CHUNK)
+            .take(MAX_RECORDS_PER_LOCK)
             .cloned()
             .collect();
         match missing.first() {
             None => Self::Complete(common),
-            Some(next) if due.is_empty() => Self::Wait(next.committed + lag),
+            Some(next) if due.is_empty() => Self::WaitUntil(next.committed + lag),
             Some(_) => Self::Records(due),
         }
     }
 }
 
-async fn either(one: event_listener::EventListener, other: event_listener::EventListener) {
+async fn first_of(one: event_listener::EventListener, other: event_listener::EventListener) {
     futures_lite::future::or(one, other).await;
 }
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -19,7 +19,7 @@
 /// What a caller was told about one write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
+pub enum Outcome {
     /// The commit was answered without an error.
     Confirmed,
     /// Nobody can say; the caller has to look.
@@ -30,28 +30,28 @@
     Rejected,
 }
 
-impl Told {
+impl Outcome {
     /// Reads the answer to a write from its error fields.
     ///
     /// Connection errors say nothing about the write unless they say "not run":
     /// counting them as not run would accuse a proxy that kept its promise.
     ///
     /// ```
-    /// use mangotray_lab::ledger::Told;
-    /// assert_eq!(Told::from_error("08007", "no answer", None), Told::Unknown);
-    /// assert_eq!(Told::from_error("57P03", "draining", Some("not run")), Told::NotRun);
-    /// assert_eq!(Told::from_error("23505", "duplicate key", None), Told::Rejected);
+    /// use mangotray_lab::ledger::Outcome;
+    /// assert_eq!(Outcome::from_error("08007", "no answer", None), Outcome::Unknown);
+    /// assert_eq!(Outcome::from_error("57P03", "draining", Some("not run")), Outcome::NotRun);
+    /// assert_eq!(Outcome::from_error("23505", "duplicate key", None), Outcome::Rejected);
     /// ```
     #[must_use]
     pub fn from_error(code: &str, message: &str, detail: Option<&str>) -> Self {
         if code == RESOLUTION_UNKNOWN {
             return Self::Unknown;
         }
-        let says = |text: &str| text.to_ascii_lowercase().contains("not run");
-        if says(message) || detail.is_some_and(says) || means_not_run(code) {
+        let says_not_run = |text: &str| text.to_ascii_lowercase().contains("not run");
+        if says_not_run(message) || detail.is_some_and(says_not_run) || is_not_run_code(code) {
             return Self::NotRun;
         }
-        if means_connection_lost(code) {
+        if is_connection_lost_code(code) {
             return Self::Unknown;
         }
         Self::Rejected
@@ -60,18 +60,18 @@
 
 /// `too_many_connections`, `cannot_connect_now` and `feature_not_supported` are
 /// answered before anything runs.
-fn means_not_run(code: &str) -> bool {
+fn is_not_run_code(code: &str) -> bool {
     matches!(code, "53300" | "57P03" | "0A000")
 }
 
 /// Connection exceptions, and the end of a server process in the middle of a commit.
-fn means_connection_lost(code: &str) -> bool {
+fn is_connection_lost_code(code: &str) -> bool {
     code.starts_with("08") || matches!(code, "57P01" | "57P02")
 }
 
 /// One write that a caller tried, and what it was told.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Promise {
+pub struct Attempt {
     /// Key made by the caller.
     pub key: Key,
     /// Random text that both rows of the transaction carry.
@@ -79,7 +79,8 @@
     /// Item that the write counts towards.
     pub item: Item,
     /// Final answer.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub outcome: Outcome,
 }
 
 /// Key of a caller's write.
@@ -123,13 +124,14 @@
 
 /// What a group holds at the end of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Holding {
+pub struct Contents {
     /// First row of each transaction, at the last primary.
     pub bookings: Vec<Row>,
     /// Second row of each transaction, at the last primary.
     pub entries: Vec<Row>,
     /// Counter of each item, at the last primary.
-    pub taken: collections::BTreeMap<Item, i64>,
+    #[serde(rename = "taken")]
+    pub counters: collections::BTreeMap<Item, i64>,
     /// Log of each instance.
     pub logs: Vec<Vec<Record>>,
 }
@@ -152,25 +154,25 @@
     /// Compares promises with what one group holds.
     ///
     /// ```
-    /// use mangotray_lab::ledger::{Audit, Holding, Promise, Told};
-    /// let promise = Promise {
+    /// use mangotray_lab::ledger::{Audit, Contents, Attempt, Outcome};
+    /// let attempt = Attempt {
     ///     key: "key-a-1".into(),
     ///     marker: "m".into(),
     ///     item: 1,
-    ///     told: Told::Confirmed,
+    ///     outcome: Outcome::Confirmed,
     /// };
-    /// let audit = Audit::of(&[promise], &Holding::default());
+    /// let audit = Audit::of(&[attempt], &Contents::default());
     /// assert_eq!(audit.lost, 1);
     /// ```
     #[must_use]
-    pub fn of(promises: &[Promise], holding: &Holding) -> Self {
-        let bookings = by_key(&holding.bookings);
-        let entries = by_key(&holding.entries);
+    pub fn of(attempts: &[Attempt], contents: &Contents) -> Self {
+        let bookings = index_by_key(&contents.bookings);
+        let entries = index_by_key(&contents.entries);
         Self {
-            lost: lost(promises, &bookings),
-            doubled: doubled(holding, &bookings, &entries),
-            mixed: mixed(promises, holding, &bookings, &entries),
-            not_run_but_ran: ran(promises, holding, &bookings, &entries),
+            lost: count_lost(attempts, &bookings),
+            doubled: count_doubled(contents, &bookings, &entries),
+            mixed: count_mixed(attempts, contents, &bookings, &entries),
+            not_run_but_ran: count_not_run_but_ran(attempts, contents, &bookings, &entries),
         }
     }
 
@@ -194,7 +196,7 @@
 
 type Index<'a> = collections::BTreeMap<&'a Key, Vec<&'a Row>>;
 
-fn by_key(rows: &[Row]) -> Index<'_> {
+fn index_by_key(rows: &[Row]) -> Index<'_> {
     let mut index = Index::new();
     for row in rows {
         index.entry(&row.key).or_default().push(row);
@@ -202,19 +204,19 @@
     index
 }
 
-fn lost(promises: &[Promise], bookings: &Index) -> usize {
-    promises
+fn count_lost(attempts: &[Attempt], bookings: &Index) -> usize {
+    attempts
         .iter()
-        .filter(|promise| promise.told == Told::Confirmed)
-        .filter(|promise| !bookings.contains_key(&promise.key))
+        .filter(|attempt| attempt.outcome == Outcome::Confirmed)
+        .filter(|attempt| !bookings.contains_key(&attempt.key))
         .count()
 }
 
-fn doubled(holding: &Holding, bookings: &Index, entries: &Index) -> usize {
+fn count_doubled(contents: &Contents, bookings: &Index, entries: &Index) -> usize {
     let mut keys: collections::BTreeSet<&Key> = repeated_rows(bookings).collect();
     keys.extend(repeated_rows(entries));
-    keys.extend(holding.logs.iter().flat_map(|log| repeated_records(log)));
-    keys.len() + miscounted(holding)
+    keys.extend(contents.logs.iter().flat_map(|log| repeated_records(log)));
+    keys.len() + count_wrong_counters(contents)
 }
 
 fn repeated_rows<'a>(index: &'a Index) -> impl Iterator<Item = &'a Key> {
@@ -232,56 +234,66 @@
         .collect()
 }
 
-fn miscounted(holding: &Holding) -> usize {
+fn count_wrong_counters(contents: &Contents) -> usize {
     let mut counts = collections::BTreeMap::<Item, i64>::new();
-    for row in &holding.bookings {
+    for row in &contents.bookings {
         *counts.entry(row.item).or_default() += 1;
     }
-    let items: collections::BTreeSet<_> = counts.keys().chain(holding.taken.keys()).collect();
+    let items: collections::BTreeSet<_> = counts.keys().chain(contents.counters.keys()).collect();
     items
         .into_iter()
-        .filter(|item| counts.get(item).unwrap_or(&0) != holding.taken.get(item).unwrap_or(&0))
+        .filter(|item| counts.get(item).unwrap_or(&0) != contents.counters.get(item).unwrap_or(&0))
         .count()
 }
 
-fn mixed(promises: &[Promise], holding: &Holding, bookings: &Index, entries: &Index) -> usize {
-    let asked: collections::BTreeMap<_, _> = promises
+fn count_mixed(
+    attempts: &[Attempt],
+    contents: &Contents,
+    bookings: &Index,
+    entries: &Index,
+) -> usize {
+    let attempt_by_key: collections::BTreeMap<_, _> = attempts
         .iter()
-        .map(|promise| (&promise.key, promise))
+        .map(|attempt| (&attempt.key, attempt))
         .collect();
     let mut keys: collections::BTreeSet<&Key> = bookings
         .keys()
         .chain(entries.keys())
         .copied()
-        .filter(|key| !whole(key, &asked, bookings, entries))
+        .filter(|key| !is_consistent(key, &attempt_by_key, bookings, entries))
         .collect();
-    let records = holding.logs.iter().flatten();
+    let records = contents.logs.iter().flatten();
     keys.extend(records.filter(|record| record.len() > 1).flatten());
     keys.len()
 }
 
 /// True when a key has as many first rows as second rows and all carry its own marker.
-fn whole(
+fn is_consistent(
     key: &Key,
-    asked: &collections::BTreeMap<&Key, &Promise>,
+    attempt_by_key: &collections::BTreeMap<&Key, &Attempt>,
     bookings: &Index,
     entries: &Index,
 ) -> bool {
-    let Some(promise) = asked.get(key) else {
+    let Some(attempt) = attempt_by_key.get(key) else {
         return false;
     };
     let first = bookings.get(key).map_or(&[][..], Vec::as_slice);
     let second = entries.get(key).map_or(&[][..], Vec::as_slice);
-    let own = |row: &&Row| row.marker == promise.marker && row.item == promise.item;
+    let own = |row: &&Row| row.marker == attempt.marker && row.item == attempt.item;
     first.len() == second.len() && first.iter().chain(second).all(own)
 }
 
-fn ran(promises: &[Promise], holding: &Holding, bookings: &Index, entries: &Index) -> usize {
-    let logged: collections::BTreeSet<_> = holding.logs.iter().flatten().flatten().collect();
-    promises
+fn count_not_run_but_ran(
+    attempts: &[Attempt],
+    contents: &Contents,
+    bookings: &Index,
+    entries: &Index,
+) -> usize {
+    let logged: collections::BTreeSet<_> = contents.logs.iter().flatten().flatten().collect();
+    attempts
         .iter()
-        .filter(|promise| matches!(promise.told, Told::NotRun | Told::Rejected))
-        .map(|promise| &promise.key)
+        .filter(|attempt| matches!(attempt.outcome, Outcome::NotRun | Outcome::Rejected))
+        .map(|attempt| &attempt.key)
         .filter(|key| {
             bookings.contains_key(key) || entries.contains_key(key) || logged.contains(key)
         })
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -17,7 +17,7 @@
     Rows(Vec<tokio_postgres::SimpleQueryRow>),
     /// An error report that arrived whole: what it says about a commit, and its
     /// SQLSTATE and detail.
-    Refused(ledger::Told, CompactString),
+    Refused(ledger::Outcome, CompactString),
     /// The connection ended, or the caller gave up waiting.
     Lost,
 }
@@ -26,15 +26,15 @@
     /// What the answer says about a commit.
     ///
     /// ```
-    /// use mangotray_lab::{ledger::Told, link::Answer};
-    /// assert_eq!(Answer::Lost.told(), Told::Unknown);
+    /// use mangotray_lab::{ledger::Outcome, link::Answer};
+    /// assert_eq!(Answer::Lost.told(), Outcome::Unknown);
     /// ```
     #[must_use]
-    pub fn told(&self) -> ledger::Told {
+    pub fn told(&self) -> ledger::Outcome {
         match self {
-            Self::Rows(_) => ledger::Told::Confirmed,
+            Self::Rows(_) => ledger::Outcome::Confirmed,
             Self::Refused(told, _) => *told,
-            Self::Lost => ledger::Told::Unknown,
+            Self::Lost => ledger::Outcome::Unknown,
         }
     }
 }
@@ -94,7 +94,7 @@
 fn failure(error: &tokio_postgres::Error) -> Answer {
     error.as_db_error().map_or(Answer::Lost, |report| {
         let (code, message) = (report.code().code(), report.message());
-        let told = ledger::Told::from_error(code, message, report.detail());
+        let told = ledger::Outcome::from_error(code, message, report.detail());
         let text = report.detail().unwrap_or(message);
         Answer::Refused(told, compact_str::format_compact!("{code} {text}"))
     })
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -16,7 +16,7 @@
     pub peak_connections: usize,
     /// Most slots of one instance in use at once.
     pub peak_busy: usize,
-    seen: Vec<[usize; cluster::SIZE]>,
+    previous_statements: Vec<[usize; cluster::SIZE]>,
     calls_before: u64,
 }
 
@@ -24,7 +24,7 @@
     /// Starts counting from the state of a stage.
     #[must_use]
     pub fn start(stage: &stage::Stage) -> Self {
-        let seen = stage
+        let previous_statements = stage
             .clusters
             .iter()
             .map(|cluster| std::array::from_fn(|index| cluster.stats(index).statements));
@@ -33,7 +33,7 @@
             platform_calls: 0,
             peak_connections: 0,
             peak_busy: 0,
-            seen: seen.collect(),
+            previous_statements: previous_statements.collect(),
             calls_before: stage.platform.calls(),
         }
     }
@@ -41,15 +41,17 @@
     /// Counts what has happened since the last look. Statements count by the
     /// instance's part at the time of the look, so a change of primary blurs one
     /// interval.
-    pub fn look(&mut self, stage: &stage::Stage) {
+    pub fn sample(&mut self, stage: &stage::Stage) {
         self.platform_calls = stage.platform.calls() - self.calls_before;
-        for (cluster, seen) in stage.clusters.iter().zip(&mut self.seen) {
-            for (index, before) in seen.iter_mut().enumerate() {
+        for (cluster, previous_statements) in
+            stage.clusters.iter().zip(&mut self.previous_statements)
+        {
+            for (index, previous) in previous_statements.iter_mut().enumerate() {
                 let stats = cluster.stats(index);
                 if cluster.status(index).role == role::Role::Replica {
-                    self.replica_statements += stats.statements - *before;
+                    self.replica_statements += stats.statements - *previous;
                 }
-                *before = stats.statements;
+                *previous = stats.statements;
                 self.peak_connections = self.peak_connections.max(stats.peak_connections);
                 self.peak_busy = self.peak_busy.max(stats.peak_busy);
             }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -12,21 +12,21 @@
 use std::time;
 
 /// Log lines of the lab itself, unless `RUST_LOG` says otherwise.
-const FILTER: &str = "warn";
+const DEFAULT_LOG_FILTER: &str = "warn";
 
 fn main() -> eyre::Result<process::ExitCode> {
     let command = cli::command().run();
     let filter = tracing_subscriber::EnvFilter::try_from_default_env();
     tracing_subscriber::fmt()
-        .with_env_filter(filter.unwrap_or_else(|_| FILTER.into()))
+        .with_env_filter(filter.unwrap_or_else(|_| DEFAULT_LOG_FILTER.into()))
         .with_writer(std::io::stderr)
         .init();
     match command {
         cli::Command::Run(arguments) => return measure(arguments),
         cli::Command::Sweep(arguments) => {
             let program = std::env::current_exe()?;
-            let bad = sweep::execute(&program, arguments.seed, &arguments.only);
-            return Ok(code(bad > 0));
+            let failures = sweep::execute(&program, arguments.seed, &arguments.only);
+            return Ok(exit_code(failures > 0));
         }
         cli::Command::Demo(arguments) => {
             demo::serve(arguments.port, arguments.lasts.map(Into::into))?;
@@ -55,17 +55,17 @@
         policy: arguments.policy.parse()?,
         profile,
         proxies: arguments.proxies,
-        lasts: time::Duration::from_secs(arguments.seconds),
+        duration: time::Duration::from_secs(arguments.seconds),
         seed: arguments.seed,
         faults: arguments.fault,
     };
     let report = run.execute()?;
     println!("{}", serde_json::to_string(&report)?);
-    Ok(code(report.is_violated()))
+    Ok(exit_code(report.is_violated()))
 }
 
-fn code(bad: bool) -> process::ExitCode {
-    if bad {
+fn exit_code(failed: bool) -> process::ExitCode {
+    if failed {
         process::ExitCode::FAILURE
     } else {
         process::ExitCode::SUCCESS
--- a/lab/src/note.rs
+++ b/lab/src/note.rs
@@ -10,30 +10,30 @@
 use crate::verdict;
 
 /// Violations that are told in full.
-const EXAMPLES: usize = 5;
+const MAX_EXAMPLES: usize = 5;
 
 /// Latencies are kept to three significant digits.
-const DIGITS: u8 = 3;
+const LATENCY_DIGITS: u8 = 3;
 
 /// Records of one caller, or of many when merged.
 #[derive(Clone, Debug)]
 pub struct Note {
     /// Every write that was tried.
-    pub promises: Vec<ledger::Promise>,
+    pub attempts: Vec<ledger::Attempt>,
     /// Probes that were confirmed.
     pub probes: Vec<Probe>,
     /// Requests answered after their deadline, whatever the answer was.
-    pub late: usize,
+    pub late_answers: usize,
     /// Longest time by which an answer missed its deadline.
-    pub latest: time::Duration,
+    pub max_lateness: time::Duration,
     /// Requests whose connection ended, or that were given up, without an answer.
-    pub cut: usize,
+    pub unanswered: usize,
     /// Reads that missed a write that they had to contain.
-    pub stale: usize,
+    pub stale_reads: usize,
     /// The first of those reads, told in full.
     pub examples: Vec<CompactString>,
     /// Answers that belong to another request, or are incomplete.
-    pub foreign: usize,
+    pub foreign_answers: usize,
     /// Refusals by SQLSTATE and detail.
     pub refusals: collections::BTreeMap<CompactString, usize>,
     /// Reads that were answered.
@@ -63,16 +63,17 @@
     /// Never: the number of digits is valid.
     #[must_use]
     pub fn new() -> Self {
-        let histogram = hdrhistogram::Histogram::new(DIGITS).expect("valid number of digits");
+        let histogram =
+            hdrhistogram::Histogram::new(LATENCY_DIGITS).expect("valid number of digits");
         Self {
-            promises: Vec::new(),
+            attempts: Vec::new(),
             probes: Vec::new(),
-            late: 0,
-            latest: time::Duration::ZERO,
-            cut: 0,
-            stale: 0,
+            late_answers: 0,
+            max_lateness: time::Duration::ZERO,
+            unanswered: 0,
+            stale_reads: 0,
             examples: Vec::new(),
-            foreign: 0,
+            foreign_answers: 0,
             refusals: collections::BTreeMap::new(),
             reads: 0,
             reads_refused: 0,
@@ -87,31 +88,31 @@
     /// use mangotray_lab::note::Note;
     /// let mut all = Note::new();
     /// let mut one = Note::new();
-    /// one.late = 2;
+    /// one.late_answers = 2;
     /// all.merge(one);
-    /// assert_eq!(all.late, 2);
+    /// assert_eq!(all.late_answers, 2);
     /// ```
     ///
     /// # Panics
     /// Never: histograms resize themselves.
     pub fn merge(&mut self, other: Self) {
-        self.promises.extend(other.promises);
+        self.attempts.extend(other.attempts);
         self.probes.extend(other.probes);
-        self.late += other.late;
-        self.latest = self.latest.max(other.latest);
-        self.cut += other.cut;
-        self.stale += other.stale;
+        self.late_answers += other.late_answers;
+        self.max_lateness = self.max_lateness.max(other.max_lateness);
+        self.unanswered += other.unanswered;
+        self.stale_reads += other.stale_reads;
         self.examples.extend(other.examples);
-        self.examples.truncate(EXAMPLES);
-        self.foreign += other.foreign;
+        self.examples.truncate(MAX_EXAMPLES);
+        self.foreign_answers += other.foreign_answers;
         for (refusal, count) in other.refusals {
             *self.refusals.entry(refusal).or_default() += count;
         }
         self.reads += other.reads;
         self.reads_refused += other.reads_refused;
-        let resized = "histogram resizes itself";
-        self.read_latency.add(&other.read_latency).expect(resized);
-        self.write_latency.add(&other.write_latency).expect(resized);
+        let resizes = "histogram resizes itself";
+        self.read_latency.add(&other.read_latency).expect(resizes);
+        self.write_latency.add(&other.write_latency).expect(resizes);
     }
 
     /// Counts what is wrong with an answer to a read, and keeps `told` as an example.
@@ -119,14 +120,18 @@
     /// ```
     /// use mangotray_lab::{note::Note, verdict::Verdict};
     /// let mut note = Note::new();
-    /// note.judge(Verdict::FOREIGN, || "row of another caller".into());
-    /// assert_eq!((note.foreign, note.stale, note.examples.len()), (1, 0, 1));
+    /// note.record_verdict(Verdict::FOREIGN, || "row of another caller".into());
+    /// assert_eq!((note.foreign_answers, note.stale_reads, note.examples.len()), (1, 0, 1));
     /// ```
-    pub fn judge(&mut self, verdict: verdict::Verdict, told: impl FnOnce() -> CompactString) {
-        self.foreign += usize::from(verdict.foreign);
-        self.stale += usize::from(verdict.stale);
-        if verdict != verdict::Verdict::default() && self.examples.len() < EXAMPLES {
-            self.examples.push(told());
+    pub fn record_verdict(
+        &mut self,
+        verdict: verdict::Verdict,
+        describe: impl FnOnce() -> CompactString,
+    ) {
+        self.foreign_answers += usize::from(verdict.foreign);
+        self.stale_reads += usize::from(verdict.stale);
+        if verdict != verdict::Verdict::default() && self.examples.len() < MAX_EXAMPLES {
+            self.examples.push(describe());
         }
     }
 
@@ -135,27 +140,27 @@
     /// ```
     /// use std::time::Duration;
     /// let mut note = mangotray_lab::note::Note::new();
-    /// note.time(Duration::from_millis(2003), Duration::from_secs(2));
-    /// assert_eq!((note.late, note.latest), (1, Duration::from_millis(3)));
+    /// note.record_duration(Duration::from_millis(2003), Duration::from_secs(2));
+    /// assert_eq!((note.late_answers, note.max_lateness), (1, Duration::from_millis(3)));
     /// ```
-    pub fn time(&mut self, elapsed: time::Duration, deadline: time::Duration) {
+    pub fn record_duration(&mut self, elapsed: time::Duration, deadline: time::Duration) {
         let excess = elapsed.saturating_sub(deadline);
-        self.late += usize::from(!excess.is_zero());
-        self.latest = self.latest.max(excess);
+        self.late_answers += usize::from(!excess.is_zero());
+        self.max_lateness = self.max_lateness.max(excess);
     }
 
     /// Writes of callers, without the prober's, that got this answer.
     ///
     /// ```
-    /// use mangotray_lab::{ledger::Told, note::Note};
-    /// assert_eq!(Note::new().told(Told::Confirmed), 0);
+    /// use mangotray_lab::{ledger::Outcome, note::Note};
+    /// assert_eq!(Note::new().count_writes(Outcome::Confirmed), 0);
     /// ```
     #[must_use]
-    pub fn told(&self, told: ledger::Told) -> usize {
-        self.promises
+    pub fn count_writes(&self, outcome: ledger::Outcome) -> usize {
+        self.attempts
             .iter()
-            .filter(|promise| promise.item != profile::PROBER_ITEM)
-            .filter(|promise| promise.told == told)
+            .filter(|attempt| attempt.item != profile::PROBER_ITEM)
+            .filter(|attempt| attempt.outcome == outcome)
             .count()
     }
 
@@ -170,12 +175,12 @@
     /// let fault = Instant::now();
     /// let at = |millis| fault + Duration::from_millis(millis);
     /// let mut note = Note::new();
-    /// assert_eq!(note.gap(fault), None);
+    /// assert_eq!(note.failover_gap(fault), None);
     /// note.probes.push(Probe { sent: at(20), confirmed: at(90) });
-    /// assert_eq!(note.gap(fault), Some(Duration::from_millis(90)));
+    /// assert_eq!(note.failover_gap(fault), Some(Duration::from_millis(90)));
     /// ```
     #[must_use]
-    pub fn gap(&self, fault: time::Instant) -> Option<time::Duration> {
+    pub fn failover_gap(&self, fault: time::Instant) -> Option<time::Duration> {
         self.probes
             .iter()
             .filter(|probe| probe.sent >= fault)
--- a/lab/src/output.rs
+++ b/lab/src/output.rs
@@ -46,10 +46,10 @@
     }
 
     pub(crate) fn columns(&mut self, columns: &[column::Column], formats: &[i16]) {
-        let field = |(at, column): (usize, &column::Column)| {
+        let field = |(index, column): (usize, &column::Column)| {
             let kind = column.kind.unwrap_or(value::Kind::Text);
             let name = column.name.clone();
-            let format = format(formats, at);
+            let format = format(formats, index);
             data::FieldDescription::new(name, 0, 0, kind.oid(), kind.size(), -1, format)
         };
         let fields = columns.iter().enumerate().map(field);
@@ -64,10 +64,10 @@
     ) {
         for row in &answer.rows {
             let mut message = data::DataRow::default();
-            for (at, cell) in row.iter().enumerate() {
-                let column = columns.get(at).and_then(|column| column.kind);
+            for (index, cell) in row.iter().enumerate() {
+                let column = columns.get(index).and_then(|column| column.kind);
                 let kind = column.unwrap_or(value::Kind::Text);
-                kind.encode(cell, format(formats, at), &mut message);
+                kind.encode(cell, format(formats, index), &mut message);
             }
             self.push(&message);
         }
@@ -84,10 +84,10 @@
 }
 
 /// Format of a column or parameter: none given means text, one given holds for all.
-pub(crate) fn format(formats: &[i16], at: usize) -> i16 {
+pub(crate) fn format(formats: &[i16], index: usize) -> i16 {
     match formats {
         [] => data::FORMAT_CODE_TEXT,
-        [all] => *all,
-        each => each.get(at).copied().unwrap_or(data::FORMAT_CODE_TEXT),
+        [shared] => *shared,
+        each => each.get(index).copied().unwrap_or(data::FORMAT_CODE_TEXT),
     }
 }
--- a/lab/src/profile.rs
+++ b/lab/src/profile.rs
@@ -17,7 +17,7 @@
 pub const PROBER_ITEM: ledger::Item = 0;
 
 /// Greatest age of reads of the listing table.
-pub const LISTING_AGE: time::Duration = time::Duration::from_secs(5);
+pub const MAX_LISTING_AGE: time::Duration = time::Duration::from_secs(5);
 
 /// Sizes, delays and workload of one user.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// One-way delay between failure domains.
     pub delay: time::Duration,
     /// One-way delay between callers and proxies.
-    pub reach: time::Duration,
+    pub caller_delay: time::Duration,
     /// Callers of each group.
     pub callers: usize,
     /// Mean pause of a caller between two requests.
@@ -57,7 +57,7 @@
     /// Writes in percent that send statement by statement; the others send one batch.
     /// A stand-in instance has one writer at a time, so many of them would measure
     /// the stand-in and not the proxies.
-    pub separate: u32,
+    pub unbatched_percent: u32,
     /// Names of the tables.
     pub tables: Tables,
 }
@@ -66,13 +66,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mix {
     /// Writes: reservations or payout confirmations.
-    pub book: u32,
+    pub write: u32,
     /// Reads of a caller's own rows.
-    pub own: u32,
+    pub own_rows: u32,
     /// Reads of one item's rows.
-    pub detail: u32,
+    pub item: u32,
     /// Reads of the listing, covered by an age rule.
-    pub list: u32,
+    pub listing: u32,
 }
 
 /// Names of the tables that a profile calls by its own words.
@@ -88,13 +88,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// A reservation or a payout confirmation.
-    Book,
+    Write,
     /// The caller's own rows.
-    Own,
+    OwnRows,
     /// Rows of one item: a running order or a brief.
-    Detail,
+    Item,
     /// All items with their counters: a calendar or a brief list.
-    List,
+    Listing,
 }
 
 impl Mix {
@@ -103,19 +103,19 @@
     /// ```
     /// use mangotray_lab::profile::{Kind, Profile};
     /// let mix = Profile::tarapath().mix;
-    /// assert_eq!(mix.kind(0), Kind::Book);
-    /// assert_eq!(mix.kind(99), Kind::List);
+    /// assert_eq!(mix.kind(0), Kind::Write);
+    /// assert_eq!(mix.kind(99), Kind::Listing);
     /// ```
     #[must_use]
-    pub fn kind(&self, drawn: u32) -> Kind {
-        if drawn < self.book {
-            Kind::Book
-        } else if drawn < self.book + self.own {
-            Kind::Own
-        } else if drawn < self.book + self.own + self.detail {
-            Kind::Detail
+    pub fn kind(&self, percentile: u32) -> Kind {
+        if percentile < self.write {
+            Kind::Write
+        } else if percentile < self.write + self.own_rows {
+            Kind::OwnRows
+        } else if percentile < self.write + self.own_rows + self.item {
+            Kind::Item
         } else {
-            Kind::List
+            Kind::Listing
         }
     }
 }
@@ -140,17 +140,17 @@
             statement_cost: time::Duration::from_millis(1),
             lag: time::Duration::from_millis(2),
             delay: time::Duration::from_micros(1500),
-            reach: time::Duration::from_millis(3),
+            caller_delay: time::Duration::from_millis(3),
             callers: 24,
             pause: time::Duration::from_millis(200),
             deadline: time::Duration::from_secs(2),
             mix: Mix {
-                book: 25,
-                own: 20,
-                detail: 15,
-                list: 40,
+                write: 25,
+                own_rows: 20,
+                item: 15,
+                listing: 40,
             },
-            separate: 20,
+            unbatched_percent: 20,
             tables: Tables {
                 listing: "calendar",
                 rows: "bookings",
@@ -171,13 +171,13 @@
             database: "campaign_core",
             domains: ["hcm-a", "hcm-b", "hcm-c"],
             connections: 40,
-            reach: time::Duration::from_millis(1),
+            caller_delay: time::Duration::from_millis(1),
             pause: time::Duration::from_millis(60),
             mix: Mix {
-                book: 5,
-                own: 25,
-                detail: 15,
-                list: 55,
+                write: 5,
+                own_rows: 25,
+                item: 15,
+                listing: 55,
             },
             tables: Tables {
                 listing: "briefs",
@@ -245,7 +245,7 @@
     pub fn age(&self) -> database::Age {
         database::Age {
             tables: vec![self.tables.listing.into()],
-            limit: LISTING_AGE,
+            limit: MAX_LISTING_AGE,
         }
     }
 }
--- a/lab/src/profile/tests.rs
+++ b/lab/src/profile/tests.rs
@@ -1,35 +1,43 @@
 use crate::profile::{Kind, Profile};
 
 #[test]
-fn mixes_add_up_to_a_hundred() {
+fn percentages_of_a_mix_add_up_to_100() {
     for profile in [Profile::tarapath(), Profile::hoasen()] {
         let mix = profile.mix;
-        assert_eq!(mix.book + mix.own + mix.detail + mix.list, 100, "{profile}");
+        assert_eq!(
+            mix.write + mix.own_rows + mix.item + mix.listing,
+            100,
+            "{profile}"
+        );
     }
 }
 
 #[test]
-fn kinds_are_drawn_by_their_shares() {
+fn kinds_are_drawn_by_their_percentages() {
     let mix = Profile::hoasen().mix;
-    let drawn = |kind| (0..100).filter(|drawn| mix.kind(*drawn) == kind).count();
-    assert_eq!(drawn(Kind::Book), 5);
-    assert_eq!(drawn(Kind::Own), 25);
-    assert_eq!(drawn(Kind::Detail), 15);
-    assert_eq!(drawn(Kind::List), 55);
+    let count = |kind| {
+        (0..100)
+            .filter(|percentile| mix.kind(*percentile) == kind)
+            .count()
+    };
+    assert_eq!(count(Kind::Write), 5);
+    assert_eq!(count(Kind::OwnRows), 25);
+    assert_eq!(count(Kind::Item), 15);
+    assert_eq!(count(Kind::Listing), 55);
 }
 
 #[test]
-fn schema_runs_and_counts_from_zero() {
+fn schema_is_valid_and_counters_start_at_zero() {
     for profile in [Profile::tarapath(), Profile::hoasen()] {
         let database = rusqlite::Connection::open_in_memory().unwrap();
         database.execute_batch(&profile.schema().join(";")).unwrap();
         let mut counters = database.prepare(&profile.all_counters()).unwrap();
-        let taken: Vec<i64> = counters
+        let counts: Vec<i64> = counters
             .query_map([], |row| row.get(1))
             .unwrap()
             .map(Result::unwrap)
             .collect();
-        assert_eq!(taken, [0; 21], "{profile}");
+        assert_eq!(counts, [0; 21], "{profile}");
     }
 }
 
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -88,15 +88,15 @@
 impl Report {
     /// Fills in what the callers recorded.
     pub fn add_note(&mut self, note: &note::Note) {
-        self.confirmed = note.told(ledger::Told::Confirmed);
-        self.unknown = note.told(ledger::Told::Unknown);
-        self.not_run = note.told(ledger::Told::NotRun);
-        self.rejected = note.told(ledger::Told::Rejected);
-        self.late = note.late;
-        self.late_by_ms = rounded(note.latest.as_secs_f64() * 1e3);
-        self.cut = note.cut;
-        self.stale = note.stale;
-        self.foreign = note.foreign;
+        self.confirmed = note.count_writes(ledger::Outcome::Confirmed);
+        self.unknown = note.count_writes(ledger::Outcome::Unknown);
+        self.not_run = note.count_writes(ledger::Outcome::NotRun);
+        self.rejected = note.count_writes(ledger::Outcome::Rejected);
+        self.late = note.late_answers;
+        self.late_by_ms = round_to_hundredths(note.max_lateness.as_secs_f64() * 1e3);
+        self.cut = note.unanswered;
+        self.stale = note.stale_reads;
+        self.foreign = note.foreign_answers;
         self.reads_refused = note.reads_refused;
         self.refusals.clone_from(&note.refusals);
         self.examples.clone_from(&note.examples);
@@ -118,15 +118,15 @@
 
     /// Fills in what databases and platform counted, for `reads` answered reads.
     pub fn add_load(&mut self, load: &load::Load, reads: usize) {
-        self.replica_read_share = share(load.replica_statements, reads);
-        self.platform_calls_per_s = rounded(float(load.platform_calls) / self.seconds);
+        self.replica_read_share = replica_share(load.replica_statements, reads);
+        self.platform_calls_per_s = round_to_hundredths(float(load.platform_calls) / self.seconds);
         self.peak_connections = load.peak_connections;
         self.peak_busy = load.peak_busy;
     }
 
     /// Fills in the gaps after primaries' faults.
     pub fn add_gaps(&mut self, gaps: &[Option<time::Duration>]) {
-        let millis = |gap: &time::Duration| rounded(gap.as_secs_f64() * 1e3);
+        let millis = |gap: &time::Duration| round_to_hundredths(gap.as_secs_f64() * 1e3);
         self.failover_gaps_ms = gaps.iter().map(|gap| gap.as_ref().map(millis)).collect();
         let all: Option<Vec<_>> = gaps.iter().copied().collect();
         self.failover_gap_ms = all.and_then(|gaps| gaps.iter().max().map(millis));
@@ -142,7 +142,7 @@
 
 /// Reads that are sent again run twice, so the count of statements can pass that of
 /// answered reads; a share stays a share.
-fn share(replica_statements: usize, reads: usize) -> f64 {
+fn replica_share(replica_statements: usize, reads: usize) -> f64 {
     let all = reads.max(replica_statements);
     if all == 0 {
         return 0.0;
@@ -151,14 +151,14 @@
 }
 
 fn per_second(count: usize, seconds: f64) -> f64 {
-    rounded(float(count as u64) / seconds)
+    round_to_hundredths(float(count as u64) / seconds)
 }
 
 fn millis(histogram: &hdrhistogram::Histogram<u64>, quantile: f64) -> f64 {
-    rounded(float(histogram.value_at_quantile(quantile)) / 1e3)
+    round_to_hundredths(float(histogram.value_at_quantile(quantile)) / 1e3)
 }
 
-fn rounded(value: f64) -> f64 {
+fn round_to_hundredths(value: f64) -> f64 {
     (value * 100.0).round() / 100.0
 }
 
--- a/lab/src/report/tests.rs
+++ b/lab/src/report/tests.rs
@@ -2,9 +2,9 @@
 
 use crate::ledger;
 use crate::note;
-use crate::report::{Report, share};
+use crate::report::{Report, replica_share};
 
-fn kept() -> Report {
+fn unviolated_report() -> Report {
     Report {
         settled: true,
         seconds: 2.0,
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn each_broken_promise_is_a_violation() {
-    let broken: [fn(&mut Report); 7] = [
+fn each_broken_guarantee_is_a_violation() {
+    let violations: [fn(&mut Report); 7] = [
         |report| report.lost = 1,
         |report| report.doubled = 1,
         |report| report.stale = 1,
@@ -23,17 +23,17 @@
         |report| report.not_run_but_ran = 1,
         |report| report.settled = false,
     ];
-    assert!(!kept().is_violated());
-    for (index, breaking) in broken.iter().enumerate() {
-        let mut report = kept();
-        breaking(&mut report);
+    assert!(!unviolated_report().is_violated());
+    for (index, violate) in violations.iter().enumerate() {
+        let mut report = unviolated_report();
+        violate(&mut report);
         assert!(report.is_violated(), "case {index}");
     }
 }
 
 #[test]
-fn the_longest_gap_counts() {
-    let mut report = kept();
+fn the_longest_gap_is_reported() {
+    let mut report = unviolated_report();
     let gap = |millis| Some(time::Duration::from_millis(millis));
     report.add_gaps(&[gap(300), gap(700)]);
     assert_eq!(report.failover_gap_ms, Some(700.0));
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn a_gap_that_never_ends_is_no_figure() {
-    let mut report = kept();
+fn a_gap_that_never_ends_is_not_reported() {
+    let mut report = unviolated_report();
     report.add_gaps(&[Some(time::Duration::from_millis(300)), None]);
     assert_eq!(report.failover_gap_ms, None);
 }
@@ -50,20 +50,20 @@
 #[test]
 fn rates_count_callers_without_the_prober() {
     let mut note = note::Note::new();
-    let promise = |item, told| ledger::Promise {
+    let attempt = |item, outcome| ledger::Attempt {
         key: "key-a-1".into(),
         marker: "m".into(),
         item,
-        told,
+        outcome,
     };
-    note.promises = vec![
-        promise(0, ledger::Told::Confirmed),
-        promise(1, ledger::Told::Confirmed),
-        promise(2, ledger::Told::Confirmed),
-        promise(2, ledger::Told::Unknown),
+    note.attempts = vec![
+        attempt(0, ledger::Outcome::Confirmed),
+        attempt(1, ledger::Outcome::Confirmed),
+        attempt(2, ledger::Outcome::Confirmed),
+        attempt(2, ledger::Outcome::Unknown),
     ];
     note.reads = 7;
-    let mut report = kept();
+    let mut report = unviolated_report();
     report.add_note(&note);
     assert_eq!((report.confirmed, report.unknown), (2, 1));
     assert!((report.writes_per_s - 1.0).abs() < f64::EPSILON);
@@ -71,10 +71,10 @@
 }
 
 #[test]
-fn a_share_stays_a_share() {
+fn a_replica_share_is_at_most_one() {
     let cases = [(0, 0, 0.0), (1, 4, 0.25), (5, 4, 1.0)];
     for (replica_statements, reads, expected) in cases {
-        let found = share(replica_statements, reads);
+        let found = replica_share(replica_statements, reads);
         assert!((found - expected).abs() < f64::EPSILON, "{found}");
     }
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -21,14 +21,14 @@
 use crate::workload;
 
 /// Pause between two looks at faults and counters.
-const LOOK_INTERVAL: time::Duration = time::Duration::from_millis(10);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 /// Longest wait for all groups to take a write through each proxy; under slow promotion
 /// the groups get their first primaries one after the other, ten seconds each.
-const READY_PATIENCE: time::Duration = time::Duration::from_secs(90);
+const READY_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
 /// Longest wait for replication to settle before the audit.
-const SETTLE_PATIENCE: time::Duration = time::Duration::from_secs(20);
+const SETTLE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// A run as it was asked for.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     /// Proxies to start.
     pub proxies: usize,
     /// How long callers work.
-    pub lasts: time::Duration,
+    pub duration: time::Duration,
     /// Seed of callers' choices and of lost answers.
     pub seed: u64,
     /// Faults to bring.
@@ -55,24 +55,24 @@
     /// # Errors
     /// When the stage cannot be started, or is not ready in time.
     pub fn execute(&self) -> eyre::Result<report::Report> {
-        let mut stage = stage::Stage::start(&self.stage())?;
+        let mut stage = stage::Stage::start(&self.stage_options())?;
         let databases: Vec<_> = (0..self.profile.groups)
             .map(|group| self.profile.group(group))
             .collect();
-        ready::wait(&self.profile, &databases, &stage.callers, READY_PATIENCE)?;
+        ready::wait(&self.profile, &databases, &stage.callers, READY_TIMEOUT)?;
         let callers = sync::Arc::from(stage.callers.as_slice());
         let profile = sync::Arc::new(self.profile.clone());
         let mut load = load::Load::start(&stage);
         let start = time::Instant::now();
         let workload = workload::Workload::start(&profile, &callers, self.seed)?;
-        let troubles = self.bring(&mut stage, &mut load, start);
+        let troubles = self.inject_faults(&mut stage, &mut load, start);
         let seconds = start.elapsed().as_secs_f64();
         let notes = workload.stop();
-        load.look(&stage);
-        let settled = stage.settle(SETTLE_PATIENCE) && stage.quiesce(SETTLE_PATIENCE);
+        load.sample(&stage);
+        let settled = stage.settle(SETTLE_TIMEOUT) && stage.quiesce(SETTLE_TIMEOUT);
         let mut report = self.report(seconds, settled);
         report.add_audit(self.audit(&stage, &notes)?);
-        report.add_gaps(&gaps(&troubles, &notes));
+        report.add_gaps(&failover_gaps(&troubles, &notes));
         let note = merged(notes);
         report.add_note(&note);
         report.add_load(&load, note.reads);
@@ -80,7 +80,7 @@
         Ok(report)
     }
 
-    fn stage(&self) -> stage::Options {
+    fn stage_options(&self) -> stage::Options {
         let free = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
         stage::Options {
             program: self.program.clone(),
@@ -93,30 +93,30 @@
 
     /// Begins and ends faults at their times, until the run is over; all have
     /// ended when it returns.
-    fn bring(
+    fn inject_faults(
         &self,
         stage: &mut stage::Stage,
         load: &mut load::Load,
         start: time::Instant,
     ) -> Vec<trouble::Trouble> {
-        let mut waiting = self.faults.clone();
-        waiting.sort_by_key(|fault| std::cmp::Reverse(fault.at));
+        let mut pending = self.faults.clone();
+        pending.sort_by_key(|fault| std::cmp::Reverse(fault.at));
         let mut active = Vec::new();
-        let mut over = Vec::new();
-        while start.elapsed() < self.lasts {
-            thread::sleep(LOOK_INTERVAL);
-            load.look(stage);
-            while let Some(fault) = waiting.pop_if(|fault| fault.at <= start.elapsed()) {
+        let mut past = Vec::new();
+        while start.elapsed() < self.duration {
+            thread::sleep(POLL_INTERVAL);
+            load.sample(stage);
+            while let Some(fault) = pending.pop_if(|fault| fault.at <= start.elapsed()) {
                 active.push(trouble::Trouble::begin(fault, stage, self.seed));
             }
             let ended = active.extract_if(.., |trouble| trouble.is_over());
-            over.extend(ended.inspect(|trouble| trouble.end(stage)));
+            past.extend(ended.inspect(|trouble| trouble.end(stage)));
         }
         for trouble in &active {
             trouble.end(stage);
         }
-        over.extend(active);
-        over
+        past.extend(active);
+        past
     }
 
     fn audit(&self, stage: &stage::Stage, notes: &[note::Note]) -> eyre::Result<ledger::Audit> {
@@ -125,8 +125,8 @@
             let primary = stage
                 .primary(group)
                 .ok_or_else(|| eyre::eyre!("group {group} has no primary at the end"))?;
-            let holding = inspect::holding(&stage.clusters[group], primary, &self.profile)?;
-            all = all.plus(ledger::Audit::of(&note.promises, &holding));
+            let contents = inspect::contents(&stage.clusters[group], primary, &self.profile)?;
+            all = all.plus(ledger::Audit::of(&note.attempts, &contents));
         }
         Ok(all)
     }
@@ -146,11 +146,14 @@
 }
 
 /// Time without confirmed writes after each primary's fault.
-fn gaps(troubles: &[trouble::Trouble], notes: &[note::Note]) -> Vec<Option<time::Duration>> {
+fn failover_gaps(
+    troubles: &[trouble::Trouble],
+    notes: &[note::Note],
+) -> Vec<Option<time::Duration>> {
     troubles
         .iter()
         .filter(|trouble| trouble.fault.kind.hits_primary())
-        .map(|trouble| notes[trouble.fault.group].gap(trouble.began))
+        .map(|trouble| notes[trouble.fault.group].failover_gap(trouble.started_at))
         .collect()
 }
 
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -18,17 +18,17 @@
     /// Connections open now.
     pub connections: usize,
     /// Slots in use now.
-    pub busy: usize,
+    pub busy_slots: usize,
     /// Batches arrived and not yet answered, those that wait for a slot included.
     pub batches: usize,
 }
 
 /// Counts a connection for as long as it lives.
-pub(crate) struct Seat(Arc<instance::Instance>);
+pub(crate) struct Connection(Arc<instance::Instance>);
 
-impl Seat {
+impl Connection {
     /// Nothing when the instance has no connection left.
-    pub(crate) fn take(instance: &Arc<instance::Instance>) -> Option<Self> {
+    pub(crate) fn acquire(instance: &Arc<instance::Instance>) -> Option<Self> {
         let mut stats = instance.stats();
         if stats.connections >= instance.options.connections {
             stats.refused_connections += 1;
@@ -40,7 +40,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.0.stats().connections -= 1;
     }
@@ -63,19 +63,19 @@
 }
 
 /// Counts a busy slot.
-pub(crate) struct Busy<'a>(&'a instance::Instance);
+pub(crate) struct BusySlot<'a>(&'a instance::Instance);
 
-impl<'a> Busy<'a> {
+impl<'a> BusySlot<'a> {
     pub(crate) fn count(instance: &'a instance::Instance) -> Self {
         let mut stats = instance.stats();
-        stats.busy += 1;
-        stats.peak_busy = stats.peak_busy.max(stats.busy);
+        stats.busy_slots += 1;
+        stats.peak_busy = stats.peak_busy.max(stats.busy_slots);
         Self(instance)
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for BusySlot<'_> {
     fn drop(&mut self) {
-        self.0.stats().busy -= 1;
+        self.0.stats().busy_slots -= 1;
     }
 }
--- a/lab/src/sweep.rs
+++ b/lab/src/sweep.rs
@@ -10,23 +10,23 @@
 use crate::run;
 
 /// Seconds of a run without a primary's fault under slow promotion.
-const SECONDS: u64 = 8;
+const RUN_SECONDS: u64 = 8;
 
 /// Seconds of a run in which a promotion waits for a lease of ten seconds.
-const LONG_SECONDS: u64 = 20;
+const LEASE_EXPIRY_RUN_SECONDS: u64 = 20;
 
 /// Faults begin and end in the middle of a run.
-const FAULT_TIMES: &str = "@2+3";
+const FAULT_SCHEDULE: &str = "@2+3";
 
 /// Sizes of the system that faults are brought to.
-const SMALL: usize = 3;
-const LARGE: usize = 8;
+const SMALL_PROXIES: usize = 3;
+const LARGE_PROXIES: usize = 8;
 
 /// Replication delays in milliseconds at which confirmation is compared.
-const LAGS: [u64; 3] = [1, 20, 200];
+const COMPARED_LAGS_MS: [u64; 3] = [1, 20, 200];
 
 /// Replication delay of a usual run, in milliseconds.
-const USUAL_LAG: u64 = 2;
+const DEFAULT_LAG_MS: u64 = 2;
 
 /// One run of the sweep, in the words of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// Name of the policy.
     pub policy: &'static str,
     /// Replication delay in milliseconds.
-    pub lag: u64,
+    pub lag_ms: u64,
 }
 
 impl Case {
@@ -52,36 +52,36 @@
         Self {
             profile,
             proxies,
-            seconds: SECONDS,
+            seconds: RUN_SECONDS,
             seed,
             fault: None,
             policy: "default",
-            lag: USUAL_LAG,
+            lag_ms: DEFAULT_LAG_MS,
         }
     }
 
-    fn with(self, fault: fault::Kind) -> Self {
+    fn with_fault(self, fault: fault::Kind) -> Self {
         Self {
-            fault: Some(format!("{fault}{FAULT_TIMES}")),
+            fault: Some(format!("{fault}{FAULT_SCHEDULE}")),
             ..self
         }
     }
 
-    fn under(self, policy: &'static str) -> Self {
+    fn with_policy(self, policy: &'static str) -> Self {
         Self { policy, ..self }
     }
 
     fn run(&self, program: &path::Path) -> eyre::Result<report::Report> {
         let faults = self.fault.iter().map(|text| text.parse());
         let profile = profile::Profile {
-            lag: time::Duration::from_millis(self.lag),
+            lag: time::Duration::from_millis(self.lag_ms),
             ..self.profile.parse()?
         };
         let run = run::Run {
             program: program.to_owned(),
             profile,
             proxies: self.proxies,
-            lasts: time::Duration::from_secs(self.seconds),
+            duration: time::Duration::from_secs(self.seconds),
             seed: self.seed,
             faults: faults.collect::<Result<_, _>>()?,
             policy: self.policy.parse()?,
@@ -91,12 +91,12 @@
 
     /// Whether two cases differ in the policy only, and in what it makes them wait.
     fn compares_with(&self, base: &Self) -> bool {
-        let like = Self {
+        let expected = Self {
             policy: self.policy,
             seconds: self.seconds,
             ..base.clone()
         };
-        *self == like && self.policy != base.policy && base.policy == "default"
+        *self == expected && self.policy != base.policy && base.policy == "default"
     }
 }
 
@@ -105,7 +105,7 @@
         write!(
             f,
             "run --profile {} --proxies {} --seconds {} --seed {} --policy {} --lag {}ms",
-            self.profile, self.proxies, self.seconds, self.seed, self.policy, self.lag
+            self.profile, self.proxies, self.seconds, self.seed, self.policy, self.lag_ms
         )?;
         self.fault
             .iter()
@@ -123,39 +123,39 @@
 /// ```
 #[must_use]
 pub fn cases(seed: u64) -> Vec<Case> {
-    let small = Case::new("tarapath", SMALL, seed);
-    let large = Case::new("hoasen", LARGE, seed);
+    let small = Case::new("tarapath", SMALL_PROXIES, seed);
+    let large = Case::new("hoasen", LARGE_PROXIES, seed);
     let mut cases = Vec::new();
     for policy in ["default", "primary-only", "token-only"] {
-        cases.push(small.clone().under(policy));
-        cases.push(large.clone().under(policy));
+        cases.push(small.clone().with_policy(policy));
+        cases.push(large.clone().with_policy(policy));
     }
-    for lag in LAGS {
+    for lag_ms in COMPARED_LAGS_MS {
         for policy in ["default", "unsafe-ack"] {
             let lagging = Case {
-                lag,
+                lag_ms,
                 ..small.clone()
             };
-            cases.push(lagging.under(policy));
+            cases.push(lagging.with_policy(policy));
         }
     }
     for kind in [fault::Kind::PrimaryCrash, fault::Kind::PrimaryPartition] {
-        let slow = small.clone().with(kind).under("lease-expiry");
+        let slow = small.clone().with_fault(kind).with_policy("lease-expiry");
         cases.push(Case {
-            seconds: LONG_SECONDS,
+            seconds: LEASE_EXPIRY_RUN_SECONDS,
             ..slow
         });
     }
     cases.push(Case {
-        lag: LAGS[2],
+        lag_ms: COMPARED_LAGS_MS[2],
         ..small
             .clone()
-            .with(fault::Kind::PrimaryCrash)
-            .under("unsafe-ack")
+            .with_fault(fault::Kind::PrimaryCrash)
+            .with_policy("unsafe-ack")
     });
     for (_, kind) in fault::KINDS {
-        cases.push(small.clone().with(kind));
-        cases.push(large.clone().with(kind));
+        cases.push(small.clone().with_fault(kind));
+        cases.push(large.clone().with_fault(kind));
     }
     cases
 }
@@ -165,32 +165,32 @@
 /// a promise or failed, the unsafe baseline apart.
 #[must_use]
 pub fn execute(program: &path::Path, seed: u64, only: &str) -> usize {
-    let mut done = Vec::new();
-    let mut bad = 0;
-    println!("{HEADER}");
+    let mut finished = Vec::new();
+    let mut failures = 0;
+    println!("{TABLE_HEADER}");
     let chosen = cases(seed).into_iter();
     for case in chosen.filter(|case| case.to_string().contains(only)) {
         match case.run(program) {
             Ok(report) => {
-                println!("| `{case}` | {} |", figures(&report));
+                println!("| `{case}` | {} |", table_cells(&report));
                 let unsafe_by_intent = case.policy == "unsafe-ack";
-                bad += usize::from(report.is_violated() && !unsafe_by_intent);
-                done.push((case, report));
+                failures += usize::from(report.is_violated() && !unsafe_by_intent);
+                finished.push((case, report));
             }
             Err(error) => {
                 println!("| `{case}` | failed: {error} |");
-                bad += 1;
+                failures += 1;
             }
         }
     }
     println!("\n{RATIO_HEADER}");
-    for (base, other) in pairs(&done) {
-        println!("{}", ratio(base, other));
+    for (base, other) in compared_pairs(&finished) {
+        println!("{}", ratio_row(base, other));
     }
-    bad
+    failures
 }
 
-const HEADER: &str = "| Command | Replica share | Gap ms | Write p50 ms | Write p99 ms | \
+const TABLE_HEADER: &str = "| Command | Replica share | Gap ms | Write p50 ms | Write p99 ms | \
     Read p50 ms | Read p99 ms | Confirmed | Lost | Doubled | Stale | Mixed | Foreign | \
     Not run but ran | Late | Settled |\n\
     |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|";
@@ -198,18 +198,18 @@
 const RATIO_HEADER: &str = "| Baseline, over the same run under default | Replica share | Gap | \
     Write p50 | Write p99 |\n|---|---|---|---|---|";
 
-type Done = (Case, report::Report);
+type Finished = (Case, report::Report);
 
-fn pairs(done: &[Done]) -> impl Iterator<Item = (&Done, &Done)> {
-    done.iter().flat_map(|base| {
-        let others = done.iter();
+fn compared_pairs(finished: &[Finished]) -> impl Iterator<Item = (&Finished, &Finished)> {
+    finished.iter().flat_map(|base| {
+        let others = finished.iter();
         others
             .filter(|other| other.0.compares_with(&base.0))
             .map(move |other| (base, other))
     })
 }
 
-fn figures(report: &report::Report) -> String {
+fn table_cells(report: &report::Report) -> String {
     let gap = report.failover_gap_ms;
     let cells = [
         report.replica_read_share.to_string(),
@@ -231,7 +231,7 @@
     cells.join(" | ")
 }
 
-fn ratio((_, base): &Done, (case, other): &Done) -> String {
+fn ratio_row((_, base): &Finished, (case, other): &Finished) -> String {
     let gaps = base.failover_gap_ms.zip(other.failover_gap_ms);
     let cells = [
         quotient(other.replica_read_share, base.replica_read_share),
--- a/lab/src/trouble.rs
+++ b/lab/src/trouble.rs
@@ -8,13 +8,13 @@
 use crate::stage;
 
 /// Delay of replication to a replica that falls behind.
-const LAG: time::Duration = time::Duration::from_secs(4);
+const REPLICA_LAG: time::Duration = time::Duration::from_secs(4);
 
 /// Time that the platform's service takes for a call when it is slow.
-const SLOW: time::Duration = time::Duration::from_millis(800);
+const SLOW_CALL_DELAY: time::Duration = time::Duration::from_millis(800);
 
 /// Fraction of changes whose answer is lost.
-const LOST: f64 = 0.3;
+const LOST_ANSWER_SHARE: f64 = 0.3;
 
 /// A fault in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// What was asked for.
     pub fault: fault::Fault,
     /// When it began.
-    pub began: time::Instant,
+    pub started_at: time::Instant,
     /// Instance that it hit.
     instance: id::Index,
 }
@@ -42,17 +42,19 @@
             fault::Kind::PrimaryCrash | fault::Kind::ReplicaCrash => cluster.crash(instance),
             fault::Kind::PrimaryPartition => cluster.cut(instance, true),
             fault::Kind::PrimaryPause => cluster.pause(instance, true),
-            fault::Kind::ReplicaLag => cluster.set_lag(instance, LAG),
+            fault::Kind::ReplicaLag => cluster.set_lag(instance, REPLICA_LAG),
             fault::Kind::ProxyCrash => stage.crash_proxy(),
             fault::Kind::ProxyDrain => stage.drain_proxy(),
             fault::Kind::PlatformOutage => stage.platform.set_outage(true),
-            fault::Kind::PlatformSlow => stage.platform.set_delay(SLOW),
-            fault::Kind::PlatformLostAnswers => stage.platform.lose_answers(LOST, seed),
+            fault::Kind::PlatformSlow => stage.platform.set_delay(SLOW_CALL_DELAY),
+            fault::Kind::PlatformLostAnswers => {
+                stage.platform.lose_answers(LOST_ANSWER_SHARE, seed);
+            }
         }
         tracing::info!(%fault, instance, "fault begins");
         Self {
             fault,
-            began: time::Instant::now(),
+            started_at: time::Instant::now(),
             instance,
         }
     }
@@ -76,6 +78,6 @@
     /// True once the fault has lasted its time.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.began.elapsed() >= self.fault.lasts
+        self.started_at.elapsed() >= self.fault.lasts
     }
 }
--- a/lab/src/verdict.rs
+++ b/lab/src/verdict.rs
@@ -18,7 +18,7 @@
 
 /// Row of a read of the caller's own writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct OwnRow {
     /// Marker of the request that it answers.
     pub echo: CompactString,
     /// Caller that it belongs to.
@@ -35,10 +35,10 @@
     /// Item that it counts.
     pub item: ledger::Item,
     /// Writes counted.
-    pub taken: usize,
+    pub count: usize,
 }
 
-impl Own {
+impl OwnRow {
     /// All rows of an answer, or `None` when one has not the columns asked for.
     #[must_use]
     pub fn parse(rows: &[tokio_postgres::SimpleQueryRow]) -> Option<Vec<Self>> {
@@ -61,7 +61,7 @@
             Some(Self {
                 echo: text(row, "echo")?.into(),
                 item: text(row, "item")?.parse().ok()?,
-                taken: text(row, "taken")?.parse().ok()?,
+                count: text(row, "taken")?.parse().ok()?,
             })
         };
         rows.iter().map(counter).collect()
@@ -83,24 +83,26 @@
     /// numbers that were confirmed before it was sent, in the range asked for.
     ///
     /// ```
-    /// use mangotray_lab::verdict::{Own, Verdict};
-    /// let row = Own { echo: "r".into(), caller: "a".into(), sequence: 1 };
-    /// assert_eq!(Verdict::own(&[row], "r", "a", [1]), Verdict::default());
-    /// assert!(Verdict::own(&[], "r", "a", [1]).stale);
+    /// use mangotray_lab::verdict::{OwnRow, Verdict};
+    /// let row = OwnRow { echo: "r".into(), caller: "a".into(), sequence: 1 };
+    /// assert_eq!(Verdict::own_rows(&[row], "r", "a", [1]), Verdict::default());
+    /// assert!(Verdict::own_rows(&[], "r", "a", [1]).stale);
     /// ```
     #[must_use]
-    pub fn own(
-        rows: &[Own],
+    pub fn own_rows(
+        rows: &[OwnRow],
         request: &str,
         caller: &str,
         confirmed: impl IntoIterator<Item = u32>,
     ) -> Self {
-        let seen: collections::BTreeSet<_> = rows.iter().map(|row| row.sequence).collect();
+        let returned: collections::BTreeSet<_> = rows.iter().map(|row| row.sequence).collect();
         Self {
             foreign: rows
                 .iter()
                 .any(|row| row.echo != request || row.caller != caller),
-            stale: confirmed.into_iter().any(|number| !seen.contains(&number)),
+            stale: confirmed
+                .into_iter()
+                .any(|sequence| !returned.contains(&sequence)),
         }
     }
 
@@ -108,17 +110,17 @@
     ///
     /// ```
     /// use mangotray_lab::verdict::{Counter, Verdict};
-    /// let row = Counter { echo: "r".into(), item: 3, taken: 5 };
-    /// assert!(Verdict::detail(&[row], "r", 3, 6).stale);
+    /// let row = Counter { echo: "r".into(), item: 3, count: 5 };
+    /// assert!(Verdict::item(&[row], "r", 3, 6).stale);
     /// ```
     #[must_use]
-    pub fn detail(rows: &[Counter], request: &str, item: ledger::Item, confirmed: usize) -> Self {
+    pub fn item(rows: &[Counter], request: &str, item: ledger::Item, confirmed: usize) -> Self {
         let [row] = rows else {
             return Self::FOREIGN;
         };
         Self {
             foreign: row.echo != request || row.item != item,
-            stale: row.taken < confirmed,
+            stale: row.count < confirmed,
         }
     }
 
@@ -127,10 +129,10 @@
     ///
     /// ```
     /// use mangotray_lab::verdict::Verdict;
-    /// assert!(Verdict::list(&[], "r", |_| 0).foreign, "an incomplete answer");
+    /// assert!(Verdict::listing(&[], "r", |_| 0).foreign, "an incomplete answer");
     /// ```
     #[must_use]
-    pub fn list(
+    pub fn listing(
         rows: &[Counter],
         request: &str,
         confirmed: impl Fn(ledger::Item) -> usize,
@@ -142,7 +144,7 @@
         }
         Self {
             foreign: false,
-            stale: rows.iter().any(|row| row.taken < confirmed(row.item)),
+            stale: rows.iter().any(|row| row.count < confirmed(row.item)),
         }
     }
 }
--- a/lab/src/workload.rs
+++ b/lab/src/workload.rs
@@ -15,19 +15,19 @@
 use crate::profile;
 
 /// Threads that callers are spread over.
-const THREADS: usize = 2;
+const CALLER_THREADS: usize = 2;
 
 /// Time between two probes of a group.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 /// Longest wait of a probe for its answer.
-const PROBE_PATIENCE: time::Duration = time::Duration::from_millis(500);
+const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
 /// Probes of a group that may wait at once.
-const PROBES: usize = 24;
+const MAX_WAITING_PROBES: usize = 24;
 
 /// Callers wait this many deadlines for an answer before they give up.
-const PATIENCE_DEADLINES: u32 = 2;
+const ANSWER_TIMEOUT_DEADLINES: u32 = 2;
 
 /// Running callers and probers.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
 
 /// Who a task of the workload is.
 #[derive(Clone, Debug)]
-struct Seat {
+struct Task {
     group: usize,
     plan: caller::Plan,
     prober: bool,
@@ -56,19 +56,19 @@
         seed: u64,
     ) -> eyre::Result<Self> {
         let stop = sync::Arc::new(atomic::AtomicBool::new(false));
-        let seats = seats(profile, proxies, seed);
-        let threads = (0..THREADS).map(|thread| {
-            let own = seats
+        let tasks = tasks(profile, proxies, seed);
+        let threads = (0..CALLER_THREADS).map(|thread| {
+            let thread_tasks = tasks
                 .iter()
                 .skip(thread)
-                .step_by(THREADS)
+                .step_by(CALLER_THREADS)
                 .cloned()
                 .collect();
             let stop = sync::Arc::clone(&stop);
             let groups = profile.groups;
             thread::Builder::new()
                 .name(format!("callers-{thread}"))
-                .spawn(move || serve(own, &stop, groups))
+                .spawn(move || run_tasks(thread_tasks, &stop, groups))
         });
         Ok(Self {
             threads: threads.collect::<Result<_, _>>()?,
@@ -86,8 +86,8 @@
         self.stop.store(true, atomic::Ordering::Relaxed);
         let mut notes = vec![note::Note::new(); self.groups];
         for thread in self.threads {
-            let own = thread.join().expect("caller threads do not panic");
-            for (all, one) in notes.iter_mut().zip(own) {
+            let thread_notes = thread.join().expect("caller threads do not panic");
+            for (all, one) in notes.iter_mut().zip(thread_notes) {
                 all.merge(one);
             }
         }
@@ -95,16 +95,16 @@
     }
 }
 
-fn seats(
+fn tasks(
     profile: &sync::Arc<profile::Profile>,
     proxies: &sync::Arc<[net::SocketAddr]>,
     seed: u64,
-) -> Vec<Seat> {
+) -> Vec<Task> {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut seats = Vec::new();
+    let mut tasks = Vec::new();
     for group in 0..profile.groups {
         let history = sync::Arc::new(history::History::new());
-        let mut seat = |name: CompactString, prober| Seat {
+        let mut task = |name: CompactString, prober| Task {
             group,
             plan: caller::Plan {
                 profile: sync::Arc::clone(profile),
@@ -113,45 +113,54 @@
                 history: sync::Arc::clone(&history),
                 name,
                 seed: random.u64(..),
-                patience: profile.deadline * PATIENCE_DEADLINES,
+                answer_timeout: profile.deadline * ANSWER_TIMEOUT_DEADLINES,
             },
             prober,
         };
-        seats.push(seat(compact_str::format_compact!("g{group}p"), true));
-        seats.extend(
+        tasks.push(task(compact_str::format_compact!("g{group}p"), true));
+        tasks.extend(
             (0..profile.callers)
-                .map(|caller| seat(compact_str::format_compact!("g{group}c{caller}"), false)),
+                .map(|caller| task(compact_str::format_compact!("g{group}c{caller}"), false)),
         );
     }
-    seats
+    tasks
 }
 
-fn serve(seats: Vec<Seat>, stop: &sync::Arc<atomic::AtomicBool>, groups: usize) -> Vec<note::Note> {
+fn run_tasks(
+    tasks: Vec<Task>,
+    stop: &sync::Arc<atomic::AtomicBool>,
+    groups: usize,
+) -> Vec<note::Note> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime on the current thread");
     runtime.block_on(async {
-        let tasks: Vec<_> = seats
+        let handles: Vec<_> = tasks
             .into_iter()
-            .map(|seat| (seat.group, tokio::spawn(work(seat, sync::Arc::clone(stop)))))
+            .map(|task| {
+                (
+                    task.group,
+                    tokio::spawn(run_task(task, sync::Arc::clone(stop))),
+                )
+            })
             .collect();
         let mut notes = vec![note::Note::new(); groups];
-        for (group, task) in tasks {
-            let note = task.await.expect("callers do not panic");
+        for (group, handle) in handles {
+            let note = handle.await.expect("callers do not panic");
             notes[group].merge(note);
         }
         notes
     })
 }
 
-async fn work(seat: Seat, stop: sync::Arc<atomic::AtomicBool>) -> note::Note {
-    if seat.prober {
-        return probe(&seat.plan, &stop).await;
+async fn run_task(task: Task, stop: sync::Arc<atomic::AtomicBool>) -> note::Note {
+    if task.prober {
+        return probe(&task.plan, &stop).await;
     }
-    let mut caller = caller::Caller::new(seat.plan);
+    let mut caller = caller::Caller::new(task.plan);
     while !stop.load(atomic::Ordering::Relaxed) {
-        caller.step().await;
+        caller.run_request().await;
     }
     caller.finish()
 }
@@ -159,40 +168,40 @@
 /// Sends a probe at each tick. One that waits does not hold up the next, so the
 /// gap is measured to one interval even while probes are kept waiting.
 async fn probe(plan: &caller::Plan, stop: &sync::Arc<atomic::AtomicBool>) -> note::Note {
-    let (give, mut idle) = mpsc::channel(PROBES);
-    for index in 0..PROBES {
-        let caller = caller::Caller::new(probe_plan(plan, index));
-        let _ = give.try_send(caller);
+    let (idle_sender, mut idle) = mpsc::channel(MAX_WAITING_PROBES);
+    for index in 0..MAX_WAITING_PROBES {
+        let caller = caller::Caller::new(prober_plan(plan, index));
+        let _ = idle_sender.try_send(caller);
     }
     let mut ticks = tokio::time::interval(PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     while !stop.load(atomic::Ordering::Relaxed) {
         ticks.tick().await;
         if let Ok(caller) = idle.try_recv() {
-            tokio::spawn(probe_once(caller, give.clone()));
+            tokio::spawn(probe_once(caller, idle_sender.clone()));
         }
     }
     let mut note = note::Note::new();
-    for _ in 0..PROBES {
+    for _ in 0..MAX_WAITING_PROBES {
         let caller = idle.recv().await.expect("every prober comes back");
         note.merge(caller.finish());
     }
     // Probes give up early by themselves; that is no answer cut off by a proxy.
-    note.cut = 0;
+    note.unanswered = 0;
     note
 }
 
-async fn probe_once(mut caller: caller::Caller, give: mpsc::Sender<caller::Caller>) {
+async fn probe_once(mut caller: caller::Caller, idle_sender: mpsc::Sender<caller::Caller>) {
     caller.probe().await;
-    let _ = give.send(caller).await;
+    let _ = idle_sender.send(caller).await;
 }
 
-fn probe_plan(plan: &caller::Plan, index: usize) -> caller::Plan {
+fn prober_plan(plan: &caller::Plan, index: usize) -> caller::Plan {
     let offset = u64::try_from(index).expect("index fits");
     caller::Plan {
         name: compact_str::format_compact!("{}{index}", plan.name),
         seed: plan.seed.wrapping_add(offset),
-        patience: PROBE_PATIENCE,
+        answer_timeout: PROBE_TIMEOUT,
         ..plan.clone()
     }
 }
--- a/lab/tests/cluster.rs
+++ b/lab/tests/cluster.rs
@@ -21,8 +21,8 @@
 use pgwire::messages::simplequery;
 
 /// Generous bound on what happens "soon".
-const PATIENCE: time::Duration = time::Duration::from_secs(20);
-const STEP: time::Duration = time::Duration::from_millis(2);
+const TIMEOUT: time::Duration = time::Duration::from_secs(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(2);
 
 type Connection = Box<dyn upstream::Connection>;
 
@@ -54,7 +54,7 @@
     }
 
     /// A group with a table, led by instance 0 at term 1.
-    fn led() -> Self {
+    fn with_primary() -> Self {
         let bench = Self::start(options());
         bench.cluster.lead(0, 1).unwrap();
         bench
@@ -62,8 +62,8 @@
 
     fn control(&self, index: usize) -> control::Control {
         let generous = control::Options {
-            probe: PATIENCE,
-            change: PATIENCE,
+            probe: TIMEOUT,
+            change: TIMEOUT,
             ..control::Options::default()
         };
         let address = self.cluster.addresses()[index];
@@ -83,14 +83,14 @@
     fn eventually(&self, what: &str, check: impl Fn(&cluster::Cluster) -> bool) {
         let start = time::Instant::now();
         while !check(&self.cluster) {
-            let patient = start.elapsed() < PATIENCE;
-            assert!(patient, "never: {what}; {}", self.situation());
-            std::thread::sleep(STEP);
+            let in_time = start.elapsed() < TIMEOUT;
+            assert!(in_time, "never: {what}; {}", self.describe_state());
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// What each instance says of itself, how long its log is, and whether a task has panicked.
-    fn situation(&self) -> String {
+    fn describe_state(&self) -> String {
         let threads = self.threads.iter().filter(|thread| thread.is_finished());
         let ended = threads.count();
         let of = |index| {
@@ -156,7 +156,7 @@
 
 #[test]
 fn replicates_whole_transactions_in_order() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let mut link = bench.open(0);
     let reply = run(&mut link, "BEGIN").unwrap();
     assert_eq!(reply.transaction, transaction::State::Open);
@@ -182,7 +182,7 @@
 
 #[test]
 fn a_failed_transaction_takes_only_a_rollback() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let mut link = bench.open(0);
     run(&mut link, "BEGIN").unwrap();
     run(&mut link, &insert("A1")).unwrap();
@@ -202,7 +202,7 @@
 
 #[test]
 fn refuses_a_promotion_without_the_fence() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let control = bench.control(1);
     assert_matches!(
         future::block_on(control.promote(2)),
@@ -218,7 +218,7 @@
 /// Cause: a commit that does not check the fence.
 #[test]
 fn a_fenced_primary_rolls_back_its_open_transactions() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let mut link = bench.open(0);
     run(&mut link, "BEGIN").unwrap();
     run(&mut link, &insert("A1")).unwrap();
@@ -236,7 +236,7 @@
 /// Cause: a replica that keeps records which the new primary's log lacks.
 #[test]
 fn a_cut_off_primary_goes_on_and_is_repaired_later() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     bench.eventually("term 1 everywhere", |cluster| {
         (0..3).all(|index| cluster.status(index).stamp == stamp::Stamp::new(1, 1))
     });
@@ -273,7 +273,7 @@
 /// Cause: counting an instance again below a fence that it has answered.
 #[test]
 fn a_wiped_instance_counts_only_after_copying_a_current_log() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let incarnation = bench.cluster.status(1).incarnation;
     bench.cluster.crash(2);
     for index in 1..3 {
@@ -303,7 +303,7 @@
 /// barrier at the second loss.
 #[test]
 fn a_wiped_instance_remembers_the_fence_that_it_answered() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     future::block_on(bench.control(1).fence(3)).unwrap();
     for _ in 0..2 {
         bench.cluster.wipe(1).unwrap();
@@ -323,7 +323,7 @@
 /// Cause: a promotion that does not ask whether the instance is a voter.
 #[test]
 fn refuses_to_promote_a_wiped_instance() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     bench.cluster.cut(1, true);
     bench.cluster.wipe(1).unwrap();
     let control = bench.control(1);
@@ -356,7 +356,7 @@
 #[test]
 fn control_statements_need_no_slot() {
     let bench = Bench::start(cluster::Options {
-        statement_cost: PATIENCE * 10,
+        statement_cost: TIMEOUT * 10,
         ..options()
     });
     let mut links: Vec<_> = (0..4).map(|_| bench.open(0)).collect();
@@ -366,8 +366,8 @@
     });
     let busy = futures_util::future::join_all(busy);
     let probe = async {
-        while bench.cluster.stats(0).busy < 3 {
-            async_io::Timer::after(STEP).await;
+        while bench.cluster.stats(0).busy_slots < 3 {
+            async_io::Timer::after(POLL_INTERVAL).await;
         }
         bench.control(0).status().await.unwrap();
     };
@@ -384,15 +384,15 @@
 #[test]
 fn a_crash_before_the_answer_is_unknown() {
     let bench = Bench::start(cluster::Options {
-        statement_cost: PATIENCE * 10,
+        statement_cost: TIMEOUT * 10,
         ..options()
     });
     bench.cluster.lead(0, 1).unwrap();
     let mut link = bench.open(0);
     let frames = query(&insert("A1"));
     let crash = async {
-        while bench.cluster.stats(0).busy == 0 {
-            async_io::Timer::after(STEP).await;
+        while bench.cluster.stats(0).busy_slots == 0 {
+            async_io::Timer::after(POLL_INTERVAL).await;
         }
         bench.cluster.crash(0);
     };
@@ -417,7 +417,7 @@
 /// Cause: writing into a socket whose other end is already closed.
 #[test]
 fn a_connection_closed_while_idle_proves_that_nothing_ran() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let mut link = bench.open(0);
     bench.cluster.crash(0);
     bench.eventually("closed", |cluster| cluster.stats(0).connections == 0);
@@ -433,7 +433,7 @@
 /// Cause: a control request without a timeout.
 #[test]
 fn a_silent_instance_times_out_and_comes_back() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let address = bench.cluster.addresses()[2];
     let short = control::Options {
         probe: time::Duration::from_millis(50),
@@ -466,9 +466,9 @@
 
 #[test]
 fn a_lagging_replica_serves_old_data_with_an_old_stamp() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     bench.eventually("followed", |cluster| cluster.status(1).stamp.position == 1);
-    bench.cluster.set_lag(1, PATIENCE * 10);
+    bench.cluster.set_lag(1, TIMEOUT * 10);
     let mut primary = bench.open(0);
     let new = run(&mut primary, &insert("A1")).unwrap().stamp.unwrap();
     bench.eventually("other replica", |cluster| cluster.status(2).stamp == new);
@@ -482,7 +482,7 @@
 
 #[test]
 fn serves_an_ordinary_client_library() {
-    let bench = Bench::led();
+    let bench = Bench::with_primary();
     let port = bench.cluster.addresses()[0].port();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -561,11 +561,11 @@
     stop: &atomic::AtomicBool,
     count: &atomic::AtomicUsize,
 ) -> Vec<(String, stamp::Stamp)> {
-    const SHORTEST: time::Duration = time::Duration::from_millis(100);
-    const LONGEST: time::Duration = time::Duration::from_secs(3);
+    const MIN_TIMEOUT: time::Duration = time::Duration::from_millis(100);
+    const MAX_TIMEOUT: time::Duration = time::Duration::from_secs(3);
     let mut random = fastrand::Rng::with_seed(clerk as u64);
     let mut answered = Vec::new();
-    let mut limit = SHORTEST;
+    let mut limit = MIN_TIMEOUT;
     for number in 0.. {
         if stop.load(atomic::Ordering::SeqCst) {
             break;
@@ -594,8 +594,8 @@
         };
         let stamp = future::block_on(future::or(booking, timeout));
         limit = match stamp {
-            Some(_) => SHORTEST,
-            None => LONGEST.min(2 * limit),
+            Some(_) => MIN_TIMEOUT,
+            None => MAX_TIMEOUT.min(2 * limit),
         };
         count.fetch_add(usize::from(stamp.is_some()), atomic::Ordering::SeqCst);
         answered.extend(stamp.map(|stamp| (name, stamp)));
@@ -621,7 +621,7 @@
     (0..cluster::SIZE).filter(|index| bench.cluster.status(*index).voter)
 }
 
-fn disturb(bench: &Bench, random: &mut fastrand::Rng, term: &mut u64) {
+fn change_at_random(bench: &Bench, random: &mut fastrand::Rng, term: &mut u64) {
     let index = random.usize(..cluster::SIZE);
     match random.u8(..8) {
         0 => bench.cluster.crash(index),
@@ -644,7 +644,7 @@
     }
 }
 
-fn heal(bench: &Bench) {
+fn end_faults(bench: &Bench) {
     for index in 0..cluster::SIZE {
         bench.cluster.restart(index);
         bench.cluster.cut(index, false);
@@ -660,7 +660,7 @@
 #[test]
 fn data_logs_and_stamps_agree_after_any_faults() {
     for seed in 0..3 {
-        let bench = Bench::led();
+        let bench = Bench::with_primary();
         let stop = atomic::AtomicBool::new(false);
         let count = atomic::AtomicUsize::new(0);
         let mut random = fastrand::Rng::with_seed(seed);
@@ -673,16 +673,16 @@
                 })
                 .collect();
             for _ in 0..100 {
-                disturb(&bench, &mut random, &mut term);
-                std::thread::sleep(STEP * 4);
+                change_at_random(&bench, &mut random, &mut term);
+                std::thread::sleep(POLL_INTERVAL * 4);
             }
-            heal(&bench);
+            end_faults(&bench);
             let voter = voters(&bench).next().unwrap();
             bench.cluster.lead(voter, term + 1).unwrap();
-            std::thread::sleep(STEP * 50);
-            let healed = time::Instant::now();
-            while count.load(atomic::Ordering::SeqCst) == 0 && healed.elapsed() < PATIENCE {
-                std::thread::sleep(STEP);
+            std::thread::sleep(POLL_INTERVAL * 50);
+            let faults_ended = time::Instant::now();
+            while count.load(atomic::Ordering::SeqCst) == 0 && faults_ended.elapsed() < TIMEOUT {
+                std::thread::sleep(POLL_INTERVAL);
             }
             stop.store(true, atomic::Ordering::SeqCst);
             clerks
--- a/lab/tests/direct.rs
+++ b/lab/tests/direct.rs
@@ -14,11 +14,11 @@
 use mangotray_lab::workload;
 
 const SEED: u64 = 7;
-const WORK: time::Duration = time::Duration::from_secs(2);
+const WORK_TIME: time::Duration = time::Duration::from_secs(2);
 
 /// Longest work of a test that waits for something to happen. On a machine with ten such tests
 /// beside each other, two seconds make one to five writes in place of 67.
-const LONGEST: time::Duration = time::Duration::from_secs(64);
+const MAX_WORK_TIME: time::Duration = time::Duration::from_secs(64);
 
 struct Group {
     cluster: sync::Arc<cluster::Cluster>,
@@ -46,30 +46,33 @@
     profile::Profile {
         groups: 1,
         callers: 8,
-        reach: time::Duration::ZERO,
+        caller_delay: time::Duration::ZERO,
         pause: time::Duration::from_millis(10),
         deadline: time::Duration::from_secs(20),
         ..profile::Profile::tarapath()
     }
 }
 
-fn work(proxies: &[net::SocketAddr]) -> note::Note {
-    work_for(proxies, WORK)
+fn run_workload(proxies: &[net::SocketAddr]) -> note::Note {
+    run_workload_for(proxies, WORK_TIME)
 }
 
-fn work_for(proxies: &[net::SocketAddr], limit: time::Duration) -> note::Note {
+fn run_workload_for(proxies: &[net::SocketAddr], limit: time::Duration) -> note::Note {
     let profile = sync::Arc::new(profile());
     let workload = workload::Workload::start(&profile, &proxies.into(), SEED).unwrap();
     thread::sleep(limit);
     workload.stop().remove(0)
 }
 
-// Works longer each time until `happened`; the last note, whatever came of it.
-fn work_until(proxies: &[net::SocketAddr], happened: impl Fn(&note::Note) -> bool) -> note::Note {
-    let mut limit = WORK;
+// Works longer each time until `is_done`; the last note, whatever came of it.
+fn run_workload_until(
+    proxies: &[net::SocketAddr],
+    is_done: impl Fn(&note::Note) -> bool,
+) -> note::Note {
+    let mut limit = WORK_TIME;
     loop {
-        let note = work_for(proxies, limit);
-        if happened(&note) || limit >= LONGEST {
+        let note = run_workload_for(proxies, limit);
+        if is_done(&note) || limit >= MAX_WORK_TIME {
             return note;
         }
         limit *= 2;
@@ -80,14 +83,17 @@
 fn one_instance_keeps_every_promise() {
     let profile = profile();
     let group = group(&profile);
-    let note = work(&group.cluster.addresses()[..1]);
-    let holding = inspect::holding(&group.cluster, 0, &profile).unwrap();
+    let note = run_workload(&group.cluster.addresses()[..1]);
+    let contents = inspect::contents(&group.cluster, 0, &profile).unwrap();
     assert_eq!(
-        ledger::Audit::of(&note.promises, &holding),
+        ledger::Audit::of(&note.attempts, &contents),
         ledger::Audit::default()
     );
-    assert_eq!((note.stale, note.foreign, note.cut), (0, 0, 0));
-    assert!(note.told(ledger::Told::Confirmed) > 0);
+    assert_eq!(
+        (note.stale_reads, note.foreign_answers, note.unanswered),
+        (0, 0, 0)
+    );
+    assert!(note.count_writes(ledger::Outcome::Confirmed) > 0);
     assert!(note.reads > 0);
     assert!(!note.probes.is_empty());
 }
@@ -102,9 +108,9 @@
     for replica in [1, 2] {
         group.cluster.set_lag(replica, time::Duration::from_mins(1));
     }
-    let note = work_until(&group.cluster.addresses(), |note| note.stale > 0);
-    assert!(note.stale > 0);
-    assert_eq!(note.foreign, 0);
+    let note = run_workload_until(&group.cluster.addresses(), |note| note.stale_reads > 0);
+    assert!(note.stale_reads > 0);
+    assert_eq!(note.foreign_answers, 0);
 }
 
 #[test]
@@ -116,12 +122,12 @@
     let profile = profile();
     let group = group(&profile);
     group.cluster.cut(0, true);
-    let note = work(&group.cluster.addresses()[..1]);
+    let note = run_workload(&group.cluster.addresses()[..1]);
     group.cluster.crash(0);
     group.cluster.lead(1, 2).unwrap();
-    let holding = inspect::holding(&group.cluster, 1, &profile).unwrap();
-    let audit = ledger::Audit::of(&note.promises, &holding);
-    let confirmed = note.told(ledger::Told::Confirmed) + note.probes.len();
+    let contents = inspect::contents(&group.cluster, 1, &profile).unwrap();
+    let audit = ledger::Audit::of(&note.attempts, &contents);
+    let confirmed = note.count_writes(ledger::Outcome::Confirmed) + note.probes.len();
     assert!(confirmed > 0);
     assert_eq!(audit.lost, confirmed);
 }
--- a/lab/tests/platform.rs
+++ b/lab/tests/platform.rs
@@ -12,13 +12,13 @@
 use mangotray_lab::call;
 use mangotray_lab::platform;
 
-const TTL: time::Duration = time::Duration::from_secs(1);
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
+const LEASE_TTL: time::Duration = time::Duration::from_secs(1);
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 type Executor = sync::Arc<async_executor::Executor<'static>>;
 
 /// Runs `test` beside a stand-in and a client of it.
-fn with<F: Future<Output = ()>>(
+fn run_with_platform<F: Future<Output = ()>>(
     options: platform::Options,
     test: impl FnOnce(sync::Arc<platform::Platform>, sync::Arc<Client>, Executor) -> F,
 ) {
@@ -35,7 +35,7 @@
 
 #[test]
 fn values_are_swapped_read_and_listed() {
-    with(platform::Options::default(), |_, client, _| async move {
+    run_with_platform(platform::Options::default(), |_, client, _| async move {
         assert_eq!(client.get("a/1").await, Ok(None));
         let stored = client.swap("a/1", "x".into(), 0, None).await;
         assert_eq!(stored, Ok(store::Swap::Stored));
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_value_that_is_too_large_is_refused() {
-    with(platform::Options::default(), |_, client, _| async move {
+    run_with_platform(platform::Options::default(), |_, client, _| async move {
         let value = vec![0; 1_000_001].into();
         let refused = client.swap("a", value, 0, None).await;
         assert_matches!(refused, Err(store::Failure::NotRun(_)));
@@ -64,37 +64,37 @@
 
 #[test]
 fn a_watch_sees_an_entry_come_and_go() {
-    with(
+    run_with_platform(
         platform::Options::default(),
         |_, client, executor| async move {
             let watcher = sync::Arc::clone(&client);
-            let watch = executor.spawn(async move { watcher.watch("a", 0, PATIENCE).await });
-            let lease = client.grant(TTL).await.unwrap();
+            let watch = executor.spawn(async move { watcher.watch("a", 0, TIMEOUT).await });
+            let lease = client.grant(LEASE_TTL).await.unwrap();
             client.swap("a", "x".into(), 0, Some(&lease)).await.unwrap();
             let entry = watch.await.unwrap().unwrap();
             assert_eq!(entry.lease, Some(lease.clone()));
             // Nobody renews the lease, so the entry goes by itself.
-            assert_eq!(client.watch("a", entry.version, PATIENCE).await, Ok(None));
+            assert_eq!(client.watch("a", entry.version, TIMEOUT).await, Ok(None));
             assert_eq!(client.renew(&lease).await, Ok(false));
         },
     );
 }
 
 #[test]
-fn a_watch_ends_with_its_patience() {
-    with(platform::Options::default(), |_, client, _| async move {
-        assert_eq!(client.watch("a", 0, TTL).await, Ok(None));
+fn a_watch_ends_with_its_timeout() {
+    run_with_platform(platform::Options::default(), |_, client, _| async move {
+        assert_eq!(client.watch("a", 0, LEASE_TTL).await, Ok(None));
         client.swap("a", "x".into(), 0, None).await.unwrap();
         let entry = client.get("a").await.unwrap().unwrap();
-        let seen = client.watch("a", entry.version, TTL).await;
+        let seen = client.watch("a", entry.version, LEASE_TTL).await;
         assert_eq!(seen, Ok(Some(entry)));
     });
 }
 
 #[test]
 fn a_revoked_lease_takes_its_entries_along() {
-    with(platform::Options::default(), |_, client, _| async move {
-        let lease = client.grant(PATIENCE).await.unwrap();
+    run_with_platform(platform::Options::default(), |_, client, _| async move {
+        let lease = client.grant(TIMEOUT).await.unwrap();
         client.swap("a", "x".into(), 0, Some(&lease)).await.unwrap();
         assert_eq!(client.renew(&lease).await, Ok(true));
         client.revoke(&lease).await.unwrap();
@@ -109,7 +109,7 @@
 // Cause: the client must call that "unknown", and must not send the swap again.
 #[test]
 fn a_lost_answer_is_unknown_and_not_sent_again() {
-    with(
+    run_with_platform(
         platform::Options::default(),
         |stand_in, client, _| async move {
             stand_in.lose_answers(1.0, 1);
@@ -126,21 +126,21 @@
 // Cause: a timeout after sending proves nothing, so it must be "unknown".
 #[test]
 fn a_timeout_is_unknown_and_the_change_may_come_late() {
-    with(
+    run_with_platform(
         platform::Options::default(),
         |stand_in, _, executor| async move {
             let options = Options {
                 timeout: time::Duration::from_millis(500),
                 ..Options::new(stand_in.address())
             };
-            let hasty = Client::new(options, &executor);
+            let short_timeout_client = Client::new(options, &executor);
             // The connection is open before the service turns slow.
-            assert_eq!(hasty.get("a").await, Ok(None));
+            assert_eq!(short_timeout_client.get("a").await, Ok(None));
             stand_in.set_delay(time::Duration::from_secs(1));
-            let lost = hasty.swap("a", "x".into(), 0, None).await;
+            let lost = short_timeout_client.swap("a", "x".into(), 0, None).await;
             assert_matches!(lost, Err(store::Failure::Unknown(_)));
-            let patient = Client::new(Options::new(stand_in.address()), &executor);
-            let found = patient.watch("a", 0, PATIENCE).await.unwrap();
+            let watching_client = Client::new(Options::new(stand_in.address()), &executor);
+            let found = watching_client.watch("a", 0, TIMEOUT).await.unwrap();
             assert_eq!(&found.unwrap().value[..], b"x");
         },
     );
@@ -151,14 +151,14 @@
 // Cause: a read moves to a new connection; a change is not sent on a closed one.
 #[test]
 fn an_outage_refuses_calls_and_leaves_no_trace() {
-    with(
+    run_with_platform(
         platform::Options::default(),
         |stand_in, client, executor| async move {
             client.swap("a", "x".into(), 0, None).await.unwrap();
             let watcher = sync::Arc::clone(&client);
             let entry = client.get("a").await.unwrap().unwrap();
             let watch =
-                executor.spawn(async move { watcher.watch("a", entry.version, PATIENCE).await });
+                executor.spawn(async move { watcher.watch("a", entry.version, TIMEOUT).await });
             while stand_in.calls_of(call::Kind::Watch) == 0 {
                 async_io::Timer::after(time::Duration::from_millis(1)).await;
             }
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn nobody_listening_is_not_run() {
+fn a_call_to_a_closed_port_is_not_run() {
     let executor: Executor = sync::Arc::default();
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
@@ -194,7 +194,7 @@
         }),
         ..platform::Options::default()
     };
-    with(options, |stand_in, client, _| async move {
+    run_with_platform(options, |stand_in, client, _| async move {
         let mut refused = 0;
         for key in ["a", "b", "c", "d"] {
             let swapped = client.swap(key, "x".into(), 0, None).await;
@@ -208,7 +208,7 @@
 
 #[test]
 fn the_vm_list_is_read() {
-    with(
+    run_with_platform(
         platform::Options::default(),
         |stand_in, client, _| async move {
             let listing = store::Listing {
@@ -227,7 +227,7 @@
 // Cause: a claim must be settled by reading back, over the real client too.
 #[test]
 fn terms_stay_unique_while_answers_are_lost() {
-    with(
+    run_with_platform(
         platform::Options::default(),
         |stand_in, client, _| async move {
             stand_in.lose_answers(0.5, 7);
@@ -254,7 +254,7 @@
 // Cause: the file's own id tells, once it is read back.
 #[test]
 fn an_apply_whose_answer_is_lost_is_settled() {
-    with(
+    run_with_platform(
         platform::Options::default(),
         |stand_in, client, _| async move {
             stand_in.lose_answers(1.0, 1);
--- a/lab/tests/roaming.rs
+++ b/lab/tests/roaming.rs
@@ -10,18 +10,18 @@
 use mangotray_lab::stage;
 
 /// Generous, so that a busy machine changes no verdict.
-const PATIENCE: time::Duration = time::Duration::from_secs(30);
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 /// Long enough that a replica does not catch up within a test.
-const LAG: time::Duration = time::Duration::from_mins(10);
+const REPLICA_LAG: time::Duration = time::Duration::from_mins(10);
 
-const READS: usize = 40;
+const READ_COUNT: usize = 40;
 
 fn profile() -> profile::Profile {
     profile::Profile {
         groups: 1,
         deadline: time::Duration::from_secs(10),
-        reach: time::Duration::ZERO,
+        caller_delay: time::Duration::ZERO,
         ..profile::Profile::tarapath()
     }
 }
@@ -43,7 +43,7 @@
 
 fn takes_writes(stage: &stage::Stage) -> eyre::Result<()> {
     let profile = profile();
-    ready::wait(&profile, &[profile.group(0)], &stage.callers, PATIENCE)
+    ready::wait(&profile, &[profile.group(0)], &stage.callers, TIMEOUT)
 }
 
 fn block_on<T>(task: impl Future<Output = T>) -> T {
@@ -62,7 +62,7 @@
 }
 
 async fn rows(link: &link::Link, sql: &str) -> Vec<tokio_postgres::SimpleQueryRow> {
-    match link.ask(sql, PATIENCE).await.0 {
+    match link.ask(sql, TIMEOUT).await.0 {
         link::Answer::Rows(rows) => rows,
         other => panic!("{sql}: {other:?}"),
     }
@@ -79,19 +79,19 @@
     let missing = block_on(async {
         let (first, second) = (open(&stage, 0).await, open(&stage, 1).await);
         rows(&first, "INSERT INTO ledger VALUES ('one', 'm', 1)").await;
-        assert!(stage.settle(PATIENCE));
+        assert!(stage.settle(TIMEOUT));
         let lagging = stage.replica(0);
-        stage.clusters[0].set_lag(lagging, LAG);
+        stage.clusters[0].set_lag(lagging, REPLICA_LAG);
         rows(&second, "INSERT INTO ledger VALUES ('two', 'm', 1)").await;
         let mut missing = 0;
-        for _ in 0..READS {
+        for _ in 0..READ_COUNT {
             let found = rows(&first, "SELECT booking FROM ledger").await;
             missing += usize::from(found.len() != 2);
         }
         missing
     });
     stage.stop();
-    assert_eq!(missing, 0, "stale reads of {READS}");
+    assert_eq!(missing, 0, "stale reads of {READ_COUNT}");
 }
 
 #[test]
@@ -120,7 +120,7 @@
         let link = open(&stage, 1).await;
         rows(&link, "SELECT booking FROM ledger").await;
         stage.crash_proxy();
-        let (answer, _) = link.ask("SELECT booking FROM ledger", PATIENCE).await;
+        let (answer, _) = link.ask("SELECT booking FROM ledger", TIMEOUT).await;
         matches!(answer, link::Answer::Lost) && !link.is_open()
     });
     stage.stop();
--- a/lab/tests/run.rs
+++ b/lab/tests/run.rs
@@ -18,7 +18,7 @@
             ..profile::Profile::tarapath()
         },
         proxies: 2,
-        lasts: time::Duration::from_secs(6),
+        duration: time::Duration::from_secs(6),
         seed: 11,
         faults: faults.collect::<Result<_, _>>().unwrap(),
         policy: policy::Policy::Default,
--- a/lab/tests/status.rs
+++ b/lab/tests/status.rs
@@ -12,10 +12,10 @@
 use mangotray_lab::ready;
 use mangotray_lab::stage;
 
-const PATIENCE: time::Duration = time::Duration::from_mins(1);
+const TIMEOUT: time::Duration = time::Duration::from_mins(1);
 
 fn status(admin: net::SocketAddr) -> admin::Status {
-    async_io::block_on(admin::fetch(admin, PATIENCE)).unwrap()
+    async_io::block_on(admin::fetch(admin, TIMEOUT)).unwrap()
 }
 
 fn metrics(admin: net::SocketAddr) -> String {
@@ -31,7 +31,7 @@
 // Events: the primary's process ends, a proxy promotes another instance.
 // Cause: constants in place of what the proxy has seen.
 #[test]
-fn a_failover_is_told_and_measured() {
+fn status_and_metrics_report_a_failover() {
     let profile = profile::Profile {
         deadline: time::Duration::from_secs(5),
         ..profile::Profile::tarapath()
@@ -45,7 +45,7 @@
         policy: policy::Policy::Default,
     };
     let stage = stage::Stage::start(&options).unwrap();
-    ready::wait(&profile, &[profile.group(0)], &stage.callers, PATIENCE).unwrap();
+    ready::wait(&profile, &[profile.group(0)], &stage.callers, TIMEOUT).unwrap();
     let admins: Vec<_> = stage
         .proxies
         .iter()
@@ -62,13 +62,13 @@
     let before = promotions();
 
     stage.clusters[0].crash(stage.primary(0).unwrap());
-    let told = || {
+    let reported = || {
         let measured = groups()
             .iter()
             .any(|group| group.last_failover_gap_ms > Some(0));
         promotions() > before && measured
     };
-    assert!(stage::wait_until(PATIENCE, told), "{:?}", groups());
+    assert!(stage::wait_until(TIMEOUT, reported), "{:?}", groups());
 
     // Whatever a proxy's status tells, its metrics tell too. A proxy that holds no seats
     // yet tells of no group, so that groups, not proxies, are gone through.
@@ -77,7 +77,7 @@
         let status = status(*admin);
         let text = metrics(*admin);
         for group in &status.groups {
-            assert_told(group, &text);
+            assert_metrics_report(group, &text);
             checked += 1;
         }
         assert!(text.contains("mangotray_config_revision 1"), "{text}");
@@ -86,16 +86,16 @@
     stage.stop();
 }
 
-fn assert_told(group: &admin::Group, text: &str) {
+fn assert_metrics_report(group: &admin::Group, text: &str) {
     let label = format!("{{group=\"{}\"", group.name);
     let gap = group.last_failover_gap_ms.is_some();
-    let told = [
+    let expected = [
         ("mangotray_promotions_total", group.promotions > 0),
         ("mangotray_failover_gap_seconds_count", gap),
         ("mangotray_queue_depth", true),
         ("mangotray_upstream_connections", true),
     ];
-    for (name, _) in told.iter().filter(|(_, told)| *told) {
+    for (name, _) in expected.iter().filter(|(_, is_reported)| *is_reported) {
         assert!(text.contains(&format!("{name}{label}")), "{name}: {text}");
     }
 }
