--- a/lab/src/call.rs
+++ b/lab/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls at the stand-in service, read from and answered by HTTP.
+//! HTTP requests to the platform's stand-in service, and their responses.
 
 use std::collections;
 use std::time;
@@ -7,10 +7,10 @@
 use base64::engine::general_purpose;
 use mangotray::store;
 
-/// Response of the stand-in.
+/// HTTP response of the stand-in service.
 pub type Response = hyper::Response<http_body_util::Full<bytes::Bytes>>;
 
-/// Kinds of call, as they are counted.
+/// Kinds of call; the stand-in counts its calls by kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -18,11 +18,11 @@
     Get,
     /// Read of a prefix.
     List,
-    /// Read that waits for a change.
+    /// Read of one key that waits until the key changes.
     Watch,
     /// Compare-and-swap.
     Swap,
-    /// Opening of a lease.
+    /// Creation of a lease.
     Grant,
     /// Renewal of a lease.
     Renew,
@@ -33,7 +33,7 @@
 }
 
 impl Kind {
-    /// True for calls that change something.
+    /// True for calls that change stored entries or leases.
     #[must_use]
     pub const fn changes(self) -> bool {
         matches!(self, Self::Swap | Self::Grant | Self::Renew | Self::Revoke)
@@ -43,18 +43,18 @@
 /// A parsed call.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What is asked for.
+    /// Kind of the call.
     pub kind: Kind,
-    /// Key, prefix or lease.
+    /// Key, prefix or lease id; empty for calls without one.
     pub key: String,
-    /// Parameters of the query.
+    /// Parameters of the query string.
     pub query: collections::HashMap<String, String>,
-    /// Whole body.
+    /// Whole request body.
     pub body: bytes::Bytes,
 }
 
 impl Call {
-    /// Reads a call from a request's head; `None` if there is no such call.
+    /// Parses a request; `None` if the path is unknown or does not allow the method.
     ///
     /// ```
     /// use mangotray_lab::call;
@@ -87,22 +87,22 @@
         })
     }
 
-    /// Parameter of the query that is a number.
+    /// Parses a parameter of the query string as a number.
     ///
     /// # Errors
     ///
-    /// Fails when it is missing or no number.
+    /// Fails when the parameter is missing or not a number.
     pub fn number(&self, name: &str) -> eyre::Result<u64> {
         let text = self.query.get(name);
         let text = text.ok_or_else(|| eyre::eyre!("no {name} in the query"))?;
         Ok(text.parse()?)
     }
 
-    /// Parameter of the query that is a duration; five minutes if missing.
+    /// Parses a parameter of the query string as a duration; five minutes if it is missing.
     ///
     /// # Errors
     ///
-    /// Fails when it is no duration.
+    /// Fails when the parameter is not a duration.
     pub fn duration(&self, name: &str) -> eyre::Result<time::Duration> {
         let text = self.query.get(name).map_or("5m", String::as_str);
         Ok(humantime::parse_duration(text)?)
@@ -126,7 +126,7 @@
         .collect()
 }
 
-/// Answers with entries and the index to wait on; 404 if there are none.
+/// Builds a response with entries and the index to watch from; status 404 without entries.
 ///
 /// # Errors
 ///
@@ -150,7 +150,7 @@
     })
 }
 
-/// Answers with a JSON value.
+/// Builds a response with a JSON body.
 ///
 /// # Errors
 ///
@@ -159,7 +159,7 @@
     plain(status, &body.to_string())
 }
 
-/// Answers with plain text.
+/// Builds a response with a plain-text body.
 ///
 /// # Errors
 ///
--- a/lab/src/caller.rs
+++ b/lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller, which roams between proxies and checks every answer.
+//! A caller that sends each request to a randomly chosen proxy and checks every answer.
 
 use std::collections;
 use std::net;
@@ -15,31 +15,31 @@
 use crate::query;
 use crate::verdict;
 
-/// Own rows that a read asks for, counted back from the newest.
+/// Number of its newest writes that a caller's read of its own rows asks for.
 const OWN_ROWS_LIMIT: u32 = 50;
 
 const HISTOGRAM_RESIZES: &str = "histograms resize themselves";
 
-/// What a caller needs to know before it starts.
+/// Settings of a caller.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Sizes and statements.
     pub profile: sync::Arc<profile::Profile>,
     /// Database to work on.
     pub database: CompactString,
-    /// Proxies to roam between.
+    /// Proxies to choose from.
     pub proxies: sync::Arc<[net::SocketAddr]>,
-    /// Confirmations of all callers of the group.
+    /// Confirmed writes of all callers of the group.
     pub history: sync::Arc<history::History>,
     /// Name, unique in the run.
     pub name: CompactString,
-    /// Seed of the caller's own choices.
+    /// Seed of the caller's random choices.
     pub seed: u64,
-    /// Longest wait for one answer; must exceed the deadline for late answers to be seen.
+    /// Longest wait for one answer; must exceed the deadline for late answers to be counted.
     pub answer_timeout: time::Duration,
 }
 
-/// One caller with a connection to each proxy.
+/// One caller with at most one connection to each proxy.
 #[derive(Debug)]
 pub struct Caller {
     plan: Plan,
@@ -51,7 +51,7 @@
 }
 
 impl Caller {
-    /// A caller without connections.
+    /// Creates a caller without connections.
     #[must_use]
     pub fn new(plan: Plan) -> Self {
         Self {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Everything recorded so far.
+    /// Returns everything recorded so far.
     #[must_use]
     pub fn finish(self) -> note::Note {
         self.note
     }
 
-    /// Pauses, draws a kind of request and a proxy, and runs the request.
+    /// Pauses, draws a proxy and a kind of request, and runs the request.
     pub async fn run_request(&mut self) {
         let pause_factor = self.random.f64() * 2.0;
         tokio::time::sleep(self.plan.profile.pause.mul_f64(pause_factor)).await;
@@ -87,8 +87,8 @@
         }
     }
 
-    /// A proxy drawn among those that take connections, as a balancer would choose.
-    /// When none does, any one: the request is then counted as refused.
+    /// Draws one of the proxies that accept connections, as a load balancer would. When
+    /// none does, draws any proxy; the request is then counted as refused.
     async fn choose_proxy(&mut self) -> usize {
         let first = self.random.usize(..self.links.len());
         for offset in 0..self.links.len() {
@@ -100,7 +100,7 @@
         first
     }
 
-    /// Writes once to the prober's item, in one batch.
+    /// Writes once to the prober's item, in one batch, and records the write if confirmed.
     pub async fn probe(&mut self) {
         let sent = time::Instant::now();
         let proxy = self.choose_proxy().await;
@@ -167,8 +167,9 @@
         compact_str::format_compact!("m{:016x}", self.random.u64(..))
     }
 
-    /// Without an answer to all statements before the commit, the commit is not
-    /// sent: such a transaction must leave no trace, which the audit checks.
+    /// Sends the batches one after the other; the last one commits. If an earlier one is
+    /// not answered with success, the commit is not sent. The audit checks that such a
+    /// transaction leaves no rows.
     async fn transact(&mut self, proxy: usize, batches: &[String]) -> ledger::Outcome {
         let Some((commit, before)) = batches.split_last() else {
             return ledger::Outcome::NotRun;
@@ -189,7 +190,7 @@
         outcome
     }
 
-    /// Ends a failed transaction, by rollback or by closing the connection.
+    /// Ends a failed transaction, at random by a rollback or by closing the connection.
     async fn abandon(&mut self, proxy: usize) {
         if self.random.bool() {
             self.links[proxy] = None;
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Sends one request and waits; `None` when no connection could be had, so
-    /// that nothing was sent.
+    /// Sends one request and waits for the answer; `None` when no connection could be
+    /// opened, so that nothing was sent.
     async fn ask(&mut self, proxy: usize, sql: &str) -> Option<link::Answer> {
         let answer_timeout = self.plan.answer_timeout;
         let link = self.connected_link(proxy).await?;
--- a/lab/src/capacity.rs
+++ b/lab/src/capacity.rs
@@ -1,9 +1,9 @@
-//! Measures what one proxy costs as each size grows, and fits a line to each cost.
+//! Measures the resources that one proxy uses as each size grows, and fits a line to each.
 //!
-//! `docs/CAPACITY.md` multiplies the slopes out to the target. The proxies run in this
-//! process; their processor time is told from that of the stand-ins by the threads that
-//! spend it (see `usage`). Callers and relays block on threads of their own and take no
-//! part in the shared reactor.
+//! `docs/CAPACITY.md` multiplies the slopes by the sizes of the target. The proxies run in
+//! this process; their processor time is told apart from that of the stand-ins by thread
+//! name (see `usage`). Callers and relays block on their own threads and do not use the
+//! shared reactor.
 
 use std::time;
 
@@ -21,12 +21,12 @@
 mod store;
 mod usage;
 
-/// What to measure.
+/// Sections to measure and for how long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Names of the sections; all when empty.
     pub sections: Vec<String>,
-    /// How long each cost that accrues over time is watched.
+    /// Duration over which processor time, traffic and calls are measured.
     pub window: time::Duration,
 }
 
@@ -44,7 +44,7 @@
     ("promotions", promotion::measure),
 ];
 
-/// Measures and prints each series, for people on standard error, as JSON on standard output.
+/// Measures each series; prints it as text on standard error and as JSON on standard output.
 ///
 /// ```
 /// use mangotray_lab::capacity;
@@ -54,12 +54,15 @@
 /// ```
 ///
 /// # Errors
-/// When a section is unknown or something cannot be started.
+/// When a section is unknown, or a proxy or stand-in cannot be started.
 pub fn run(options: &Options) -> eyre::Result<()> {
     let known = |name: &String| SECTIONS.iter().any(|(section, _)| section == name);
     if let Some(name) = options.sections.iter().find(|name| !known(name)) {
         let names: Vec<_> = SECTIONS.iter().map(|(section, _)| *section).collect();
-        eyre::bail!("no section {name:?}; there are {}", names.join(", "));
+        eyre::bail!(
+            "unknown section {name:?}; the sections are {}",
+            names.join(", ")
+        );
     }
     for (name, measure) in SECTIONS {
         if options.sections.is_empty() || options.sections.iter().any(|it| it == name) {
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -1,4 +1,4 @@
-//! Proxies, groups and a platform to measure.
+//! Proxies, stand-in groups and a stand-in platform that the sections measure.
 
 use std::net;
 use std::sync;
@@ -27,29 +27,29 @@
 const START_TIMEOUT: time::Duration = time::Duration::from_mins(1);
 const PLATFORM_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Callers that a proxy admits; more than any section connects.
+/// Callers that a proxy admits; above the largest number that a section connects.
 const MAX_CALLERS: usize = 10_000;
 
-/// What to start.
+/// Numbers of the parts to start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
     /// Proxies.
     pub proxies: usize,
     /// Groups that the proxies serve.
     pub groups: usize,
-    /// Groups that are declared and fall to VMs that do not run, in place of `groups`.
+    /// Groups that are declared but assigned to a VM that does not run; in place of `groups`.
     pub foreign_groups: usize,
-    /// Whether the paths to the platform and to the instances are counted.
+    /// Whether bytes to the platform and to the instances are counted.
     pub count_traffic: bool,
 }
 
-/// Everything that was started.
+/// Running proxies and stand-ins.
 pub struct Bench {
     /// The platform's stand-in.
     pub platform: sync::Arc<platform::Platform>,
-    /// The groups.
+    /// The stand-in groups.
     pub clusters: Vec<sync::Arc<cluster::Cluster>>,
-    /// Where the proxies take callers.
+    /// Addresses at which the proxies accept callers.
     pub callers: Vec<net::SocketAddr>,
     /// Bytes between the proxies and the platform.
     pub store: sync::Arc<relay::Traffic>,
@@ -62,7 +62,7 @@
 }
 
 impl Bench {
-    /// Starts everything and waits until every proxy answers for every group.
+    /// Starts everything and waits until every proxy answers statements for every group.
     pub fn start(options: Options) -> eyre::Result<Self> {
         let profile = profile::Profile {
             statement_cost: time::Duration::ZERO,
@@ -101,7 +101,7 @@
         self.profile.group(group).into()
     }
 
-    /// Whether each proxy serves the first group itself.
+    /// For each proxy, whether it serves the first group itself instead of forwarding.
     pub fn serving(&self) -> eyre::Result<Vec<bool>> {
         let key = seat::key(&self.database(0));
         let entries = self.platform.entries();
@@ -111,7 +111,7 @@
         Ok((0..self.callers.len()).map(serves).collect())
     }
 
-    /// Ends the proxies and the stand-ins.
+    /// Stops the proxies and the stand-ins.
     pub fn stop(self) {
         self.store.stop();
         self.instances.stop();
@@ -151,12 +151,12 @@
         let domains = self.profile.domains;
         for index in 0..options.proxies {
             let settings = settings(index, domains[index % domains.len()], address);
-            // The daemon's threads take this thread's name, see `usage`.
+            // The daemon's threads inherit this thread's name; see `usage`.
             let starting = thread::Builder::new()
                 .name(usage::PROXY_THREAD_NAME.to_owned())
                 .spawn(move || daemon::Daemon::start(&settings, policy::Policy::Default))?;
             let started = starting.join();
-            let daemon = started.map_err(|_| eyre::eyre!("a proxy panicked"))??;
+            let daemon = started.map_err(|_| eyre::eyre!("a proxy panicked at its start"))??;
             self.callers.push(daemon.caller_address());
             self.daemons.push(daemon);
         }
@@ -167,7 +167,7 @@
         let configured = || self.daemons.iter().all(|daemon| daemon.revision() > 0);
         eyre::ensure!(
             stage::wait_until(START_TIMEOUT, configured),
-            "no configuration"
+            "a proxy has not received the configuration in time"
         );
         for proxy in &self.callers {
             for group in 0..self.clusters.len() {
@@ -177,7 +177,10 @@
                     client.is_ok_and(|mut client| client.run("SELECT 1").is_ok())
                 };
                 let answered = stage::wait_until(START_TIMEOUT, answers);
-                eyre::ensure!(answered, "{database} is not served");
+                eyre::ensure!(
+                    answered,
+                    "proxy {proxy} does not answer for {database} in time"
+                );
             }
         }
         Ok(())
@@ -212,7 +215,7 @@
     };
     match async_io::block_on(apply::put(&store, &request)) {
         Ok(apply::Verdict::Applied(_)) => Ok(()),
-        other => Err(eyre::eyre!("declaration not applied: {other:?}")),
+        other => Err(eyre::eyre!("the declaration was not applied: {other:?}")),
     }
 }
 
@@ -247,10 +250,10 @@
     compact_str::format_compact!("entry-{}", index + 1)
 }
 
-/// Address of the first instance that nobody connects to.
+/// Address of the first instance of the foreign groups; nothing connects to it.
 const FIRST_FOREIGN_ADDRESS: u32 = net::Ipv4Addr::new(10, 0, 0, 1).to_bits();
 
-/// A group like those of the users' profile that nobody ever connects to.
+/// A group with the sizes of the tarapath profile, to whose instances nothing connects.
 pub fn foreign_group(index: usize) -> database::Group {
     let name = compact_str::format_compact!("dome_sched_{index}");
     let domains = profile::Profile::tarapath().domains;
--- a/lab/src/capacity/callers.rs
+++ b/lab/src/capacity/callers.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of caller connections that lie idle.
+//! Memory and processor time of idle caller connections, and the cost of opening them.
 
 use std::time;
 
@@ -10,8 +10,8 @@
 
 const CALLER_COUNTS: [usize; 5] = [250, 500, 1_000, 2_000, 4_000];
 
-/// Connects more and more callers to one proxy. The stand-ins and the callers' sockets
-/// share the process's memory; what they hold of one connection counts with the proxy's.
+/// Connects increasing numbers of callers to one proxy. The stand-ins and the callers'
+/// sockets share the process, so their memory for a connection is counted with the proxy's.
 pub fn measure(options: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let bench = bench::Bench::start(bench::Options {
         proxies: 1,
--- a/lab/src/capacity/client.rs
+++ b/lab/src/capacity/client.rs
@@ -1,4 +1,4 @@
-//! A small blocking caller, whose own memory is one socket and one buffer.
+//! A blocking `PostgreSQL` client that uses little memory: one socket and one buffer.
 
 use std::io::Read;
 use std::io::Write;
@@ -11,13 +11,13 @@
 const READY_FOR_QUERY: u8 = b'Z';
 const ERROR_RESPONSE: u8 = b'E';
 
-/// One connection that is open for statements.
+/// One connection that is ready for statements.
 pub struct Client {
     socket: net::TcpStream,
 }
 
 impl Client {
-    /// Connects and waits until the proxy takes statements.
+    /// Connects and waits until the proxy is ready for statements.
     pub fn connect(proxy: net::SocketAddr, database: &str) -> eyre::Result<Self> {
         let socket = net::TcpStream::connect(proxy)?;
         socket.set_nodelay(true)?;
--- a/lab/src/capacity/control.rs
+++ b/lab/src/capacity/control.rs
@@ -1,5 +1,5 @@
-//! What a proxy spends on control: on the groups that it serves, idle and with a caller,
-//! and on those that others serve.
+//! Resources that a proxy uses for control: for groups that it serves, idle and with a
+//! caller, and for groups that other proxies serve.
 
 use std::sync;
 use std::sync::atomic;
@@ -15,13 +15,13 @@
 const SERVED_GROUPS: [usize; 5] = [1, 4, 8, 16, 32];
 const FOREIGN_GROUPS: [usize; 4] = [175, 350, 700, 1_400];
 
-/// Pause between two statements that keep a group's heartbeat quick.
+/// Pause between two statements to a group; keeps it active, with frequent heartbeats.
 const STATEMENT_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Time after a start in which links open and terms are claimed.
+/// Time after a start in which links are opened and terms are claimed; not measured.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(7);
 
-/// Measures served groups, idle and active, then foreign ones.
+/// Measures served groups, idle and active, then groups that other proxies serve.
 pub fn measure(options: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let mut points = Points::default();
     for groups in SERVED_GROUPS {
@@ -64,7 +64,7 @@
     Ok(points.series())
 }
 
-/// Sends one statement a second to each group.
+/// Starts a thread that sends each group one statement per interval until stopped.
 fn send_statements(
     bench: &bench::Bench,
     stop: &sync::Arc<atomic::AtomicBool>,
--- a/lab/src/capacity/decision.rs
+++ b/lab/src/capacity/decision.rs
@@ -1,4 +1,4 @@
-//! Time of the decisions on the path of a statement, and of the log line about one.
+//! Time of the decisions that a proxy makes for a statement, and of logging a decision.
 
 use std::hint;
 use std::io;
@@ -22,7 +22,7 @@
     JOIN calendar c ON c.id = b.item \
     WHERE b.caller = 'desk' AND c.starts > '2026-12-02' GROUP BY b.id, c.title ORDER BY 2 LIMIT 50";
 
-/// Times each decision alone on one thread.
+/// Times each decision by itself on one thread.
 pub fn measure(_: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let board = board();
     let leader = board.leader();
@@ -67,13 +67,13 @@
         }
         (usage::float(size), started.elapsed().as_secs_f64() * 1e9)
     };
-    // Once before, so that caches are warm.
+    // One run that is not measured fills the caches.
     let _ = point(DECISION_COUNTS[0]);
     let points = DECISION_COUNTS.into_iter().map(point).collect();
     fit::Series::new(measure, "decisions", "ns", points)
 }
 
-/// A line with the fields of a routing decision.
+/// Times a log line with the fields of a routing decision.
 fn time_log_line<S>(measure: &str, subscriber: S) -> fit::Series
 where
     S: tracing::Subscriber + Send + Sync + 'static,
--- a/lab/src/capacity/document.rs
+++ b/lab/src/capacity/document.rs
@@ -1,4 +1,5 @@
-//! The operators' file, the roster and the messages between proxies, as they grow.
+//! Sizes and processing times of the operators' file, the roster and the messages between
+//! proxies.
 
 use std::hint;
 use std::time;
@@ -25,7 +26,7 @@
 const PROXY_COUNTS: [usize; 5] = [8, 86, 172, 345, 690];
 const FAILURE_DOMAINS: usize = 6;
 
-/// Repetitions of one timing; the shortest counts, as others were disturbed.
+/// Runs of one timing; the shortest is taken, as other load only lengthens a run.
 const TIMING_RUNS: usize = 5;
 
 /// Measures sizes in bytes and times in microseconds.
@@ -44,7 +45,7 @@
         };
         let text = declare::text(&catalog);
         if let Err(faults) = declaration::Declaration::parse(&text) {
-            eyre::bail!("the file is refused: {:?}", faults.first());
+            eyre::bail!("the generated file is invalid: {:?}", faults.first());
         }
         let file = revision::File {
             revision: 1,
@@ -122,10 +123,10 @@
     ])
 }
 
-/// Copies of a roster whose memory is measured together.
+/// Number of copies of a roster whose memory is measured together.
 const ROSTER_COPIES: usize = 50;
 
-/// Serving sets of all groups of the target.
+/// Computes the serving sets of the 1400 groups of the target; returns their total size.
 fn place_groups(candidates: &[placement::Candidate]) -> usize {
     (0..1_400)
         .map(|group| placement::serving_set(&format!("dome_sched_{group}"), candidates, 3).len())
@@ -160,7 +161,7 @@
     })
 }
 
-/// News as a proxy pushes it.
+/// The message that a proxy pushes to a peer.
 fn news(file: Option<revision::File>, roster: Option<roster::Update>) -> peer::News {
     let text = file.as_ref().map_or("", |file| &file.text);
     let digest = revision::Digest {
@@ -186,7 +187,7 @@
     }
 }
 
-/// Shortest time of a few runs in microseconds.
+/// Shortest time of `TIMING_RUNS` runs, in microseconds.
 fn shortest_run_us<T>(run: impl Fn() -> T) -> f64 {
     let time = |_| {
         let started = time::Instant::now();
--- a/lab/src/capacity/fit.rs
+++ b/lab/src/capacity/fit.rs
@@ -1,31 +1,31 @@
-//! Lines fitted to measured points.
+//! Least-squares lines through measured points.
 
 use std::fmt;
 
 /// One cost, measured at several sizes.
 #[derive(Clone, Debug, PartialEq, serde::Serialize)]
 pub struct Series {
-    /// What was measured.
+    /// Name of the measured cost.
     pub measure: String,
-    /// What was varied.
+    /// Name of the size that was varied.
     pub size: &'static str,
     /// Unit of the cost.
     pub unit: &'static str,
-    /// Sizes with their costs.
+    /// Pairs of a size and the cost measured at it.
     pub points: Vec<(f64, f64)>,
     /// Line through the points.
     #[serde(flatten)]
     pub line: Line,
 }
 
-/// Straight line by least squares.
+/// Straight line fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize)]
 pub struct Line {
-    /// Cost of one more unit of size.
+    /// Increase in cost per unit of size.
     pub slope: f64,
     /// Cost at size zero.
     pub intercept: f64,
-    /// Greatest distance of a point from the line, as a cost.
+    /// Greatest vertical distance of a point from the line, in the unit of the cost.
     pub residual: f64,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Line {
-    /// Least-squares line; level when all sizes are the same.
+    /// Fits a line; its slope is zero when all sizes are the same.
     ///
     /// ```
     /// let line = mangotray_lab::capacity::fit::Line::through(&[(0.0, 1.0), (4.0, 3.0)]);
--- a/lab/src/capacity/peers.rs
+++ b/lab/src/capacity/peers.rs
@@ -1,4 +1,4 @@
-//! What connections between proxies cost while nothing is forwarded over them.
+//! Resources that connections between proxies use while they are idle.
 
 use std::net;
 use std::sync;
@@ -18,13 +18,13 @@
 
 const CONNECTION_COUNTS: [usize; 4] = [100, 200, 400, 800];
 
-/// Fewer, as each takes two threads of the relay.
+/// Numbers of connections through the relay; smaller, as each uses two of its threads.
 const RELAYED_CONNECTION_COUNTS: [usize; 3] = [25, 50, 100];
 
-/// Greeting of the daemons.
+/// Key that the proxies send in their hello message.
 const HELLO_KEY: &str = "mangotray";
 
-/// Measures both ends of a connection together: a proxy has as many of one as of the other.
+/// Measures both ends of a connection together: a proxy has equally many of each.
 pub fn measure(options: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let bench = bench::Bench::start(bench::Options {
         proxies: 1,
@@ -76,11 +76,11 @@
     ])
 }
 
-/// The connecting ends.
+/// The ends that open the connections.
 struct Peers {
     executor: sync::Arc<async_executor::Executor<'static>>,
     connections: Vec<dial::Connection>,
-    /// Closed, and the thread with it, when this is dropped.
+    /// Ends the executor's thread when dropped.
     _stop: async_channel::Sender<()>,
 }
 
@@ -117,5 +117,5 @@
     }
 }
 
-/// Time after the last connection before anything is measured.
+/// Pause after the last connection is opened, before measuring starts.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(1);
--- a/lab/src/capacity/promotion.rs
+++ b/lab/src/capacity/promotion.rs
@@ -1,4 +1,4 @@
-//! Time and store calls of promotions, when several groups lose their primary at once.
+//! Duration and store calls of promotions when several groups lose their primary at once.
 
 use std::thread;
 use std::time;
@@ -17,14 +17,14 @@
 const GROUP_COUNTS: [usize; 4] = [1, 4, 8, 16];
 const PROXIES: usize = 3;
 
-/// Time after a start in which terms are reserved and seats settle.
+/// Time after a start in which terms are reserved and seats are taken; not measured.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(10);
 const PROMOTION_TIMEOUT: time::Duration = time::Duration::from_mins(1);
 
-/// Time after the last promotion in which its store calls still come.
+/// Time after the last promotion in which its remaining store calls are counted.
 const STORE_CALLS_TIME: time::Duration = time::Duration::from_secs(2);
 
-/// Crashes the primaries of more and more groups.
+/// Crashes the primaries of increasing numbers of groups.
 pub fn measure(_: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let (mut time, mut reads, mut writes) = (Vec::new(), Vec::new(), Vec::new());
     let mut cpu = Vec::new();
@@ -60,11 +60,11 @@
     ])
 }
 
-/// Crashes every primary and waits until other instances lead.
+/// Crashes every primary and waits until each group has a new one.
 fn replace_primaries(bench: &bench::Bench) -> eyre::Result<()> {
     let crashed = bench.clusters.iter().map(|cluster| {
         let primary = remote::primary(cluster);
-        primary.ok_or_else(|| eyre::eyre!("a group has no primary"))
+        primary.ok_or_else(|| eyre::eyre!("a group has no primary before the crash"))
     });
     let crashed = crashed.collect::<Result<Vec<_>, _>>()?;
     for (cluster, index) in bench.clusters.iter().zip(&crashed) {
@@ -78,7 +78,7 @@
     let all_replaced = || bench.clusters.iter().zip(&crashed).all(has_new_primary);
     eyre::ensure!(
         stage::wait_until(PROMOTION_TIMEOUT, all_replaced),
-        "a group stays without a primary"
+        "a group has no new primary in time"
     );
     Ok(())
 }
--- a/lab/src/capacity/relay.rs
+++ b/lab/src/capacity/relay.rs
@@ -1,4 +1,4 @@
-//! A relay that counts the bytes it carries, both ways.
+//! A TCP relay that counts the bytes it forwards in both directions.
 
 use std::io::Read;
 use std::io::Write;
@@ -9,7 +9,7 @@
 
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// What relays have carried.
+/// Counters of relays, and the flag that stops them.
 #[derive(Debug, Default)]
 pub struct Traffic {
     bytes: atomic::AtomicUsize,
@@ -18,23 +18,23 @@
 }
 
 impl Traffic {
-    /// Bytes within the connections, without the headers of packets.
+    /// Bytes of payload, without the headers of packets.
     pub fn bytes(&self) -> usize {
         self.bytes.load(atomic::Ordering::Relaxed)
     }
 
-    /// Reads that got bytes: about the number of packets with a payload.
+    /// Reads that returned data; approximates the number of packets with a payload.
     pub fn chunks(&self) -> usize {
         self.chunks.load(atomic::Ordering::Relaxed)
     }
 
-    /// Ends the relays once their connections are closed.
+    /// Makes each relay stop listening at its next new connection; open connections go on.
     pub fn stop(&self) {
         self.stopped.store(true, atomic::Ordering::Relaxed);
     }
 }
 
-/// Starts a relay to `target`; returns where it listens.
+/// Starts a relay to `target`; returns the address that it listens at.
 pub fn start(
     target: net::SocketAddr,
     traffic: &sync::Arc<Traffic>,
--- a/lab/src/capacity/statement.rs
+++ b/lab/src/capacity/statement.rs
@@ -1,5 +1,5 @@
-//! Processor time of a statement, on a proxy that serves the group and through one that
-//! forwards to it.
+//! Processor time of a statement at a proxy that serves the group, and at one that forwards
+//! the statement to it.
 
 use std::net;
 use std::ops;
@@ -13,13 +13,13 @@
 
 const STATEMENT_COUNTS: [usize; 4] = [400, 800, 1_600, 3_200];
 
-/// One more than serve a group, so that one has to forward.
+/// One more than the number that serve a group, so that one proxy has to forward.
 const PROXIES: usize = 4;
 
-/// Callers at once: one, for which each read samples alone, and many that share samples.
+/// Numbers of callers at once: with one, each read takes its own sample; 16 share samples.
 const CALLER_COUNTS: [usize; 2] = [1, 16];
 
-/// Statements on the way in each kind; `{}` stands for a number that is never repeated.
+/// Kinds of statement; `{}` stands for a number that is never repeated.
 const STATEMENTS: [(&str, &str); 3] = [
     ("sampled read", "SELECT {}"),
     ("aged read", "SELECT title FROM calendar WHERE item = {}"),
@@ -29,7 +29,7 @@
     ),
 ];
 
-/// Runs each kind of statement on both ways.
+/// Runs each kind of statement directly and forwarded.
 pub fn measure(_: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let bench = bench::Bench::start(bench::Options {
         proxies: PROXIES,
@@ -41,7 +41,7 @@
     let mut next_number = 0;
     for (path, serves) in [("direct", true), ("forwarded", false)] {
         let found = serving.iter().position(|it| *it == serves);
-        let index = found.ok_or_else(|| eyre::eyre!("no proxy is on the {path} way"))?;
+        let index = found.ok_or_else(|| eyre::eyre!("no proxy takes the {path} path"))?;
         for (kind, sql) in STATEMENTS {
             let load = Load {
                 proxy: bench.callers[index],
@@ -67,7 +67,7 @@
 }
 
 impl Load {
-    /// Runs growing numbers of statements; `next_number` counts the numbers drawn so far.
+    /// Runs increasing numbers of statements, numbered from `next_number` on.
     fn measure(&self, callers: usize, next_number: &mut usize) -> eyre::Result<Vec<(f64, f64)>> {
         let point = |size: usize| {
             let before = usage::cpu_seconds()?;
--- a/lab/src/capacity/store.rs
+++ b/lab/src/capacity/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's service by proxies that have nothing to do, by kind.
+//! Calls of idle proxies to the platform's service, by kind.
 
 use std::thread;
 use std::time;
@@ -9,7 +9,7 @@
 use crate::capacity::fit;
 use crate::capacity::usage;
 
-/// Proxies and groups of the runs: one of the two is varied at a time.
+/// Numbers of proxies and groups of each run; one of the two varies.
 const FLEET_RUNS: [(usize, usize); 4] = [(1, 3), (2, 3), (4, 3), (8, 3)];
 const GROUP_RUNS: [(usize, usize); 4] = [(3, 1), (3, 8), (3, 16), (3, 32)];
 
@@ -22,14 +22,14 @@
     ("vms", call::Kind::Vms),
 ];
 
-/// Time after a start in which seats and terms are taken.
+/// Time after a start in which seats and terms are taken; not measured.
 const SETTLE_TIME: time::Duration = time::Duration::from_secs(10);
 
-/// Windows are longer than for other sections: watches end after 20 s, settled records are
-/// read every 30 s.
+/// Factor by which windows are longer than those of other sections: watches end after 20 s,
+/// and settled records are read every 30 s.
 const WINDOW_FACTOR: u32 = 4;
 
-/// Counts the calls of growing fleets, then of growing numbers of groups.
+/// Counts the calls for increasing numbers of proxies, then of groups.
 pub fn measure(options: &capacity::Options) -> eyre::Result<Vec<fit::Series>> {
     let window = options.window * WINDOW_FACTOR;
     let fleets = count(&FLEET_RUNS, window)?;
@@ -39,7 +39,8 @@
     Ok(by_fleet.into_iter().chain(by_groups).collect())
 }
 
-/// Rates of the kinds of call for each run, then the bytes of one proxy.
+/// Proxies and groups of each run, with the rate of each kind of call and, last, the bytes
+/// per second of one proxy.
 type Rates = Vec<((usize, usize), Vec<f64>)>;
 
 fn count(runs: &[(usize, usize)], window: time::Duration) -> eyre::Result<Rates> {
--- a/lab/src/capacity/usage.rs
+++ b/lab/src/capacity/usage.rs
@@ -1,32 +1,32 @@
-//! Memory and processor time of this process, told apart by threads.
+//! Memory of this process, and processor time of its proxies' threads.
 //!
-//! Threads without a name of their own bear the name of the thread that started them, so
-//! all threads of proxies that a thread called `PROXY_THREAD_NAME` started count as the proxies'.
-//! The reactor serves whoever waits, on any thread: a part of the stand-ins' polling is
-//! counted with the proxies and the other way round.
+//! A thread without its own name inherits the name of the thread that started it, so all
+//! threads of proxies that are started by a thread named `PROXY_THREAD_NAME` are counted.
+//! The reactor runs on any waiting thread: a part of the stand-ins' polling is counted with
+//! the proxies, and a part of the proxies' polling is not counted.
 
 use std::fs;
 use std::thread;
 use std::time;
 
-/// Name of the threads of proxies.
+/// Name of the threads that run proxies.
 pub const PROXY_THREAD_NAME: &str = "proxies";
 
-/// Memory of the whole process that is resident, in kilobytes.
+/// Resident memory of the whole process, in kilobytes.
 pub fn resident_kilobytes() -> eyre::Result<f64> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().nth(1));
-    let number = number.ok_or_else(|| eyre::eyre!("no VmRSS in the process's status"))?;
+    let number = number.ok_or_else(|| eyre::eyre!("/proc/self/status has no VmRSS line"))?;
     Ok(number.parse()?)
 }
 
-/// Processor time in seconds that the proxies' threads have spent.
+/// Processor time that the proxies' running threads have used, in seconds.
 pub fn cpu_seconds() -> eyre::Result<f64> {
     let mut spent = time::Duration::ZERO;
     for task in fs::read_dir("/proc/self/task")? {
         let path = task?.path();
-        // A thread may end between the listing and the look.
+        // A thread may end after the directory was listed.
         let Ok(name) = fs::read_to_string(path.join("comm")) else {
             continue;
         };
@@ -41,7 +41,7 @@
     Ok(spent.as_secs_f64())
 }
 
-/// Share of one core that the proxies use, in percent, over a window.
+/// Processor time that the proxies use during `window`, in percent of one core.
 pub fn cpu_percent(window: time::Duration) -> eyre::Result<f64> {
     let started = time::Instant::now();
     let before = cpu_seconds()?;
@@ -50,7 +50,7 @@
     Ok(100.0 * spent / started.elapsed().as_secs_f64())
 }
 
-/// Sizes and counts here stay far below the first integer that a float cannot hold.
+/// Converts a count; the counts here are far below the first integer that `f64` cannot hold.
 #[allow(clippy::cast_precision_loss)]
 pub fn float(count: usize) -> f64 {
     count as f64
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -15,10 +15,10 @@
     /// Run a profile's workload through proxies and print one line of JSON
     #[bpaf(command)]
     Run(#[bpaf(external(run))] Run),
-    /// Run both profiles, every fault and every policy, and print a table of the figures
+    /// Run both profiles, every fault and every policy, and print a table of the results
     #[bpaf(command)]
     Sweep(#[bpaf(external(sweep))] Sweep),
-    /// Serve one group through two proxies until interrupted, to try with psql
+    /// Serve one group through two proxies until interrupted, for trying out with psql
     #[bpaf(command)]
     Demo(#[bpaf(external(demo))] Demo),
     /// Run the stand-in for the platform's key-value service and VM list
@@ -27,13 +27,13 @@
     /// Run the three stand-in instances of one database group, and print their declaration
     #[bpaf(command)]
     Group(#[bpaf(external(group))] Group),
-    /// Run one proxy; the lab starts its own so
+    /// Run one proxy; the lab starts its proxies with this command
     #[bpaf(command, hide)]
     Proxy(#[bpaf(external(proxy))] Proxy),
     /// Send a fault to the control port of a running `platform` or `group`
     #[bpaf(command)]
     Fault(#[bpaf(external(send))] Send),
-    /// Measure what a proxy costs as sizes grow; the figures of docs/CAPACITY.md
+    /// Measure the resources that a proxy uses as sizes grow, for docs/CAPACITY.md
     #[bpaf(command)]
     Capacity(#[bpaf(external(capacity))] Capacity),
 }
@@ -41,25 +41,26 @@
 /// Arguments of one measured run.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Run {
-    /// Whose sizes, delays and statements: tarapath or hoasen
+    /// Profile with the sizes, delays and statements: tarapath or hoasen
     #[bpaf(argument::<profile::Profile>("PROFILE"), map(Box::new))]
     pub profile: Box<profile::Profile>,
     /// Proxies to start
     #[bpaf(argument("N"), fallback(3), display_fallback)]
     pub proxies: usize,
-    /// How long the callers work
+    /// Seconds that the callers send requests
     #[bpaf(argument("SECONDS"), fallback(20), display_fallback)]
     pub seconds: u64,
-    /// Seed of the callers' choices and of lost answers
+    /// Seed of the callers' random choices and of lost answers
     #[bpaf(argument("K"), fallback(1), display_fallback)]
     pub seed: u64,
-    /// What goes wrong and when, as NAME@SECONDS or NAME@SECONDS+SECONDS; may be repeated
+    /// Fault with its start and optionally its duration, as NAME@SECONDS or
+    /// NAME@SECONDS+SECONDS; may be repeated
     #[bpaf(argument("NAME@SECONDS"), many)]
     pub fault: Vec<fault::Fault>,
-    /// Rules of the proxies: default, primary-only, token-only, unsafe-ack or lease-expiry
+    /// Policy of the proxies: default, primary-only, token-only, unsafe-ack or lease-expiry
     #[bpaf(argument("POLICY"), fallback("default".to_owned()), display_fallback)]
     pub policy: String,
-    /// Replication delay to each replica, such as 20ms, in place of the profile's
+    /// Replication delay to each replica, such as 20ms; replaces the delay of the profile
     #[bpaf(argument("TIME"), optional)]
     pub lag: Option<humantime::Duration>,
 }
@@ -70,7 +71,7 @@
     /// Seed of each run
     #[bpaf(argument("K"), fallback(3), display_fallback)]
     pub seed: u64,
-    /// Run only what has this text in its command
+    /// Run only the cases whose command contains this text
     #[bpaf(argument("TEXT"), fallback(String::new()))]
     pub only: String,
 }
@@ -78,10 +79,10 @@
 /// Arguments of the demonstration.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Demo {
-    /// Port of the first proxy; the second takes the next
+    /// Port of the first proxy; the second proxy listens at the next port
     #[bpaf(argument("PORT"), fallback(6432), display_fallback)]
     pub port: u16,
-    /// How long to serve, such as 30s; without it until interrupted
+    /// How long to serve, such as 30s; without this flag until interrupted
     #[bpaf(argument("TIME"), optional, long("for"))]
     pub lasts: Option<humantime::Duration>,
 }
@@ -92,7 +93,7 @@
     /// Address of the service
     #[bpaf(argument("IP:PORT"))]
     pub listen: net::SocketAddr,
-    /// Address that takes faults
+    /// Control address, at which faults are accepted
     #[bpaf(argument("IP:PORT"), optional)]
     pub control: Option<net::SocketAddr>,
     /// VMs to list, each as NAME@DOMAIN
@@ -103,20 +104,20 @@
 /// Arguments of a stand-in group.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Group {
-    /// Address of an instance; given three times
+    /// Address of an instance; must be given three times
     #[bpaf(argument("IP:PORT"), many)]
     pub listen: Vec<net::SocketAddr>,
-    /// Address that takes faults
+    /// Control address, at which faults are accepted
     #[bpaf(argument("IP:PORT"), optional)]
     pub control: Option<net::SocketAddr>,
-    /// Whose sizes, delays and tables: tarapath or hoasen
+    /// Profile with the sizes, delays and tables: tarapath or hoasen
     #[bpaf(
         argument::<profile::Profile>("PROFILE"),
         fallback(profile::Profile::tarapath()),
         display_fallback, map(Box::new)
     )]
     pub profile: Box<profile::Profile>,
-    /// Number of the group among the profile's, from 0
+    /// Number of the group in the profile, starting at 0
     #[bpaf(argument("N"), fallback(0), display_fallback)]
     pub index: usize,
 }
@@ -124,7 +125,7 @@
 /// Arguments of a proxy process.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Proxy {
-    /// File of JSON with settings and policy
+    /// JSON file with settings and policy
     #[bpaf(argument("FILE"))]
     pub setup: path::PathBuf,
 }
@@ -135,7 +136,7 @@
     /// Control address of the stand-in
     #[bpaf(positional("IP:PORT"))]
     pub control: net::SocketAddr,
-    /// What to do, such as `crash 0`; `help` lists what the stand-in knows
+    /// Command, such as `crash 0`; `help` lists the commands of the stand-in
     #[bpaf(positional("WORD"), some("what to do is missing"))]
     pub words: Vec<String>,
 }
@@ -143,11 +144,11 @@
 /// Arguments of the capacity measurements.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Capacity {
-    /// How long each cost that accrues over time is watched
+    /// Seconds over which processor time, traffic and calls are measured
     #[bpaf(argument("SECONDS"), fallback(10), display_fallback)]
     pub window: u64,
-    /// Sections to measure, all without it: callers, statements, control, documents,
-    /// store, decisions, promotions
+    /// Sections to measure; all if none is given: callers, statements, control, peers,
+    /// documents, store, decisions, promotions
     #[bpaf(positional("SECTION"), many)]
     pub sections: Vec<String>,
 }
--- a/lab/src/command.rs
+++ b/lab/src/command.rs
@@ -9,7 +9,7 @@
 use crate::sqlstate;
 use crate::value;
 
-/// Statements of the control path.
+/// A statement of the control path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Command {
     Status,
@@ -18,7 +18,8 @@
 }
 
 impl Command {
-    /// Recognises `SELECT * FROM group_NAME(TERM)`.
+    /// Parses the lower-case tokens of `SELECT * FROM group_NAME(TERM)`; `None` for any other
+    /// statement.
     pub(crate) fn recognise(words: &[String]) -> Option<Self> {
         let words: Vec<&str> = words.iter().map(String::as_str).collect();
         match words.as_slice() {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Runs without a slot and outside of transactions.
+    /// Runs the statement, without taking a slot and outside of transactions.
     pub(crate) fn run(
         self,
         instance: &instance::Instance,
--- a/lab/src/control.rs
+++ b/lab/src/control.rs
@@ -1,4 +1,4 @@
-//! Port of a stand-in process that takes one command a line.
+//! Control port of a stand-in process; a connection sends one command line.
 
 use std::fmt::Write;
 use std::net;
@@ -9,16 +9,16 @@
 use futures_lite::StreamExt;
 use futures_util::future;
 
-/// Longest command line.
+/// Greatest length of a command line in bytes.
 const MAX_LINE_BYTES: u64 = 64 * 1024;
 
-/// Answers commands.
+/// Runs commands that arrive at the control port.
 pub trait Handler: Send + Sync {
-    /// Carries out one command line and tells what came of it.
+    /// Runs one command line and returns the text of its answer.
     fn handle<'a>(&'a self, line: &'a str) -> future::BoxFuture<'a, eyre::Result<String>>;
 }
 
-/// Serves commands until the listener fails, one connection after the other.
+/// Serves one connection after the other until the listener fails.
 ///
 /// # Errors
 /// When the listener fails.
@@ -26,7 +26,7 @@
     let mut incoming = listener.incoming();
     while let Some(stream) = incoming.next().await {
         if let Err(error) = answer(stream?, handler).await {
-            tracing::warn!(%error, "control connection");
+            tracing::warn!(%error, "control connection failed");
         }
     }
     Ok(())
@@ -47,10 +47,10 @@
     Ok(())
 }
 
-/// Sends one command and gives the whole answer.
+/// Sends one command and returns the whole answer.
 ///
 /// # Errors
-/// When the port cannot be reached.
+/// When the port cannot be reached, or the connection fails.
 pub async fn send(control: net::SocketAddr, words: &[String]) -> eyre::Result<String> {
     let mut stream = async_net::TcpStream::connect(control).await?;
     let mut line = words.join(" ");
--- a/lab/src/declare.rs
+++ b/lab/src/declare.rs
@@ -1,13 +1,13 @@
-//! Writes catalogs in the syntax of the operators' file.
+//! Formats catalogs in the syntax of the operators' file.
 
 use std::fmt::Write;
 
 use mangotray::catalog;
 use mangotray::database;
 
-const WRITES_TO_STRING: &str = "strings take all text";
+const WRITES_TO_STRING: &str = "writing to a string does not fail";
 
-/// The operators' file that declares a catalog.
+/// Formats the operators' file that declares a catalog.
 ///
 /// ```
 /// use mangotray::{catalog, declaration};
--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! One group, one platform and two proxies in one process.
+//! A demonstration: one stand-in group and a stand-in platform in this process, and two proxies.
 
 use std::net;
 use std::sync;
@@ -15,18 +15,18 @@
 /// Proxies of the demonstration.
 const PROXIES: u16 = 2;
 
-/// Longest wait until the proxies take writes.
+/// Longest wait until the proxies accept writes.
 const READY_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// Serves until `lasts` has passed, or for ever.
+/// Serves for `lasts`, or without end if that is `None`.
 ///
 /// # Errors
-/// When a port is taken, or the proxies are not ready in time.
+/// When a port is not free, or the proxies are not ready in time.
 pub fn serve(port: u16, lasts: Option<time::Duration>) -> eyre::Result<()> {
     let profile = profile::Profile::tarapath();
-    let control_port = port
-        .checked_add(PROXIES)
-        .ok_or_else(|| eyre::eyre!("no room for {PROXIES} ports after {port}"))?;
+    let control_port = port.checked_add(PROXIES).ok_or_else(|| {
+        eyre::eyre!("port {port} is too high: the next {PROXIES} ports are needed as well")
+    })?;
     let control = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, control_port));
     let listener = async_io::block_on(async_net::TcpListener::bind(control))?;
     let stage = stage::Stage::start(&stage::Options {
@@ -61,25 +61,26 @@
     Ok(())
 }
 
-/// What to type next.
+/// Commands to try, printed at the start.
 fn usage_text(port: u16, control: net::SocketAddr) -> String {
     let other = port + 1;
     let lab = "cargo run --release --bin mangotray-lab -- fault";
     format!(
         "\
-Book a seat through one proxy, and find it at once through the other:
+Book a seat through one proxy, and read it at once through the other:
 
   psql -h 127.0.0.1 -p {port} -U desk dome_sched -c \"INSERT INTO bookings VALUES ('b-1', 'desk', 1, 'm', 3)\"
   psql -h 127.0.0.1 -p {other} -U desk dome_sched -c \"SELECT * FROM bookings\"
 
-A session's token names the write that its reads must include; another session may take it over:
+A session's token names the write that its reads must include; another session can set it as
+its own:
 
   psql -h 127.0.0.1 -p {port} -U desk dome_sched
   dome_sched=> INSERT INTO bookings VALUES ('b-2', 'desk', 2, 'm', 3);
   dome_sched=> SHOW mangotray.token;
   dome_sched=> SET mangotray.deadline = '500ms';
 
-Lose the primary, write again, and let the lost instance come back:
+Crash the primary, write again, and restart the crashed instance:
 
   {lab} {control} status
   {lab} {control} crash primary
@@ -87,7 +88,7 @@
   {lab} {control} status
   {lab} {control} restart 0
 
-The platform's service can fail too; reads and writes go on:
+The platform's service can fail as well; reads and writes continue:
 
   {lab} {control} platform outage on
   {lab} {control} platform outage off"
--- a/lab/src/history.rs
+++ b/lab/src/history.rs
@@ -1,4 +1,4 @@
-//! When writes were confirmed, for checking the age of later reads.
+//! Times at which writes were confirmed, for checking the age of later reads.
 
 use std::sync;
 use std::time;
@@ -13,7 +13,7 @@
 }
 
 impl History {
-    /// A history without confirmations.
+    /// Creates a history without confirmed writes.
     #[must_use]
     pub fn new() -> Self {
         let items = (profile::PROBER_ITEM..=profile::ITEMS)
@@ -22,7 +22,7 @@
         Self { items }
     }
 
-    /// Notes that a write to `item` was confirmed at `at`.
+    /// Records that a write to `item` was confirmed at `at`.
     ///
     /// # Panics
     /// When the item does not exist.
@@ -30,7 +30,7 @@
         self.times(item).push(at);
     }
 
-    /// Writes to `item` that were confirmed at or before `at`.
+    /// Number of writes to `item` that were confirmed at or before `at`.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
--- a/lab/src/inspect.rs
+++ b/lab/src/inspect.rs
@@ -1,4 +1,4 @@
-//! Reads what a stand-in group holds, for the audit.
+//! Reads the tables and logs of a stand-in group, for the audit.
 
 use crate::cluster;
 use crate::ledger;
@@ -7,10 +7,10 @@
 /// Columns of one row as text.
 type Columns = Vec<Option<String>>;
 
-/// Tables of one instance, and the logs of all.
+/// Reads the tables of the primary and the logs of all instances.
 ///
 /// # Errors
-/// When the tables are not those of the profile.
+/// When the tables do not match the profile.
 pub fn contents(
     cluster: &cluster::Cluster,
     primary: mangotray::id::Index,
@@ -21,11 +21,11 @@
         profile.all_entries(),
         &profile.all_counters(),
     ];
-    // One snapshot: with one for each table, a write that commits between two of them
-    // looks doubled or mixed.
+    // One snapshot for all tables: with one for each, a write that commits between two of
+    // them would be counted as doubled or mixed.
     let tables = cluster.queries(primary, &sql)?;
     let [bookings, entries, counters] = tables.as_slice() else {
-        eyre::bail!("{} results of {} queries", tables.len(), sql.len());
+        eyre::bail!("{} results for {} queries", tables.len(), sql.len());
     };
     Ok(ledger::Contents {
         bookings: bookings.iter().map(row).collect::<Result<_, _>>()?,
--- a/lab/src/journal.rs
+++ b/lab/src/journal.rs
@@ -1,4 +1,4 @@
-//! Log of an instance and its replication.
+//! Log of a stand-in instance, and replication from the primary to the replicas.
 
 use std::sync::Arc;
 use std::time;
@@ -9,13 +9,13 @@
 
 use crate::instance;
 
-/// Records applied under one hold of the replica's lock.
+/// Most records that a replica applies while it holds its lock once.
 pub(crate) const MAX_RECORDS_PER_LOCK: usize = 64;
 
-/// A statement that wrote, with its bound parameters.
+/// A statement that changed data, with its bound parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Write {
-    /// Translated SQL.
+    /// SQL as translated for `SQLite`.
     pub sql: String,
     /// Values of `?1`, `?2` and so on.
     pub parameters: Vec<types::Value>,
@@ -28,7 +28,7 @@
     pub term: id::Term,
     /// Place in the log; the first record has position 1.
     pub position: id::Position,
-    /// What it did; empty for the first record of a term.
+    /// Statements of the transaction; empty for the first record of a term.
     pub statements: Vec<Write>,
     /// Time of the commit, from which the replication delay counts.
     pub committed: time::Instant,
@@ -40,7 +40,7 @@
     }
 }
 
-/// An instance's log; all its records are applied.
+/// Log of an instance; all records in it are applied.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Journal {
     records: Vec<Arc<Record>>,
@@ -86,7 +86,7 @@
         own.is_some_and(|own| stamps(own) == stamps(prefix))
     }
 
-    /// Number of leading records that both logs hold. Each term has one primary, so
+    /// Length of the common prefix of both logs. Each term has one primary, so
     /// logs that agree on the term at a position agree on all positions before it.
     fn common_length(&self, other: &Self) -> usize {
         let shorter = self.records.len().min(other.records.len());
@@ -97,27 +97,27 @@
     }
 }
 
-/// What a replication step found.
+/// When to take the next replication step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// More may be due at once.
+    /// At once, as more records may be due.
     Repeat,
-    /// The next record is due at this time.
+    /// At this time, when the next record is due.
     WaitUntil(time::Instant),
-    /// Nothing to do until something changes.
+    /// When the source or the target changes.
     Idle,
 }
 
 /// One direction of replication between two instances of a group.
 pub(crate) struct Replication {
-    /// Ships while it is the primary.
+    /// Instance that sends its log while it is the primary.
     pub(crate) source: Arc<instance::Instance>,
-    /// Receives.
+    /// Instance that receives the log.
     pub(crate) target: Arc<instance::Instance>,
 }
 
 impl Replication {
-    /// Ships for ever; ends when its task is dropped.
+    /// Replicates without end; stops when its task is dropped.
     pub(crate) async fn run(self) {
         loop {
             let source_changed = self.source.changed.listen();
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Compares both instances under both locks, taken in the order of their indexes.
+    /// Compares both instances while holding both locks, which are taken in the order of the
+    /// instances' indexes to avoid a deadlock.
     fn offer(&self) -> Option<(id::Term, Offer)> {
         let (source, target);
         if self.source.index < self.target.index {
@@ -187,17 +188,17 @@
     }
 }
 
-/// What a primary has for a replica.
+/// Next action of a primary towards a replica.
 enum Offer {
     /// The replica has to join the term first.
     Join,
     /// The replica's log differs after these records.
     Repair(Vec<Arc<Record>>),
-    /// Records that are due.
+    /// Send these records, which are due.
     Records(Vec<Arc<Record>>),
-    /// The next record is due then.
+    /// No record is due before this time.
     WaitUntil(time::Instant),
-    /// The replica holds the whole log, of this length.
+    /// The replica has the whole log, of this length.
     Complete(usize),
 }
 
--- a/lab/src/ledger.rs
+++ b/lab/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the databases hold.
+//! Compares the outcomes that callers were given with the contents of the databases.
 
 use std::collections;
 
@@ -7,34 +7,34 @@
 /// Number of a counted item: a show or a campaign.
 pub type Item = u32;
 
-/// Key that a caller made for one write; never used for a second one.
+/// Key that a caller made for one write; never used for another write.
 pub type Key = CompactString;
 
 /// SQLSTATE `transaction_resolution_unknown`.
 const RESOLUTION_UNKNOWN: &str = "08007";
 
-/// Start of every key, by which keys are found in the text of a log record.
+/// Prefix of every key; keys are found by it in the text of a log record.
 const KEY_PREFIX: &str = "key-";
 
-/// What a caller was told about one write.
+/// Outcome of one write, as the answer to the caller gives it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
     /// The commit was answered without an error.
     Confirmed,
-    /// Nobody can say; the caller has to look.
+    /// The answer leaves open whether the write ran; the caller has to read it back.
     Unknown,
-    /// The refusal says that nothing ran.
+    /// The write was refused, and the answer says that nothing ran.
     NotRun,
     /// The database itself refused and rolled back.
     Rejected,
 }
 
 impl Outcome {
-    /// Reads the answer to a write from its error fields.
+    /// Derives the outcome of a write from the fields of its error.
     ///
-    /// Connection errors say nothing about the write unless they say "not run":
-    /// counting them as not run would accuse a proxy that kept its promise.
+    /// A connection error leaves the outcome open unless it says "not run": counting every
+    /// connection error as not run would report violations of a proxy that works correctly.
     ///
     /// ```
     /// use mangotray_lab::ledger::Outcome;
@@ -69,7 +69,7 @@
     code.starts_with("08") || matches!(code, "57P01" | "57P02")
 }
 
-/// One write that a caller tried, and what it was told.
+/// One write that a caller tried, and its outcome as given to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Attempt {
     /// Key made by the caller.
@@ -78,7 +78,7 @@
     pub marker: CompactString,
     /// Item that the write counts towards.
     pub item: Item,
-    /// Final answer.
+    /// Outcome of the write; `told` in serialised form.
     #[serde(rename = "told")]
     pub outcome: Outcome,
 }
@@ -93,7 +93,7 @@
     compact_str::format_compact!("{KEY_PREFIX}{caller}-{sequence}")
 }
 
-/// Keys that the text of one log record mentions, each once.
+/// Distinct keys in the text of one log record.
 ///
 /// ```
 /// let keys = mangotray_lab::ledger::keys("INSERT INTO t VALUES ('key-a-1'), ('x')");
@@ -111,9 +111,9 @@
 /// A row that carries a key and a marker.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Row {
-    /// Key of the write that left the row.
+    /// Key of the write that inserted the row.
     pub key: Key,
-    /// Marker of the write that left the row.
+    /// Marker of the write that inserted the row.
     pub marker: CompactString,
     /// Item that the row counts towards.
     pub item: Item,
@@ -122,36 +122,36 @@
 /// Keys of one log record; a record holds one whole transaction.
 pub type Record = Vec<Key>;
 
-/// What a group holds at the end of a run.
+/// Contents of a group at the end of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Contents {
     /// First row of each transaction, at the last primary.
     pub bookings: Vec<Row>,
     /// Second row of each transaction, at the last primary.
     pub entries: Vec<Row>,
-    /// Counter of each item, at the last primary.
+    /// Counter of each item, at the last primary; `taken` in serialised form.
     #[serde(rename = "taken")]
     pub counters: collections::BTreeMap<Item, i64>,
     /// Log of each instance.
     pub logs: Vec<Vec<Record>>,
 }
 
-/// Violations found; all zero when every promise was kept.
+/// Numbers of violations; all zero when every guarantee was kept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Audit {
-    /// Confirmed writes that are absent.
+    /// Confirmed writes that are missing.
     pub lost: usize,
     /// Keys that ran more than once, and counters that differ from the rows they count.
     pub doubled: usize,
     /// Keys whose rows are incomplete or carry another write's marker, and log
     /// records with statements of more than one transaction.
     pub mixed: usize,
-    /// Writes answered as not run, or rejected, that left a trace.
+    /// Writes answered as not run, or as rejected, that are in the tables or in a log.
     pub not_run_but_ran: usize,
 }
 
 impl Audit {
-    /// Compares promises with what one group holds.
+    /// Compares the attempted writes with the contents of one group.
     ///
     /// ```
     /// use mangotray_lab::ledger::{Audit, Contents, Attempt, Outcome};
@@ -267,7 +267,7 @@
     keys.len()
 }
 
-/// True when a key has as many first rows as second rows and all carry its own marker.
+/// True when a key has equally many first and second rows, and all have its marker and item.
 fn is_consistent(
     key: &Key,
     attempt_by_key: &collections::BTreeMap<&Key, &Attempt>,
--- a/lab/src/ledger/tests.rs
+++ b/lab/src/ledger/tests.rs
@@ -47,15 +47,14 @@
     assert_eq!(
         Audit::of(&attempts, &contents(&[1, 2])),
         Audit::default(),
-        "an unknown write may have run or not"
+        "a write of unknown outcome may have run or not"
     );
 }
 
 #[test]
 fn lost_confirmed_write() {
-    // Symptom: a caller holds a confirmation and the group has no such row.
-    // Events: confirmed on the primary alone; promotion of a replica without it.
-    // Cause: confirmation before a majority held the record.
+    // A write that was confirmed is missing from the group. This happens when a primary
+    // confirms before a majority has the record, and a replica without it is promoted.
     let attempts = [
         attempt(1, Outcome::Confirmed),
         attempt(2, Outcome::Confirmed),
@@ -72,18 +71,16 @@
 
 #[test]
 fn doubled_by_a_second_run() {
-    // Symptom: two rows for one key, and a counter of two.
-    // Events: answer of the first run lost; the statements sent again.
-    // Cause: a retry of a write that was not proven unrun.
+    // One key has two rows and a counter of two. This happens when the answer to a write is
+    // lost and the write is sent again without proof that it had not run.
     let attempts = [attempt(1, Outcome::Confirmed)];
     assert_eq!(Audit::of(&attempts, &contents(&[1, 1])).doubled, 1);
 }
 
 #[test]
 fn doubled_by_a_wrong_counter() {
-    // Symptom: a counter of two over one row.
-    // Events: the counting statement ran twice, the insert once.
-    // Cause: a single statement of a transaction was repeated.
+    // The counter is two for one row. This happens when a single statement of a transaction,
+    // here the update of the counter, is repeated.
     let mut contents = contents(&[1]);
     contents.counters.insert(ITEM, 2);
     let audit = Audit::of(&[attempt(1, Outcome::Confirmed)], &contents);
@@ -98,9 +95,8 @@
 
 #[test]
 fn doubled_in_one_log_only() {
-    // Symptom: the log of one instance has a key in two records.
-    // Events: a replaced primary ran the repetition; its log was not repaired yet.
-    // Cause: a retry went to the old primary and the new one.
+    // The log of one instance has a key in two records. This happens when a retry reaches a
+    // replaced primary whose log has not been repaired yet.
     let mut contents = contents(&[1]);
     contents.logs.push(vec![record(1), record(1)]);
     let audit = Audit::of(&[attempt(1, Outcome::Confirmed)], &contents);
@@ -117,9 +113,8 @@
 
 #[test]
 fn mixed_by_a_partial_transaction() {
-    // Symptom: a booking without its ledger row.
-    // Events: the connection changed between two statements of a transaction.
-    // Cause: statements outside the transaction they belong to.
+    // A booking has no ledger row. This happens when the connection changes between two
+    // statements of a transaction, so that one runs outside of it.
     let mut contents = contents(&[1, 2]);
     contents.entries.pop();
     let attempts = [
@@ -131,9 +126,8 @@
 
 #[test]
 fn mixed_by_a_foreign_marker() {
-    // Symptom: a row carries the marker of another write.
-    // Events: two callers' statements met on one connection.
-    // Cause: a connection shared inside a transaction.
+    // A row has the marker of another write. This happens when two callers share a connection
+    // during a transaction.
     let mut contents = contents(&[1]);
     contents.entries[0].marker = "m2".into();
     assert_eq!(
@@ -149,9 +143,8 @@
 
 #[test]
 fn mixed_in_one_log_record() {
-    // Symptom: one log record holds statements of two transactions.
-    // Events: both callers' statements ran between one BEGIN and one COMMIT.
-    // Cause: a connection shared inside a transaction.
+    // One log record has statements of two transactions. This happens when two callers share a
+    // connection, so that the statements of both run between one BEGIN and one COMMIT.
     let mut contents = contents(&[1, 2]);
     contents.logs = vec![vec![vec![key("a", 1), key("a", 2)]]];
     let attempts = [
@@ -163,9 +156,8 @@
 
 #[test]
 fn not_run_but_ran() {
-    // Symptom: a caller was told "not run" and the row is there.
-    // Events: the statements were sent, the answer did not come, the refusal said not run.
-    // Cause: an unknown outcome taken for a refusal.
+    // A write was answered as "not run" and its row exists. This happens when the statements
+    // were sent, no answer came, and the unknown outcome is reported as a refusal.
     for outcome in [Outcome::NotRun, Outcome::Rejected] {
         let audit = Audit::of(&[attempt(1, outcome)], &contents(&[1]));
         assert_eq!(audit.not_run_but_ran, 1, "{outcome:?}");
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, workloads and measurements.
+//! Stand-ins for databases and the platform, workloads, and measurements of mangotray.
 mod backend;
 pub mod call;
 pub mod caller;
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! What the databases and the platform count while a run goes on.
+//! Counters of the databases and the platform during a run.
 
 use mangotray::role;
 
@@ -8,20 +8,20 @@
 /// Counts of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Statements that instances ran while they were not the primary.
+    /// Statements that instances ran while they were replicas.
     pub replica_statements: usize,
     /// Calls to the platform's service.
     pub platform_calls: u64,
-    /// Most connections that one instance had open at once.
+    /// Greatest number of connections that one instance had open at once.
     pub peak_connections: usize,
-    /// Most slots of one instance in use at once.
+    /// Greatest number of slots of one instance in use at once.
     pub peak_busy: usize,
     previous_statements: Vec<[usize; cluster::SIZE]>,
     calls_before: u64,
 }
 
 impl Load {
-    /// Starts counting from the state of a stage.
+    /// Starts counting from the present counters of a stage.
     #[must_use]
     pub fn start(stage: &stage::Stage) -> Self {
         let previous_statements = stage
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Counts what has happened since the last look. Statements count by the
-    /// instance's part at the time of the look, so a change of primary blurs one
-    /// interval.
+    /// Adds the counts since the last sample. All statements since then are attributed to
+    /// the present role of the instance, so they are inexact for an interval in which the
+    /// primary changes.
     pub fn sample(&mut self, stage: &stage::Stage) {
         self.platform_calls = stage.platform.calls() - self.calls_before;
         for (cluster, previous_statements) in
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -11,7 +11,7 @@
 use std::process;
 use std::time;
 
-/// Log lines of the lab itself, unless `RUST_LOG` says otherwise.
+/// Log filter of the lab when `RUST_LOG` is not set or invalid.
 const DEFAULT_LOG_FILTER: &str = "warn";
 
 fn main() -> eyre::Result<process::ExitCode> {
@@ -46,7 +46,7 @@
     Ok(process::ExitCode::SUCCESS)
 }
 
-/// Runs once; the exit code tells whether a promise was broken.
+/// Runs one workload; the exit code is 1 when a guarantee was violated.
 fn measure(arguments: cli::Run) -> eyre::Result<process::ExitCode> {
     let mut profile = *arguments.profile;
     profile.lag = arguments.lag.map_or(profile.lag, Into::into);
--- a/lab/src/note.rs
+++ b/lab/src/note.rs
@@ -1,4 +1,4 @@
-//! What callers recorded during a run.
+//! Records that callers make during a run.
 
 use std::collections;
 use std::time;
@@ -9,30 +9,30 @@
 use crate::profile;
 use crate::verdict;
 
-/// Violations that are told in full.
+/// Violations that are kept with their details.
 const MAX_EXAMPLES: usize = 5;
 
-/// Latencies are kept to three significant digits.
+/// Significant decimal digits of the recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 
 /// Records of one caller, or of many when merged.
 #[derive(Clone, Debug)]
 pub struct Note {
-    /// Every write that was tried.
+    /// Every write that was attempted.
     pub attempts: Vec<ledger::Attempt>,
     /// Probes that were confirmed.
     pub probes: Vec<Probe>,
-    /// Requests answered after their deadline, whatever the answer was.
+    /// Requests answered after their deadline, with any answer.
     pub late_answers: usize,
-    /// Longest time by which an answer missed its deadline.
+    /// Longest time between a deadline and a later answer.
     pub max_lateness: time::Duration,
-    /// Requests whose connection ended, or that were given up, without an answer.
+    /// Requests without an answer, because the connection ended or the caller gave up.
     pub unanswered: usize,
-    /// Reads that missed a write that they had to contain.
+    /// Reads whose answer lacks a write that it had to include.
     pub stale_reads: usize,
-    /// The first of those reads, told in full.
+    /// Details of the first stale reads and foreign answers.
     pub examples: Vec<CompactString>,
-    /// Answers that belong to another request, or are incomplete.
+    /// Reads whose answer belongs to another request, or is incomplete.
     pub foreign_answers: usize,
     /// Refusals by SQLSTATE and detail.
     pub refusals: collections::BTreeMap<CompactString, usize>,
@@ -50,14 +50,14 @@
 /// A confirmed write of the prober.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// When it was sent.
+    /// When the write was sent.
     pub sent: time::Instant,
     /// When its confirmation arrived.
     pub confirmed: time::Instant,
 }
 
 impl Note {
-    /// An empty record.
+    /// Creates an empty record.
     ///
     /// # Panics
     /// Never: the number of digits is valid.
@@ -115,7 +115,8 @@
         self.write_latency.add(&other.write_latency).expect(resizes);
     }
 
-    /// Counts what is wrong with an answer to a read, and keeps `told` as an example.
+    /// Counts the violations of an answer to a read. If there are any, and fewer than
+    /// `MAX_EXAMPLES` examples, keeps the text of `describe` as an example.
     ///
     /// ```
     /// use mangotray_lab::{note::Note, verdict::Verdict};
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Compares the time that an answer took with its deadline.
+    /// Records by how much an answer missed its deadline, if it did.
     ///
     /// ```
     /// use std::time::Duration;
@@ -149,7 +150,7 @@
         self.max_lateness = self.max_lateness.max(excess);
     }
 
-    /// Writes of callers, without the prober's, that got this answer.
+    /// Number of callers' writes with this outcome, without the prober's.
     ///
     /// ```
     /// use mangotray_lab::{ledger::Outcome, note::Note};
@@ -166,8 +167,8 @@
 
     /// Time from `fault` to the first confirmation of a probe sent after it.
     ///
-    /// Probes on their way at the time of the fault do not count: the lost
-    /// primary may have run them, which tells nothing about its successor.
+    /// Probes that were sent before the fault are left out: the failed primary may have run
+    /// them, so their confirmation does not show that a new primary works.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -195,7 +196,7 @@
     }
 }
 
-/// Microseconds for a histogram.
+/// Whole microseconds of a duration, for a histogram.
 ///
 /// ```
 /// use std::time::Duration;
--- a/lab/src/output.rs
+++ b/lab/src/output.rs
@@ -1,4 +1,4 @@
-//! Messages of an instance to a caller.
+//! Messages that an instance sends to a client.
 
 use mangotray::frame;
 use pgwire::messages;
@@ -11,7 +11,7 @@
 use crate::sqlstate;
 use crate::value;
 
-/// Bytes that wait to be written together.
+/// Encoded messages that are written to the socket together.
 #[derive(Default)]
 pub(crate) struct Output {
     buffer: bytes::BytesMut,
@@ -83,7 +83,8 @@
     }
 }
 
-/// Format of a column or parameter: none given means text, one given holds for all.
+/// Format code of a column or parameter: text if no format is given; a single format applies
+/// to all.
 pub(crate) fn format(formats: &[i16], index: usize) -> i16 {
     match formats {
         [] => data::FORMAT_CODE_TEXT,
--- a/lab/src/profile.rs
+++ b/lab/src/profile.rs
@@ -1,4 +1,4 @@
-//! The users' two profiles: sizes, delays, statements.
+//! Profiles of two users: sizes, delays and workload.
 
 use std::fmt;
 use std::str;
@@ -10,13 +10,13 @@
 use crate::cluster;
 use crate::ledger;
 
-/// Items that writes are spread over; item 0 belongs to the prober.
+/// Number of items that callers write to, numbered from 1; item 0 belongs to the prober.
 pub const ITEMS: ledger::Item = 20;
 
-/// Item that the prober's writes count towards.
+/// Item that the prober writes to.
 pub const PROBER_ITEM: ledger::Item = 0;
 
-/// Greatest age of reads of the listing table.
+/// Greatest age of the data that reads of the listing table may return.
 pub const MAX_LISTING_AGE: time::Duration = time::Duration::from_secs(5);
 
 /// Sizes, delays and workload of one user.
@@ -24,21 +24,21 @@
 pub struct Profile {
     /// Name on the command line.
     pub name: &'static str,
-    /// Region of the failure domains.
+    /// Region that contains the failure domains.
     pub region: &'static str,
-    /// Name of the groups and their databases, before the number.
+    /// Name of the first group and its database; the others append a number to it.
     pub database: &'static str,
-    /// Database groups.
+    /// Number of database groups.
     pub groups: usize,
     /// Failure domains; the instances of a group are spread over them.
     pub domains: [&'static str; 3],
-    /// Statements that one instance executes at once.
+    /// Statements that one instance runs at once.
     pub slots: usize,
     /// Connections that one instance accepts.
     pub connections: usize,
-    /// Time to open a connection at an instance.
+    /// Time that an instance takes to open a connection.
     pub connect_cost: time::Duration,
-    /// Time an instance spends on one statement; an assumption, no user stated it.
+    /// Time that an instance takes for one statement; an assumption, as no user stated it.
     pub statement_cost: time::Duration,
     /// Replication delay to each replica.
     pub lag: time::Duration,
@@ -46,59 +46,59 @@
     pub delay: time::Duration,
     /// One-way delay between callers and proxies.
     pub caller_delay: time::Duration,
-    /// Callers of each group.
+    /// Number of callers of each group.
     pub callers: usize,
     /// Mean pause of a caller between two requests.
     pub pause: time::Duration,
     /// Deadline of one request at the proxy.
     pub deadline: time::Duration,
-    /// Shares of the kinds of request.
+    /// Percentages of the kinds of request.
     pub mix: Mix,
-    /// Writes in percent that send statement by statement; the others send one batch.
-    /// A stand-in instance has one writer at a time, so many of them would measure
-    /// the stand-in and not the proxies.
+    /// Percentage of writes that are sent statement by statement; the others are sent as one
+    /// batch. A stand-in instance runs one writing transaction at a time, so a high percentage
+    /// would measure the stand-in and not the proxies.
     pub unbatched_percent: u32,
     /// Names of the tables.
     pub tables: Tables,
 }
 
-/// Shares of the kinds of request, in percent.
+/// Percentages of the kinds of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mix {
     /// Writes: reservations or payout confirmations.
     pub write: u32,
     /// Reads of a caller's own rows.
     pub own_rows: u32,
-    /// Reads of one item's rows.
+    /// Reads that count one item's rows.
     pub item: u32,
-    /// Reads of the listing, covered by an age rule.
+    /// Reads of the listing, to which an age rule applies.
     pub listing: u32,
 }
 
-/// Names of the tables that a profile calls by its own words.
+/// Names of the tables that differ between the profiles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tables {
-    /// Items with their counters.
+    /// Table of the items with their counters.
     pub listing: &'static str,
-    /// First rows of the writes.
+    /// Table of the first row of each write.
     pub rows: &'static str,
 }
 
-/// Kind of request, drawn by a mix.
+/// Kind of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// A reservation or a payout confirmation.
+    /// Write of a reservation or a payout confirmation.
     Write,
-    /// The caller's own rows.
+    /// Read of the caller's own rows.
     OwnRows,
-    /// Rows of one item: a running order or a brief.
+    /// Read that counts the rows of one item: a running order or a brief.
     Item,
-    /// All items with their counters: a calendar or a brief list.
+    /// Read of all items with their counters: a calendar or a list of briefs.
     Listing,
 }
 
 impl Mix {
-    /// Kind for a number drawn below 100.
+    /// Kind of request for a random number below 100.
     ///
     /// ```
     /// use mangotray_lab::profile::{Kind, Profile};
@@ -202,7 +202,7 @@
         }
     }
 
-    /// How the stand-ins of a group start.
+    /// Options with which the stand-in instances of a group are started.
     ///
     /// ```
     /// let options = mangotray_lab::profile::Profile::hoasen().cluster(0);
@@ -225,7 +225,7 @@
         }
     }
 
-    /// What operators declare about a running group.
+    /// Declaration of a running group in the operators' file.
     #[must_use]
     pub fn declare(&self, cluster: &cluster::Cluster) -> database::Group {
         database::Group {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Rule that lets reads of the listing see data of some age.
+    /// Age rule that lets reads of the listing return data up to `MAX_LISTING_AGE` old.
     ///
     /// ```
     /// let age = mangotray_lab::profile::Profile::hoasen().age();
@@ -263,7 +263,9 @@
         [Self::tarapath(), Self::hoasen()]
             .into_iter()
             .find(|profile| profile.name == text)
-            .ok_or_else(|| eyre::eyre!("no profile {text:?}; there are tarapath and hoasen"))
+            .ok_or_else(|| {
+                eyre::eyre!("unknown profile {text:?}; the profiles are tarapath and hoasen")
+            })
     }
 }
 
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! The one line of JSON that a run ends with.
+//! Report of a run, printed as one line of JSON.
 
 use std::collections;
 use std::time;
@@ -9,84 +9,85 @@
 use crate::load;
 use crate::note;
 
-/// Figures of one run.
+/// Results of one run.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Report {
-    /// Profile, policy and faults, so that a line explains itself.
+    /// Name of the profile; given with policy and faults to identify the run.
     pub profile: String,
-    /// Rules of the proxies.
+    /// Policy of the proxies.
     pub policy: String,
-    /// Proxies at the start.
+    /// Number of proxies at the start.
     pub proxies: usize,
-    /// Seconds that the callers worked.
+    /// Seconds during which the callers sent requests.
     pub seconds: f64,
     /// Seed of the run.
     pub seed: u64,
-    /// Faults as they were asked for.
+    /// Faults of the run, in the syntax of the command line.
     pub faults: Vec<String>,
     /// Callers' writes that were confirmed.
     pub confirmed: usize,
-    /// Callers' writes whose outcome nobody could tell them.
+    /// Callers' writes whose answer left the outcome unknown.
     pub unknown: usize,
     /// Callers' writes that were refused as not run, or never committed.
     pub not_run: usize,
     /// Callers' writes that the database itself refused.
     pub rejected: usize,
-    /// Answers, refusals too, that came after the deadline.
+    /// Answers, including refusals, that came after the deadline.
     pub late: usize,
-    /// Longest time by which an answer missed its deadline.
+    /// Longest time in milliseconds between a deadline and a later answer.
     pub late_by_ms: f64,
-    /// Requests that got no answer at all.
+    /// Requests without an answer.
     pub cut: usize,
-    /// Confirmed writes that are absent.
+    /// Confirmed writes that are missing.
     pub lost: usize,
     /// Writes that ran more than once.
     pub doubled: usize,
-    /// Reads that missed a write that they had to contain.
+    /// Reads whose answer lacks a write that it had to include.
     pub stale: usize,
-    /// Transactions that were cut or mixed with others.
+    /// Transactions that are incomplete or mixed with others.
     pub mixed: usize,
-    /// Answers to somebody else's request, or incomplete ones.
+    /// Reads whose answer belongs to another request, or is incomplete.
     pub foreign: usize,
-    /// Writes told as not run that left a trace.
+    /// Writes answered as not run, or as rejected, that are in the tables or in a log.
     pub not_run_but_ran: usize,
-    /// Share of reads that ran on instances that were not the primary.
+    /// Share of reads that ran on replicas, from 0 to 1.
     pub replica_read_share: f64,
-    /// Longest of the failover gaps; `None` without a primary's fault, or when a
-    /// group's writes did not come back.
+    /// Longest failover gap in milliseconds; `None` without a primary's fault, or when a
+    /// group confirmed no write after one.
     pub failover_gap_ms: Option<f64>,
-    /// Gap after each primary's fault; `None` when writes did not come back.
+    /// Failover gap after each primary's fault in milliseconds; `None` when the group
+    /// confirmed no write after it.
     pub failover_gaps_ms: Vec<Option<f64>>,
-    /// Answered reads a second.
+    /// Answered reads per second.
     pub reads_per_s: f64,
     /// Reads refused or lost.
     pub reads_refused: usize,
     /// Refusals of callers and probers by SQLSTATE and detail.
     pub refusals: collections::BTreeMap<CompactString, usize>,
-    /// Some stale and foreign reads, told in full.
+    /// Details of some stale and foreign reads.
     pub examples: Vec<CompactString>,
-    /// Callers' confirmed writes a second.
+    /// Callers' confirmed writes per second.
     pub writes_per_s: f64,
-    /// Median latency of reads, as callers see it.
+    /// Median latency of reads in milliseconds, measured by the callers.
     pub p50_ms: f64,
-    /// 99th percentile of the latency of reads.
+    /// 99th percentile of the latency of reads in milliseconds.
     pub p99_ms: f64,
-    /// Median latency of whole writes.
+    /// Median latency of writes in milliseconds, from BEGIN to the answer to COMMIT.
     pub write_p50_ms: f64,
-    /// 99th percentile of the latency of whole writes.
+    /// 99th percentile of the latency of writes in milliseconds.
     pub write_p99_ms: f64,
-    /// Calls to the platform's service a second, from all proxies.
+    /// Calls of all proxies to the platform's service per second.
     pub platform_calls_per_s: f64,
-    /// Most connections that one instance had open at once.
+    /// Greatest number of connections that one instance had open at once.
     pub peak_connections: usize,
-    /// Most slots of one instance in use at once.
+    /// Greatest number of slots of one instance in use at once.
     pub peak_busy: usize,
-    /// Whether all instances agreed when the audit began.
+    /// Whether all instances had the same log when the audit began.
     pub settled: bool,
 }
 
 impl Report {
-    /// Fills in what the callers recorded.
+    /// Fills in the callers' records.
     pub fn add_note(&mut self, note: &note::Note) {
         self.confirmed = note.count_writes(ledger::Outcome::Confirmed);
         self.unknown = note.count_writes(ledger::Outcome::Unknown);
@@ -108,7 +109,7 @@
         self.write_p99_ms = millis(&note.write_latency, 0.99);
     }
 
-    /// Fills in what the audit found.
+    /// Fills in the violations that the audit found.
     pub fn add_audit(&mut self, audit: ledger::Audit) {
         self.lost = audit.lost;
         self.doubled = audit.doubled;
@@ -116,7 +117,7 @@
         self.not_run_but_ran = audit.not_run_but_ran;
     }
 
-    /// Fills in what databases and platform counted, for `reads` answered reads.
+    /// Fills in the counters of databases and platform, for `reads` answered reads.
     pub fn add_load(&mut self, load: &load::Load, reads: usize) {
         self.replica_read_share = replica_share(load.replica_statements, reads);
         self.platform_calls_per_s = round_to_hundredths(float(load.platform_calls) / self.seconds);
@@ -124,7 +125,7 @@
         self.peak_busy = load.peak_busy;
     }
 
-    /// Fills in the gaps after primaries' faults.
+    /// Fills in the failover gaps after primaries' faults.
     pub fn add_gaps(&mut self, gaps: &[Option<time::Duration>]) {
         let millis = |gap: &time::Duration| round_to_hundredths(gap.as_secs_f64() * 1e3);
         self.failover_gaps_ms = gaps.iter().map(|gap| gap.as_ref().map(millis)).collect();
@@ -132,7 +133,7 @@
         self.failover_gap_ms = all.and_then(|gaps| gaps.iter().max().map(millis));
     }
 
-    /// True when a promise was broken or the run itself was not whole.
+    /// True when a guarantee was violated, or the instances did not settle for the audit.
     #[must_use]
     pub fn is_violated(&self) -> bool {
         let broken = self.lost + self.doubled + self.stale + self.mixed + self.foreign;
@@ -140,8 +141,8 @@
     }
 }
 
-/// Reads that are sent again run twice, so the count of statements can pass that of
-/// answered reads; a share stays a share.
+/// Share of reads that ran on replicas. A read that is sent again runs twice, so there can be
+/// more statements on replicas than answered reads; the share is then 1.
 fn replica_share(replica_statements: usize, reads: usize) -> f64 {
     let all = reads.max(replica_statements);
     if all == 0 {
@@ -162,7 +163,7 @@
     (value * 100.0).round() / 100.0
 }
 
-/// Counts of a run stay far below the numbers that a float holds exactly.
+/// Converts a count; a count of `u32::MAX` or less, as in all runs, is exact.
 fn float(count: u64) -> f64 {
     u32::try_from(count).map_or(f64::INFINITY, f64::from)
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,4 +1,4 @@
-//! One measured run of a profile under faults.
+//! One measured run of a profile's workload with faults.
 
 use std::net;
 use std::path;
@@ -20,37 +20,37 @@
 use crate::trouble;
 use crate::workload;
 
-/// Pause between two looks at faults and counters.
+/// Pause between two checks of the faults and counters.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
-/// Longest wait for all groups to take a write through each proxy; under slow promotion
-/// the groups get their first primaries one after the other, ten seconds each.
+/// Longest wait until all groups accept a write through each proxy. Under the lease-expiry
+/// policy the groups get their first primaries one after the other, ten seconds each.
 const READY_TIMEOUT: time::Duration = time::Duration::from_secs(90);
 
 /// Longest wait for replication to settle before the audit.
 const SETTLE_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
-/// A run as it was asked for.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The lab's binary, which also runs the proxies.
     pub program: path::PathBuf,
     /// Sizes, delays and statements.
     pub profile: profile::Profile,
-    /// Proxies to start.
+    /// Number of proxies to start.
     pub proxies: usize,
-    /// How long callers work.
+    /// Time during which callers send requests.
     pub duration: time::Duration,
-    /// Seed of callers' choices and of lost answers.
+    /// Seed of the callers' random choices and of lost answers.
     pub seed: u64,
-    /// Faults to bring.
+    /// Faults to inject.
     pub faults: Vec<fault::Fault>,
-    /// Rules of the proxies.
+    /// Policy of the proxies.
     pub policy: policy::Policy,
 }
 
 impl Run {
-    /// Runs to the end and gives its figures.
+    /// Runs the workload and the faults, audits the result and returns the report.
     ///
     /// # Errors
     /// When the stage cannot be started, or is not ready in time.
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Begins and ends faults at their times, until the run is over; all have
-    /// ended when it returns.
+    /// Begins and ends faults at their times until the run is over, and samples the load.
+    /// All faults have ended when it returns.
     fn inject_faults(
         &self,
         stage: &mut stage::Stage,
@@ -124,7 +124,7 @@
         for (group, note) in notes.iter().enumerate() {
             let primary = stage
                 .primary(group)
-                .ok_or_else(|| eyre::eyre!("group {group} has no primary at the end"))?;
+                .ok_or_else(|| eyre::eyre!("group {group} has no primary at the end of the run"))?;
             let contents = inspect::contents(&stage.clusters[group], primary, &self.profile)?;
             all = all.plus(ledger::Audit::of(&note.attempts, &contents));
         }
@@ -145,7 +145,7 @@
     }
 }
 
-/// Time without confirmed writes after each primary's fault.
+/// Time from each primary's fault to the next confirmed write.
 fn failover_gaps(
     troubles: &[trouble::Trouble],
     notes: &[note::Note],
--- a/lab/src/stats.rs
+++ b/lab/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counters of an instance.
+//! Counters of a stand-in instance.
 
 use std::sync::Arc;
 
@@ -7,27 +7,27 @@
 /// Counters of one instance since its cluster's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Most connections open at once.
+    /// Greatest number of connections open at once.
     pub peak_connections: usize,
-    /// Most slots in use at once.
+    /// Greatest number of slots in use at once.
     pub peak_busy: usize,
-    /// Statements run, control statements excepted.
+    /// Statements run, without those of the control path.
     pub statements: usize,
-    /// Connections refused at the limit.
+    /// Connections refused because the limit was reached.
     pub refused_connections: usize,
     /// Connections open now.
     pub connections: usize,
     /// Slots in use now.
     pub busy_slots: usize,
-    /// Batches arrived and not yet answered, those that wait for a slot included.
+    /// Batches received and not yet answered, including those that wait for a slot.
     pub batches: usize,
 }
 
-/// Counts a connection for as long as it lives.
+/// An open connection; it is counted until this is dropped.
 pub(crate) struct Connection(Arc<instance::Instance>);
 
 impl Connection {
-    /// Nothing when the instance has no connection left.
+    /// Counts a new connection; `None` when the instance has reached its limit.
     pub(crate) fn acquire(instance: &Arc<instance::Instance>) -> Option<Self> {
         let mut stats = instance.stats();
         if stats.connections >= instance.options.connections {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Counts a batch from its arrival to its answer.
+/// A batch in progress; it is counted until this is dropped.
 pub(crate) struct Batch(Arc<instance::Instance>);
 
 impl Batch {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Counts a busy slot.
+/// A slot in use; it is counted until this is dropped.
 pub(crate) struct BusySlot<'a>(&'a instance::Instance);
 
 impl<'a> BusySlot<'a> {
--- a/lab/src/sweep.rs
+++ b/lab/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Many runs one after the other, printed as a table that says how to make each again.
+//! Runs many cases one after the other and prints a table with the command of each.
 
 use std::fmt;
 use std::path;
@@ -9,37 +9,37 @@
 use crate::report;
 use crate::run;
 
-/// Seconds of a run without a primary's fault under slow promotion.
+/// Duration in seconds of a usual run.
 const RUN_SECONDS: u64 = 8;
 
-/// Seconds of a run in which a promotion waits for a lease of ten seconds.
+/// Duration in seconds of a run in which a promotion waits for a lease of ten seconds.
 const LEASE_EXPIRY_RUN_SECONDS: u64 = 20;
 
-/// Faults begin and end in the middle of a run.
+/// Start and duration of each fault in seconds, as on the command line.
 const FAULT_SCHEDULE: &str = "@2+3";
 
-/// Sizes of the system that faults are brought to.
+/// Numbers of proxies of the two profiles' systems.
 const SMALL_PROXIES: usize = 3;
 const LARGE_PROXIES: usize = 8;
 
-/// Replication delays in milliseconds at which confirmation is compared.
+/// Replication delays at which the policies of confirmation are compared.
 const COMPARED_LAGS_MS: [u64; 3] = [1, 20, 200];
 
-/// Replication delay of a usual run, in milliseconds.
+/// Replication delay of a usual run.
 const DEFAULT_LAG_MS: u64 = 2;
 
-/// One run of the sweep, in the words of the command line.
+/// One run of the sweep, with the arguments of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Case {
     /// Name of the profile.
     pub profile: &'static str,
-    /// Proxies to start.
+    /// Number of proxies to start.
     pub proxies: usize,
-    /// How long the callers work.
+    /// Seconds during which the callers send requests.
     pub seconds: u64,
     /// Seed of the run.
     pub seed: u64,
-    /// Fault, if any.
+    /// Fault in the syntax of the command line, if any.
     pub fault: Option<String>,
     /// Name of the policy.
     pub policy: &'static str,
@@ -89,7 +89,8 @@
         run.execute()
     }
 
-    /// Whether two cases differ in the policy only, and in what it makes them wait.
+    /// Whether this case is another policy's counterpart of `base` under the default policy:
+    /// all but the policy and the duration of the run are the same.
     fn compares_with(&self, base: &Self) -> bool {
         let expected = Self {
             policy: self.policy,
@@ -113,7 +114,7 @@
     }
 }
 
-/// All runs: policies side by side, delays, then each fault under each profile.
+/// All cases: each policy, replication delays, then each fault with each profile.
 ///
 /// ```
 /// use mangotray_lab::sweep;
@@ -160,9 +161,10 @@
     cases
 }
 
-/// Runs everything whose command contains `only`, and prints a table as it goes; then
-/// the ratio of each baseline to the default rules. Gives the number of runs that broke
-/// a promise or failed, the unsafe baseline apart.
+/// Runs the cases whose command contains `only` and prints a table row after each. Then
+/// prints the ratio of each other policy to the default policy. Returns the number of runs
+/// that failed or violated a guarantee; violations under the policy `unsafe-ack`, which is
+/// unsafe on purpose, are not counted.
 #[must_use]
 pub fn execute(program: &path::Path, seed: u64, only: &str) -> usize {
     let mut finished = Vec::new();
--- a/lab/src/trouble.rs
+++ b/lab/src/trouble.rs
@@ -1,4 +1,4 @@
-//! Brings faults over a stage and takes them away again.
+//! Injects faults into a stage and ends them.
 
 use std::time;
 
@@ -7,29 +7,29 @@
 use crate::fault;
 use crate::stage;
 
-/// Delay of replication to a replica that falls behind.
+/// Replication delay to a replica while the fault `replica-lag` is active.
 const REPLICA_LAG: time::Duration = time::Duration::from_secs(4);
 
-/// Time that the platform's service takes for a call when it is slow.
+/// Time that the platform's service takes for a call while it is slow.
 const SLOW_CALL_DELAY: time::Duration = time::Duration::from_millis(800);
 
-/// Fraction of changes whose answer is lost.
+/// Fraction of changes whose answer is lost, from 0 to 1.
 const LOST_ANSWER_SHARE: f64 = 0.3;
 
-/// A fault in force.
+/// An active fault, or one that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trouble {
-    /// What was asked for.
+    /// Settings of the fault.
     pub fault: fault::Fault,
-    /// When it began.
+    /// When the fault began.
     pub started_at: time::Instant,
-    /// Instance that it hit.
+    /// Instance that the fault affects.
     instance: id::Index,
 }
 
 impl Trouble {
-    /// Brings a fault into force. A primary's fault hits the first instance when
-    /// the group has no primary at that moment.
+    /// Begins a fault. A primary's fault affects the first instance when the group has no
+    /// primary at that moment.
     #[must_use]
     pub fn begin(fault: fault::Fault, stage: &mut stage::Stage, seed: u64) -> Self {
         let instance = if fault.kind.hits_primary() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Ends the fault; proxies that are gone stay away.
+    /// Ends the fault; proxies that crashed or drained are not started again.
     pub fn end(&self, stage: &stage::Stage) {
         let cluster = &stage.clusters[self.fault.group];
         match self.fault.kind {
@@ -75,7 +75,7 @@
         tracing::info!(fault = %self.fault, instance = self.instance, "fault ends");
     }
 
-    /// True once the fault has lasted its time.
+    /// True once the duration of the fault has passed.
     #[must_use]
     pub fn is_over(&self) -> bool {
         self.started_at.elapsed() >= self.fault.lasts
--- a/lab/src/verdict.rs
+++ b/lab/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Judges the answer to one read.
+//! Checks the answer to one read.
 
 use std::collections;
 
@@ -7,39 +7,39 @@
 use crate::ledger;
 use crate::profile;
 
-/// What is wrong with an answer; nothing, when it is as it has to be.
+/// Violations found in an answer to a read; all false if the answer is correct.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// It belongs to another request or another caller, or is incomplete.
+    /// The answer belongs to another request or another caller, or is incomplete.
     pub foreign: bool,
-    /// It misses a write that it had to contain.
+    /// The answer lacks a write that it had to include.
     pub stale: bool,
 }
 
 /// Row of a read of the caller's own writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnRow {
-    /// Marker of the request that it answers.
+    /// Marker of the request that the row answers.
     pub echo: CompactString,
-    /// Caller that it belongs to.
+    /// Name of the caller that wrote the row.
     pub caller: CompactString,
-    /// Number of the write among the caller's.
+    /// Sequence number of the write among those of the caller.
     pub sequence: u32,
 }
 
 /// Row of a read that counts the writes to an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counter {
-    /// Marker of the request that it answers.
+    /// Marker of the request that the row answers.
     pub echo: CompactString,
-    /// Item that it counts.
+    /// Item whose writes are counted.
     pub item: ledger::Item,
-    /// Writes counted.
+    /// Number of writes to the item.
     pub count: usize,
 }
 
 impl OwnRow {
-    /// All rows of an answer, or `None` when one has not the columns asked for.
+    /// Parses all rows of an answer; `None` when a row does not have the expected columns.
     #[must_use]
     pub fn parse(rows: &[tokio_postgres::SimpleQueryRow]) -> Option<Vec<Self>> {
         let own = |row| {
@@ -54,7 +54,7 @@
 }
 
 impl Counter {
-    /// All rows of an answer, or `None` when one has not the columns asked for.
+    /// Parses all rows of an answer; `None` when a row does not have the expected columns.
     #[must_use]
     pub fn parse(rows: &[tokio_postgres::SimpleQueryRow]) -> Option<Vec<Self>> {
         let counter = |row| {
@@ -73,14 +73,14 @@
 }
 
 impl Verdict {
-    /// An answer whose rows do not even have the columns asked for.
+    /// Verdict on an answer whose rows do not have the expected columns.
     pub const FOREIGN: Self = Self {
         foreign: true,
         stale: false,
     };
 
-    /// Judges a caller's read of its own writes; `confirmed` holds the sequence
-    /// numbers that were confirmed before it was sent, in the range asked for.
+    /// Checks a caller's read of its own writes. `confirmed` gives the sequence numbers of
+    /// the writes in the requested range that were confirmed before the read was sent.
     ///
     /// ```
     /// use mangotray_lab::verdict::{OwnRow, Verdict};
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Judges a read of one item's counter, which must count at least `confirmed` writes.
+    /// Checks a read of one item's counter, which must be at least `confirmed`.
     ///
     /// ```
     /// use mangotray_lab::verdict::{Counter, Verdict};
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Judges a read of all items; `confirmed` gives the writes to an item that the
-    /// read had to count, those confirmed longer ago than the age rule allows.
+    /// Checks a read of all items. `confirmed` gives, for an item, the number of writes that
+    /// were confirmed longer ago than the age rule allows, which the read must include.
     ///
     /// ```
     /// use mangotray_lab::verdict::Verdict;
--- a/lab/src/verdict/tests.rs
+++ b/lab/src/verdict/tests.rs
@@ -32,18 +32,17 @@
 
 #[test]
 fn a_missing_own_row_is_stale() {
-    // Symptom: a clerk does not find a booking that was just confirmed.
-    // Events: the read went to a replica that had not applied the record yet.
-    // Cause: an instance chosen by an observation older than the confirmation.
+    // A caller does not find a write that was just confirmed. This happens when the instance
+    // is chosen by an observation older than the confirmation, and the read runs on a replica
+    // that has not applied the record yet.
     let rows = [own("r", "a", 1)];
     assert_eq!(Verdict::own_rows(&rows, "r", "a", [1, 2]), STALE);
 }
 
 #[test]
 fn an_answer_to_another_request_or_caller_is_foreign() {
-    // Symptom: rows of somebody else.
-    // Events: an answer that came after its request was given up reached the next one.
-    // Cause: a connection used again while an answer was still on its way.
+    // A caller receives rows of another request. This happens when a connection is used again
+    // while the answer to an abandoned request is still to come.
     for row in [own("q", "a", 1), own("r", "b", 1)] {
         assert_eq!(Verdict::own_rows(&[row], "r", "a", []), Verdict::FOREIGN);
     }
@@ -79,9 +78,8 @@
 
 #[test]
 fn a_truncated_listing_is_foreign() {
-    // Symptom: a calendar without its last shows, taken for the whole one.
-    // Events: the upstream's connection ended in the middle of the rows.
-    // Cause: rows relayed before the answer was whole.
+    // A listing lacks its last rows and is taken for complete. This happens when rows are
+    // relayed before the answer is complete, and the upstream connection then ends.
     let rows = counters("r", 2);
     let cut = &rows[..rows.len() - 1];
     assert_eq!(Verdict::listing(cut, "r", |_| 0), Verdict::FOREIGN);
--- a/lab/src/workload.rs
+++ b/lab/src/workload.rs
@@ -1,4 +1,4 @@
-//! Callers that run a profile and record what they were told.
+//! Callers that run the workload of a profile and record the answers.
 
 use std::net;
 use std::sync;
@@ -14,19 +14,19 @@
 use crate::note;
 use crate::profile;
 
-/// Threads that callers are spread over.
+/// Number of threads that callers are spread over.
 const CALLER_THREADS: usize = 2;
 
-/// Time between two probes of a group.
+/// Time between the starts of two probes of a group.
 const PROBE_INTERVAL: time::Duration = time::Duration::from_millis(10);
 
 /// Longest wait of a probe for its answer.
 const PROBE_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// Probes of a group that may wait at once.
+/// Probes of a group that may wait for their answers at once.
 const MAX_WAITING_PROBES: usize = 24;
 
-/// Callers wait this many deadlines for an answer before they give up.
+/// Longest wait of a caller for an answer, as a multiple of the deadline.
 const ANSWER_TIMEOUT_DEADLINES: u32 = 2;
 
 /// Running callers and probers.
@@ -37,7 +37,7 @@
     groups: usize,
 }
 
-/// Who a task of the workload is.
+/// A task that runs one caller, or the prober of a group.
 #[derive(Clone, Debug)]
 struct Task {
     group: usize,
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Lets every caller finish its request, and gives what was recorded by group.
+    /// Stops the callers after their present request, and returns the records of each group.
     ///
     /// # Panics
     /// When a caller has panicked.
@@ -134,7 +134,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime on the current thread");
+        .expect("a runtime on the current thread can be built");
     runtime.block_on(async {
         let handles: Vec<_> = tasks
             .into_iter()
@@ -165,8 +165,8 @@
     caller.finish()
 }
 
-/// Sends a probe at each tick. One that waits does not hold up the next, so the
-/// gap is measured to one interval even while probes are kept waiting.
+/// Sends a probe at each tick, also while earlier probes still wait for their answers. This
+/// measures the failover gap with a resolution of one interval.
 async fn probe(plan: &caller::Plan, stop: &sync::Arc<atomic::AtomicBool>) -> note::Note {
     let (idle_sender, mut idle) = mpsc::channel(MAX_WAITING_PROBES);
     for index in 0..MAX_WAITING_PROBES {
@@ -183,10 +183,10 @@
     }
     let mut note = note::Note::new();
     for _ in 0..MAX_WAITING_PROBES {
-        let caller = idle.recv().await.expect("every prober comes back");
+        let caller = idle.recv().await.expect("each probe returns its caller");
         note.merge(caller.finish());
     }
-    // Probes give up early by themselves; that is no answer cut off by a proxy.
+    // Probes give up after a short timeout, so a missing answer is not the proxy's fault.
     note.unanswered = 0;
     note
 }
--- a/lab/tests/cluster.rs
+++ b/lab/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! The stand-in group, met through the product's own client and through tokio-postgres.
+//! Tests of the stand-in group, through the proxy's own client and through tokio-postgres.
 
 use std::sync::Arc;
 use std::sync::atomic;
@@ -20,7 +20,7 @@
 use mangotray_lab::journal;
 use pgwire::messages::simplequery;
 
-/// Generous bound on what happens "soon".
+/// Longest wait for an expected event; long, so that a busy machine fails no test.
 const TIMEOUT: time::Duration = time::Duration::from_secs(20);
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(2);
 
@@ -28,7 +28,7 @@
 
 struct Bench {
     cluster: Arc<cluster::Cluster>,
-    /// The executor's threads; one that has ended before the test took a task down with it.
+    /// Threads of the executor; one that ends before the test shows that a task panicked.
     threads: Vec<std::thread::JoinHandle<()>>,
     /// Ends the executor's threads when dropped.
     _stop: async_channel::Sender<()>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A group with a table, led by instance 0 at term 1.
+    /// Starts a group with a table, whose primary is instance 0 at term 1.
     fn with_primary() -> Self {
         let bench = Self::start(options());
         bench.cluster.lead(0, 1).unwrap();
@@ -84,12 +84,17 @@
         let start = time::Instant::now();
         while !check(&self.cluster) {
             let in_time = start.elapsed() < TIMEOUT;
-            assert!(in_time, "never: {what}; {}", self.describe_state());
+            assert!(
+                in_time,
+                "timed out waiting for: {what}; {}",
+                self.describe_state()
+            );
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// What each instance says of itself, how long its log is, and whether a task has panicked.
+    /// Describes the status and log length of each instance, and counts the executor's threads
+    /// that have ended, which happens when a task panics.
     fn describe_state(&self) -> String {
         let threads = self.threads.iter().filter(|thread| thread.is_finished());
         let ended = threads.count();
@@ -212,10 +217,9 @@
     assert_eq!(future::block_on(control.fence(4)).unwrap().fence, 5);
 }
 
-/// Symptom: a booking is acknowledged by a primary that has been replaced.
-/// Events: a clerk opens a transaction; the primary is fenced for a promotion
-/// elsewhere; the clerk commits.
-/// Cause: a commit that does not check the fence.
+/// Guards against a primary that confirms a write after it was replaced: a transaction is open,
+/// the primary is fenced for a promotion of another instance, and the commit does not check the
+/// fence.
 #[test]
 fn a_fenced_primary_rolls_back_its_open_transactions() {
     let bench = Bench::with_primary();
@@ -230,10 +234,9 @@
     assert_eq!(bench.cluster.status(0).role, role::Role::Replica);
 }
 
-/// Symptom: a booking of the old primary stays visible after the group was repaired.
-/// Events: the primary is cut off and still commits; another is promoted and
-/// commits; the cut heals.
-/// Cause: a replica that keeps records which the new primary's log lacks.
+/// Guards against a write of a replaced primary that stays visible: the primary is partitioned
+/// and still commits, another instance is promoted and commits, and after the partition the old
+/// primary keeps records that the new primary's log lacks.
 #[test]
 fn a_cut_off_primary_goes_on_and_is_repaired_later() {
     let bench = Bench::with_primary();
@@ -266,11 +269,10 @@
     assert_eq!(reply.stamp, Some(stamp));
 }
 
-/// Symptom: a commit of a replaced primary is confirmed by an instance that has
-/// forgotten its fence, and is lost.
-/// Events: instances 1 and 2 are fenced at term 2; instance 1 loses its memory and
-/// copies the log of the cut-off primary of term 1.
-/// Cause: counting an instance again below a fence that it has answered.
+/// Guards against the loss of a write that a replaced primary confirms: instances 1 and 2 are
+/// fenced at term 2, instance 1 loses its data and with it the fence, and copies the log of the
+/// partitioned primary of term 1. It must not count as a voter again below a fence that it has
+/// answered.
 #[test]
 fn a_wiped_instance_counts_only_after_copying_a_current_log() {
     let bench = Bench::with_primary();
@@ -296,11 +298,10 @@
     assert_eq!(bench.cluster.log(1), bench.cluster.log(2));
 }
 
-/// Symptom: a commit of a replaced primary is confirmed and lost.
-/// Events: instance 1 answers a fence at term 3 that no other instance has heard of,
-/// and loses its memory twice; it copies the whole log of the primary of term 1.
-/// Cause: asking only whether another instance is fenced higher, or forgetting the
-/// barrier at the second loss.
+/// Guards against the loss of a write that a replaced primary confirms: instance 1 answers a
+/// fence at term 3 that no other instance has received, loses its data twice, and copies the
+/// whole log of the primary of term 1. It would become a voter too early if it only compared
+/// its fence with those of other instances, or lost the barrier at the second loss.
 #[test]
 fn a_wiped_instance_remembers_the_fence_that_it_answered() {
     let bench = Bench::with_primary();
@@ -317,10 +318,9 @@
     bench.eventually("voter again", |cluster| cluster.status(1).voter);
 }
 
-/// Symptom: confirmed bookings vanish with a promotion.
-/// Events: an instance loses its log and is fenced and promoted before it has copied
-/// another one's.
-/// Cause: a promotion that does not ask whether the instance is a voter.
+/// Guards against a promotion that loses confirmed writes: an instance loses its log, and is
+/// fenced and promoted before it has copied another log. A promotion has to check that the
+/// instance is a voter.
 #[test]
 fn refuses_to_promote_a_wiped_instance() {
     let bench = Bench::with_primary();
@@ -378,9 +378,8 @@
     assert_eq!(bench.cluster.stats(0).statements, 0);
 }
 
-/// Symptom: a caller is told "not run" about a booking that an instance had received.
-/// Events: the instance crashes while it runs the batch.
-/// Cause: taking a lost connection for proof that nothing ran.
+/// Guards against an answer "not run" for a write that an instance has received: the instance
+/// crashes while it runs the batch, and a lost connection does not prove that nothing ran.
 #[test]
 fn a_crash_before_the_answer_is_unknown() {
     let bench = Bench::start(cluster::Options {
@@ -412,9 +411,8 @@
     assert!(bench.seats(0).is_empty());
 }
 
-/// Symptom: a booking is reported "unknown" although it never left the proxy.
-/// Events: the instance restarts while a pooled connection lies idle.
-/// Cause: writing into a socket whose other end is already closed.
+/// Guards against an answer "unknown" for a write that was never sent: the instance restarts
+/// while a pooled connection is idle, and the write goes to a socket whose other end is closed.
 #[test]
 fn a_connection_closed_while_idle_proves_that_nothing_ran() {
     let bench = Bench::with_primary();
@@ -428,9 +426,8 @@
     );
 }
 
-/// Symptom: promotion hangs for ever on an instance behind a broken switch.
-/// Events: the sockets stay open, but no byte flows.
-/// Cause: a control request without a timeout.
+/// Guards against a promotion that waits without end for an instance behind a broken switch:
+/// the sockets stay open but transfer nothing, and a control request has no timeout.
 #[test]
 fn a_silent_instance_times_out_and_comes_back() {
     let bench = Bench::with_primary();
@@ -552,9 +549,9 @@
     assert_eq!(bench.cluster.query(2, free).unwrap(), rows);
 }
 
-/// Inserts numbered seats at any instance that lets it, until told to stop; gives the
-/// seats that were answered with a stamp, and counts them. A clerk that gets no answer waits longer
-/// with each try: how fast the instances' files are must not decide whether any is answered.
+/// Inserts numbered seats at random instances until `stop` is set; returns the seats that were
+/// answered with a stamp, and adds their number to `count`. The timeout doubles after each
+/// attempt without an answer, so that slow files of the instances do not prevent all answers.
 fn write_until_stopped(
     bench: &Bench,
     clerk: usize,
@@ -604,7 +601,7 @@
 }
 
 trait Committed {
-    /// The stamp, unless the transaction failed or was rolled back.
+    /// Returns the stamp, unless the transaction failed or was rolled back.
     fn stamp_of_write(self) -> Option<stamp::Stamp>;
 }
 
@@ -616,11 +613,12 @@
     }
 }
 
-/// One random fault, and its end half of the time.
+/// Indexes of the instances that are voters.
 fn voters(bench: &Bench) -> impl Iterator<Item = usize> {
     (0..cluster::SIZE).filter(|index| bench.cluster.status(*index).voter)
 }
 
+/// Begins or ends a random fault, wipes an instance, or promotes one at a new term.
 fn change_at_random(bench: &Bench, random: &mut fastrand::Rng, term: &mut u64) {
     let index = random.usize(..cluster::SIZE);
     match random.u8(..8) {
@@ -633,7 +631,8 @@
             let lag = time::Duration::from_millis(random.u64(..20));
             bench.cluster.set_lag(index, lag);
         }
-        // A group whose every voter has lost its log rightly stays without a primary.
+        // Keeps one voter: a group whose voters have all lost their logs has to stay without a
+        // primary.
         6 if random.u8(..4) == 0 && voters(bench).any(|voter| voter != index) => {
             bench.cluster.wipe(index).unwrap();
         }
@@ -654,9 +653,9 @@
     }
 }
 
-/// Symptom: the stand-in itself loses or invents bookings, and the product is blamed.
-/// Events: any faults and promotions while clerks write everywhere.
-/// Cause: data, log and reported stamps that disagree.
+/// Guards against a fault of the stand-in that looks like a fault of the proxy: after random
+/// faults and promotions, during which writes go to all instances, the data, the logs and the
+/// reported stamps disagree.
 #[test]
 fn data_logs_and_stamps_agree_after_any_faults() {
     for seed in 0..3 {
--- a/lab/tests/direct.rs
+++ b/lab/tests/direct.rs
@@ -1,5 +1,5 @@
-//! The workload against stand-in instances without a proxy: it must find nothing
-//! wrong with one instance, and must find what a group does wrong without a proxy.
+//! The workload against stand-in instances without a proxy: its checks must report no
+//! violation for a single instance, and must report those of a group without a proxy.
 
 use std::net;
 use std::sync;
@@ -16,8 +16,8 @@
 const SEED: u64 = 7;
 const WORK_TIME: time::Duration = time::Duration::from_secs(2);
 
-/// Longest work of a test that waits for something to happen. On a machine with ten such tests
-/// beside each other, two seconds make one to five writes in place of 67.
+/// Longest duration of the workload in a test that waits for an event. While ten such tests run
+/// on one machine, two seconds allow one to five writes instead of 67.
 const MAX_WORK_TIME: time::Duration = time::Duration::from_secs(64);
 
 struct Group {
@@ -25,7 +25,7 @@
     _stop: async_channel::Sender<()>,
 }
 
-/// One group that is led by its first instance, and executed by a thread of its own.
+/// Starts a group whose primary is its first instance, on a thread of its own.
 fn group(profile: &profile::Profile) -> Group {
     let executor = sync::Arc::new(async_executor::Executor::new());
     let options = cluster::Options {
@@ -64,7 +64,8 @@
     workload.stop().remove(0)
 }
 
-// Works longer each time until `is_done`; the last note, whatever came of it.
+/// Runs the workload, twice as long each time, until `is_done` or the longest duration is
+/// reached; returns the last note in either case.
 fn run_workload_until(
     proxies: &[net::SocketAddr],
     is_done: impl Fn(&note::Note) -> bool,
@@ -100,9 +101,8 @@
 
 #[test]
 fn lagging_replicas_give_stale_reads() {
-    // Symptom: callers do not find their own confirmed writes.
-    // Events: they write at the primary and read at replicas that lag far behind.
-    // Cause: nothing between callers and instances compares stamps.
+    // Callers do not find their own confirmed writes, as they write at the primary and read at
+    // replicas that lag far behind, and no proxy compares stamps.
     let profile = profile();
     let group = group(&profile);
     for replica in [1, 2] {
@@ -115,10 +115,8 @@
 
 #[test]
 fn primary_lost_before_replication_loses_confirmed_writes() {
-    // Symptom: confirmed writes are absent after a promotion.
-    // Events: writes confirmed by the primary alone; the primary crashes; a replica
-    // that never got them is promoted.
-    // Cause: confirmation before a majority held the record.
+    // Confirmed writes are missing after a promotion: the primary confirms them before a
+    // majority has the records, crashes, and a replica without them is promoted.
     let profile = profile();
     let group = group(&profile);
     group.cluster.cut(0, true);
--- a/lab/tests/platform.rs
+++ b/lab/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The client against the stand-in, over real sockets.
+//! The platform client against the stand-in platform, over real sockets.
 
 use std::collections;
 use std::sync;
@@ -17,7 +17,7 @@
 
 type Executor = sync::Arc<async_executor::Executor<'static>>;
 
-/// Runs `test` beside a stand-in and a client of it.
+/// Starts a stand-in platform and a client of it, and runs `test` with both.
 fn run_with_platform<F: Future<Output = ()>>(
     options: platform::Options,
     test: impl FnOnce(sync::Arc<platform::Platform>, sync::Arc<Client>, Executor) -> F,
@@ -73,7 +73,7 @@
             client.swap("a", "x".into(), 0, Some(&lease)).await.unwrap();
             let entry = watch.await.unwrap().unwrap();
             assert_eq!(entry.lease, Some(lease.clone()));
-            // Nobody renews the lease, so the entry goes by itself.
+            // The lease is not renewed, so the entry is removed when it expires.
             assert_eq!(client.watch("a", entry.version, TIMEOUT).await, Ok(None));
             assert_eq!(client.renew(&lease).await, Ok(false));
         },
@@ -104,9 +104,9 @@
     });
 }
 
-// Symptom: a change is reported as failed though it took effect.
-// Events: the service carries out a swap and its answer is lost.
-// Cause: the client must call that "unknown", and must not send the swap again.
+// Guards against a change that is reported as failed although it took effect: the service
+// carries out a swap and its answer is lost. The client must report "unknown" and must not send
+// the swap again.
 #[test]
 fn a_lost_answer_is_unknown_and_not_sent_again() {
     run_with_platform(
@@ -121,9 +121,9 @@
     );
 }
 
-// Symptom: a change that was called "not run" appears later.
-// Events: the service is slow, the client's time runs out, the service goes on.
-// Cause: a timeout after sending proves nothing, so it must be "unknown".
+// Guards against a change that is reported as "not run" and takes effect later: the client's
+// timeout passes while the slow service still works. A timeout after sending proves nothing, so
+// the client must report "unknown".
 #[test]
 fn a_timeout_is_unknown_and_the_change_may_come_late() {
     run_with_platform(
@@ -134,7 +134,7 @@
                 ..Options::new(stand_in.address())
             };
             let short_timeout_client = Client::new(options, &executor);
-            // The connection is open before the service turns slow.
+            // Opens the connection before the service becomes slow.
             assert_eq!(short_timeout_client.get("a").await, Ok(None));
             stand_in.set_delay(time::Duration::from_secs(1));
             let lost = short_timeout_client.swap("a", "x".into(), 0, None).await;
@@ -146,9 +146,9 @@
     );
 }
 
-// Symptom: after an outage the first calls fail on dead connections.
-// Events: an outage cuts the kept-alive connections and ends.
-// Cause: a read moves to a new connection; a change is not sent on a closed one.
+// Guards against calls that fail after an outage because they use connections that the outage
+// closed. A read has to be sent again on a new connection, and a change must not be sent on a
+// closed one.
 #[test]
 fn an_outage_refuses_calls_and_leaves_no_trace() {
     run_with_platform(
@@ -222,9 +222,9 @@
     );
 }
 
-// Symptom: two VMs hold one term, or none gets any, while the service loses answers.
-// Events: half of all changes take effect without an answer; two VMs claim in turns.
-// Cause: a claim must be settled by reading back, over the real client too.
+// Guards against two VMs with the same term, or VMs that get no term, while half of all changes
+// take effect without an answer and two VMs claim in turns. The outcome of a claim has to be
+// read back, also through the real client.
 #[test]
 fn terms_stay_unique_while_answers_are_lost() {
     run_with_platform(
@@ -243,15 +243,14 @@
             }
             assert!(
                 stand_in.calls_of(call::Kind::Get) > 20,
-                "none was read back"
+                "no claim was read back"
             );
         },
     );
 }
 
-// Symptom: an apply is reported as failed, and repeated, though its file is in force.
-// Events: the answer to the swap is lost.
-// Cause: the file's own id tells, once it is read back.
+// Guards against an apply that is reported as failed, and repeated, although its file is in
+// force: the answer to the swap is lost. The id of the file, when read back, shows the outcome.
 #[test]
 fn an_apply_whose_answer_is_lost_is_settled() {
     run_with_platform(
--- a/lab/tests/roaming.rs
+++ b/lab/tests/roaming.rs
@@ -1,4 +1,4 @@
-//! Real proxies before one group of stand-ins, met by sessions that roam.
+//! Sessions that use several real proxies in front of one group of stand-ins.
 
 use std::net;
 use std::time;
@@ -9,10 +9,10 @@
 use mangotray_lab::ready;
 use mangotray_lab::stage;
 
-/// Generous, so that a busy machine changes no verdict.
+/// Longest wait for an expected event; long, so that a busy machine fails no test.
 const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// Long enough that a replica does not catch up within a test.
+/// Longer than a test, so that the replica does not catch up.
 const REPLICA_LAG: time::Duration = time::Duration::from_mins(10);
 
 const READ_COUNT: usize = 40;
@@ -26,7 +26,7 @@
     }
 }
 
-/// A group and two proxies that take writes.
+/// Starts a group and two proxies, and waits until both accept writes.
 fn stage() -> stage::Stage {
     let profile = profile();
     let stage = stage::Stage::start(&stage::Options {
@@ -70,11 +70,10 @@
 
 #[test]
 fn session_reads_what_it_wrote_through_another_proxy() {
-    // Symptom: a clerk does not find a booking that was confirmed a moment ago.
-    // Events: the clerk writes through the first proxy, then through the second, and
-    // reads through the first; one replica holds the first write only.
-    // Cause: the first proxy takes the stamp of the write that it has seen itself for
-    // all that this caller must see.
+    // Guards against a caller that does not find its own confirmed write: the caller writes
+    // through the first proxy, then through the second, and reads through the first, while one
+    // replica has only the first write. The first proxy must not rely only on the stamp of the
+    // write that went through itself.
     let stage = stage();
     let missing = block_on(async {
         let (first, second) = (open(&stage, 0).await, open(&stage, 1).await);
@@ -96,10 +95,9 @@
 
 #[test]
 fn primary_cut_off_from_its_group_is_replaced() {
-    // Symptom: no write is confirmed for as long as a partition lasts.
-    // Events: the primary is cut off from its replicas, still believes that it leads,
-    // and still answers the proxies; nothing it runs reaches a second instance.
-    // Cause: a primary that answers probes is taken for one that can serve.
+    // Guards against a group that confirms no write during a partition: the primary cannot reach
+    // its replicas, but keeps its role and still answers the proxies. A primary that answers
+    // probes is not thereby able to confirm writes.
     let stage = stage();
     let old = stage.primary(0).unwrap();
     stage.clusters[0].cut(old, true);
@@ -112,9 +110,8 @@
 
 #[test]
 fn crashed_proxy_closes_its_connections() {
-    // Symptom: a caller waits for an answer long after its proxy is gone.
-    // Events: the proxy is ended abruptly while a caller is connected.
-    // Cause: tasks that outlive the proxy keep its sockets open.
+    // Guards against a caller that waits for an answer after its proxy has crashed, because
+    // tasks that outlive the proxy keep its sockets open.
     let mut stage = stage();
     let closed = block_on(async {
         let link = open(&stage, 1).await;
--- a/lab/tests/run.rs
+++ b/lab/tests/run.rs
@@ -1,4 +1,4 @@
-//! Short measured runs with real proxies; they assert promises, never speed.
+//! Short measured runs with real proxies; they assert guarantees, not speed.
 
 use std::time;
 
@@ -38,11 +38,10 @@
 
 #[test]
 fn primary_lost() {
-    // Symptom to watch for: a confirmed write absent or doubled after a promotion.
-    // Events: the primary's process ends in the middle of writes, and starts again
-    // with its old log while its successor leads.
-    // Cause that is guarded against: confirmation before a majority held the record,
-    // or a write sent again after an unknown outcome.
+    // Guards against confirmed writes that are missing or doubled after a promotion: the primary
+    // crashes during writes, and restarts with its old log while another instance is primary.
+    // Writes are lost if they are confirmed before a majority has the record, and doubled if
+    // they are sent again after an unknown outcome.
     let report = run(&["primary-crash@1+2"]);
     assert!(!report.is_violated(), "{report:?}");
     assert!(report.failover_gap_ms.is_some(), "{report:?}");
--- a/lab/tests/status.rs
+++ b/lab/tests/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of a failover, with real proxies.
+//! Status and metrics of real proxies after a failover.
 
 use std::io::Read;
 use std::io::Write;
@@ -27,9 +27,9 @@
     answer
 }
 
-// Symptom: after a failover the status tells of no promotion and no gap.
-// Events: the primary's process ends, a proxy promotes another instance.
-// Cause: constants in place of what the proxy has seen.
+// Guards against a status that reports no promotion and no failover gap after the primary has
+// crashed and a proxy has promoted another instance, because it has constants in place of the
+// measured values.
 #[test]
 fn status_and_metrics_report_a_failover() {
     let profile = profile::Profile {
@@ -70,8 +70,8 @@
     };
     assert!(stage::wait_until(TIMEOUT, reported), "{:?}", groups());
 
-    // Whatever a proxy's status tells, its metrics tell too. A proxy that holds no seats
-    // yet tells of no group, so that groups, not proxies, are gone through.
+    // The metrics of a proxy must include everything that its status reports. A proxy that has
+    // taken no seats yet reports no group, so reported groups are counted instead of proxies.
     let mut checked = 0;
     for admin in &admins {
         let status = status(*admin);
