--- a/desk/src/attempt.rs
+++ b/desk/src/attempt.rs
@@ -40,7 +40,7 @@
 const MAX_INSTANCES: usize = 4;
 
 /// Longest wait of a read for a connection to one instance, before it tries another instance.
-const LEND_TIMEOUT: time::Duration = time::Duration::from_millis(120);
+const CHECKOUT_TIMEOUT: time::Duration = time::Duration::from_millis(120);
 
 /// Percentage of a read's timeout that one instance gets; the rest remains for another one if it
 /// is silent. Must exceed the longest work (220 ms) and a full queue (160 ms).
@@ -85,15 +85,15 @@
 impl Attempt<'_> {
     /// Runs a read on an instance that is proven fresh enough, and tries others if it fails.
     pub async fn read(&self, query: &query::Query) -> Outcome {
-        let need = self.need(query.arrived, query.arrived);
+        let requirements = self.requirements(query.arrived, query.arrived);
         let urgency = deadline::urgency(self.route, query.arrived);
         let mut tried = Vec::new();
         let mut reason = retry::Reason::Unreachable;
         loop {
-            let Some(source) = self.group.source(&need, &tried).await else {
+            let Some(source) = self.group.source(&requirements, &tried).await else {
                 // All instances were tried, or none is fresh enough. Start over if the reason may
                 // be temporary and the caller still waits.
-                let limit = retry_deadline(&reason, &urgency, need.deadline);
+                let limit = retry_deadline(&reason, &urgency, requirements.deadline);
                 let may_retry = !tried.is_empty() && !matches!(reason, retry::Reason::Failed(_));
                 if may_retry && sleep_before(ROUND_DELAY, limit).await {
                     tried.clear();
@@ -123,18 +123,18 @@
         urgency: urgency::Urgency,
     ) -> Result<reply::Reply, retry::Reason> {
         let (group, route) = (&self.group, self.route);
-        let wait = urgency.awaited.min(boot::now() + LEND_TIMEOUT);
-        let lent = source
+        let wait_deadline = urgency.awaited.min(boot::now() + CHECKOUT_TIMEOUT);
+        let checkout = source
             .pool
-            .lend(urgency, self.organisation, self.values, wait)
+            .check_out(urgency, self.organisation, self.values, wait_deadline)
             .await;
-        let mut lent = lent.map_err(retry::Reason::from_shortage)?;
-        let commands = query.commands(&mut lent, self.values, source.after, false);
+        let mut checkout = checkout.map_err(retry::Reason::from_shortage)?;
+        let commands = query.commands(&mut checkout, self.values, source.after, false);
         let sent = boot::now();
         let limit = urgency
             .awaited
             .min(sent + route.timeout * INSTANCE_TIMEOUT_PERCENT / 100);
-        let replies = lent.run_unless_silent(&commands, limit).await;
+        let replies = checkout.run_unless_silent(&commands, limit).await;
         let mut replies = replies.map_err(|failure| {
             tracing::info!(request = %query.id, version = route.version, group = %group.name, instance = %source.pool.id(),
                 sent = failure.sent, detail = %failure.detail, "read not answered");
@@ -162,7 +162,7 @@
             after = source.after.map(tracing::field::display), "read not served here");
         match code {
             reply::Code::Behind => source.pool.note_behind(),
-            reply::Code::NoStatement => lent.forget(),
+            reply::Code::NoStatement => checkout.forget(),
             _ => {}
         }
         Err(retry::Reason::from_code(code))
@@ -172,17 +172,17 @@
     /// that the write did not run.
     pub async fn write(&self, query: &query::Query) -> Outcome {
         let (group, route) = (&self.group, self.route);
-        let wait = self.primary_wait_deadline(query.arrived);
+        let wait_deadline = self.primary_wait_deadline(query.arrived);
         let urgency = deadline::urgency(self.route, query.arrived);
         loop {
-            let Some((pool, term)) = group.wait_for_primary(wait).await else {
+            let Some((pool, term)) = group.wait_for_primary(wait_deadline).await else {
                 return Outcome::Refused(reply::Code::Busy, self.no_primary_text());
             };
-            let mut lent = match pool
-                .lend(urgency, self.organisation, self.values, urgency.until)
+            let mut checkout = match pool
+                .check_out(urgency, self.organisation, self.values, urgency.until)
                 .await
             {
-                Ok(lent) => lent,
+                Ok(checkout) => checkout,
                 Err(pool::Shortage::Late) => {
                     return Outcome::Refused(reply::Code::Busy, "no connection is free".into());
                 }
@@ -191,29 +191,29 @@
                         group.suspect(term, "no connection to the primary");
                     }
                     let reason = retry::Reason::from_shortage(shortage);
-                    if !delay_retry(retry_deadline(&reason, &urgency, wait)).await {
+                    if !delay_retry(retry_deadline(&reason, &urgency, wait_deadline)).await {
                         return Outcome::Refused(reply::Code::Busy, "primary out of reach".into());
                     }
                     continue;
                 }
             };
-            let commands = query.commands(&mut lent, self.values, None, false);
+            let commands = query.commands(&mut checkout, self.values, None, false);
             let sent = boot::now();
-            let reply = match lent
+            let reply = match checkout
                 .run(&commands, urgency.awaited)
                 .await
                 .map(|mut replies| replies.pop())
             {
                 Ok(Some(reply)) => reply,
-                Ok(None) => return unsure("no answer"),
+                Ok(None) => return outcome_unknown("no answer"),
                 Err(failure) if failure.sent => {
                     group.suspect(term, "a write was not answered");
-                    return unsure(&failure.detail);
+                    return outcome_unknown(&failure.detail);
                 }
                 Err(failure) => {
-                    drop(lent);
+                    drop(checkout);
                     let reason = retry::Reason::from_unsent(&failure);
-                    if delay_retry(retry_deadline(&reason, &urgency, wait)).await {
+                    if delay_retry(retry_deadline(&reason, &urgency, wait_deadline)).await {
                         continue;
                     }
                     return Outcome::Refused(reply::Code::Busy, failure.detail);
@@ -228,7 +228,7 @@
                     return Outcome::Answered(reply);
                 }
                 Some(reply::Code::ReadOnly) => group.suspect(term, "the primary refused a write"),
-                Some(reply::Code::NoStatement) => lent.forget(),
+                Some(reply::Code::NoStatement) => checkout.forget(),
                 Some(code) if code.not_run() => {}
                 Some(_) => return Outcome::Answered(reply),
             }
@@ -238,14 +238,14 @@
             metrics::counter!("mangotray_write_retries_total").increment(1);
             tracing::info!(request = %query.id, version = route.version, group = %group.name, instance = %pool.id(), term,
                 code = ?reply.code(), "write not run");
-            drop(lent);
-            if !delay_retry(retry_deadline(&reason, &urgency, wait)).await {
+            drop(checkout);
+            if !delay_retry(retry_deadline(&reason, &urgency, wait_deadline)).await {
                 return Outcome::Answered(reply);
             }
         }
     }
 
-    fn need(&self, first: id::Time, arrived: id::Time) -> source::Requirements {
+    fn requirements(&self, first: id::Time, arrived: id::Time) -> source::Requirements {
         let route = self.route;
         let own = match route.freshness {
             catalog::Freshness::Own(_) => self.last_commit,
@@ -283,17 +283,17 @@
         begin: &Begin,
         arrived: id::Time,
     ) -> Result<pinned::Pinned, (reply::Code, CompactString)> {
-        let mut need = self.need(begin.arrived, arrived);
+        let mut requirements = self.requirements(begin.arrived, arrived);
         if !begin.read_only {
             // Its reads need only the freshness of the route, so the primary's lead need not be
             // proven here: a commit fails if the instance no longer leads.
-            need.writes = true;
-            need.deadline = self.primary_wait_deadline(arrived);
+            requirements.writes = true;
+            requirements.deadline = self.primary_wait_deadline(arrived);
         }
         let urgency = deadline::urgency(self.route, arrived);
         let mut tried = Vec::new();
         loop {
-            let Some(source) = self.group.source(&need, &tried).await else {
+            let Some(source) = self.group.source(&requirements, &tried).await else {
                 return Err((
                     reply::Code::Busy,
                     "no instance could open the transaction".into(),
@@ -306,7 +306,7 @@
             if begin.read_only && tried.len() + 1 < MAX_INSTANCES {
                 tried.push(source.pool.id());
             }
-            if !delay_retry(retry_deadline(&reason, &urgency, need.deadline)).await {
+            if !delay_retry(retry_deadline(&reason, &urgency, requirements.deadline)).await {
                 return Err((
                     reply::Code::Busy,
                     "no instance opened the transaction in time".into(),
@@ -322,17 +322,17 @@
         urgency: &urgency::Urgency,
     ) -> Result<pinned::Pinned, retry::Reason> {
         let group = &self.group;
-        let lent = source
+        let checkout = source
             .pool
-            .lend(*urgency, self.organisation, self.values, urgency.until)
+            .check_out(*urgency, self.organisation, self.values, urgency.until)
             .await;
-        let mut lent = lent.map_err(|shortage| {
+        let mut checkout = checkout.map_err(|shortage| {
             if let (pool::Shortage::Down, Some(term)) = (shortage, source.leads) {
                 group.suspect(term, "no connection to the primary");
             }
             retry::Reason::from_shortage(shortage)
         })?;
-        let mut commands = lent.setup_commands(self.values, None, false);
+        let mut commands = checkout.setup_commands(self.values, None, false);
         commands.push(upstream::Command::Begin {
             id: begin.id.clone(),
             read_only: begin.read_only,
@@ -341,7 +341,7 @@
         // BEGIN is sent without the first statement: if it were refused, a statement sent with it
         // would run outside of any transaction.
         let deadline = boot::now() + self.route.timeout;
-        let mut replies = lent.run(&commands, deadline).await.map_err(|failure| {
+        let mut replies = checkout.run(&commands, deadline).await.map_err(|failure| {
             if failure.sent {
                 retry::Reason::Unreachable
             } else {
@@ -352,7 +352,7 @@
         match reply.code() {
             None if reply.state == reply::State::Open => {
                 return Ok(pinned::Pinned {
-                    lent,
+                    checkout,
                     group: rc::Rc::clone(group),
                     primary_term: source.leads,
                 });
@@ -366,7 +366,7 @@
             _ => {}
         }
         if reply.state != reply::State::Idle {
-            lent.discard();
+            checkout.discard();
         }
         Err(reply
             .code()
@@ -412,7 +412,7 @@
     reason.retry_until(urgency.until, limit)
 }
 
-fn unsure(detail: &str) -> Outcome {
+fn outcome_unknown(detail: &str) -> Outcome {
     let reply = reply::Reply::error(reply::Code::Unsure, detail, reply::State::Idle);
     Outcome::Answered(reply)
 }
--- a/desk/src/audit.rs
+++ b/desk/src/audit.rs
@@ -26,8 +26,8 @@
 ///     position: Stamp::new(1, 9),
 ///     term: 2,
 ///     old: Some("a".into()),
-///     looks: vec![status::Report { id: "b".into(), status, applied: None }],
-///     asked: vec!["a".into(), "b".into(), "c".into()],
+///     reports: vec![status::Report { id: "b".into(), status, applied: None }],
+///     queried: vec!["a".into(), "b".into(), "c".into()],
 ///     unlisted: vec!["c".into()],
 ///     forgotten: vec![("d".into(), Duration::from_secs(4))],
 /// };
@@ -45,9 +45,9 @@
     /// The primary that is replaced.
     pub old: Option<upstream::Id>,
     /// The status reports that were counted.
-    pub looks: Vec<status::Report>,
+    pub reports: Vec<status::Report>,
     /// All instances that are queried.
-    pub asked: Vec<upstream::Id>,
+    pub queried: Vec<upstream::Id>,
     /// Queried instances that are no longer listed.
     pub unlisted: Vec<upstream::Id>,
     /// Instances that are no longer queried, with the time since they were dropped.
@@ -59,24 +59,24 @@
     /// held for.
     #[must_use]
     pub fn counted(&self) -> String {
-        let tell = |look: &status::Report| {
-            let status = look.status;
+        let describe = |report: &status::Report| {
+            let status = report.status;
             let (received, term, held) = (status.received, status.term, status.held);
-            let unlisted = if self.unlisted.contains(&look.id) {
+            let unlisted = if self.unlisted.contains(&report.id) {
                 " unlisted"
             } else {
                 ""
             };
-            format!("{} {received} term {term} held {held}{unlisted}", look.id)
+            format!("{} {received} term {term} held {held}{unlisted}", report.id)
         };
-        join(self.looks.iter().map(tell))
+        join(self.reports.iter().map(describe))
     }
 
     /// Lists each instance that was not counted, with the reason.
     #[must_use]
     pub fn uncounted(&self) -> String {
-        let counted = |id: &upstream::Id| self.looks.iter().any(|look| look.id == *id);
-        let left_out = self.asked.iter().filter(|id| !counted(id));
+        let counted = |id: &upstream::Id| self.reports.iter().any(|report| report.id == *id);
+        let left_out = self.queried.iter().filter(|id| !counted(id));
         let left_out = left_out.map(|id| format!("{id} {}", self.reason(id)));
         let forgotten = self
             .forgotten
@@ -104,7 +104,7 @@
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
     /// use mangotray_desk::{audit, status, upstream};
-    /// let look = |id: &str, role, term, number| status::Report {
+    /// let report = |id: &str, role, term, number| status::Report {
     ///     id: id.into(),
     ///     status: upstream::Status { role, term, received: Stamp::new(term, number), held: 0, load: upstream::Load::default() },
     ///     applied: None,
@@ -114,32 +114,32 @@
     ///     position: Stamp::new(1, 9),
     ///     term: 2,
     ///     old: Some("a".into()),
-    ///     looks: vec![look("b", Role::Replica, 1, 9)],
-    ///     asked: vec!["a".into(), "b".into()],
+    ///     reports: vec![report("b", Role::Replica, 1, 9)],
+    ///     queried: vec!["a".into(), "b".into()],
     ///     unlisted: Vec::new(),
     ///     forgotten: Vec::new(),
     /// };
-    /// let leads = look("b", Role::Primary, 2, 12);
-    /// let looks = [look("a", Role::Primary, 1, 10), leads, look("c", Role::Replica, 1, 9)];
-    /// assert_eq!(audit.instances_ahead(&looks), [&looks[0]]);
+    /// let leads = report("b", Role::Primary, 2, 12);
+    /// let reports = [report("a", Role::Primary, 1, 10), leads, report("c", Role::Replica, 1, 9)];
+    /// assert_eq!(audit.instances_ahead(&reports), [&reports[0]]);
     /// ```
     #[must_use]
-    pub fn instances_ahead<'a>(&self, looks: &'a [status::Report]) -> Vec<&'a status::Report> {
-        let own = looks.iter().find(|look| look.id == self.candidate);
-        let own = own.filter(|look| look.status.role == role::Role::Primary);
-        let term = own.map_or(self.term, |look| look.status.term);
-        let instances_ahead = |look: &&status::Report| {
-            let received = look.status.received;
-            look.id != self.candidate && received.term < term && received > self.position
+    pub fn instances_ahead<'a>(&self, reports: &'a [status::Report]) -> Vec<&'a status::Report> {
+        let own = reports.iter().find(|report| report.id == self.candidate);
+        let own = own.filter(|report| report.status.role == role::Role::Primary);
+        let term = own.map_or(self.term, |report| report.status.term);
+        let instances_ahead = |report: &&status::Report| {
+            let received = report.status.received;
+            report.id != self.candidate && received.term < term && received > self.position
         };
-        looks.iter().filter(instances_ahead).collect()
+        reports.iter().filter(instances_ahead).collect()
     }
 
     /// Lists the queried instances that are missing from the answers.
     #[must_use]
-    pub fn unanswered(&self, looks: &[status::Report]) -> String {
-        let seen = |id: &upstream::Id| looks.iter().any(|look| look.id == *id);
-        join(self.asked.iter().filter(|id| !seen(id)))
+    pub fn unanswered(&self, reports: &[status::Report]) -> String {
+        let answered = |id: &upstream::Id| reports.iter().any(|report| report.id == *id);
+        join(self.queried.iter().filter(|id| !answered(id)))
     }
 }
 
--- a/desk/src/backoff.rs
+++ b/desk/src/backoff.rs
@@ -39,7 +39,7 @@
 /// let mut backoff = backoff::Backoff::default();
 /// let seconds = Duration::from_secs;
 /// assert!(backoff.permits(&"a".into(), Cause::Stalled, seconds(10)));
-/// backoff.changed(&"a".into(), &"b".into(), Cause::Stalled, seconds(10));
+/// backoff.note_promotion(&"a".into(), &"b".into(), Cause::Stalled, seconds(10));
 /// assert!(!backoff.permits(&"b".into(), Cause::Stalled, seconds(11)));
 /// assert!(backoff.permits(&"b".into(), Cause::Planned, seconds(11)));
 /// assert!(backoff.permits(&"b".into(), Cause::Stalled, seconds(15)));
@@ -79,13 +79,17 @@
         if !cause.can_wait() {
             return true;
         }
-        let tried = self
+        let given_up_until = self
             .given_up
             .map(|streak| streak.delay_ends(GIVEN_UP_DELAY, MAX_GIVEN_UP_DELAY));
-        let again = cause == detector::Cause::Stalled && self.stalled_instances.contains(primary);
-        let stalled = self.stalled.filter(|_| again);
-        let changed = stalled.map(|streak| streak.delay_ends(STALLED_DELAY, MAX_STALLED_DELAY));
-        tried.max(changed).is_none_or(|until| now >= until)
+        let changed_before =
+            cause == detector::Cause::Stalled && self.stalled_instances.contains(primary);
+        let stalled = self.stalled.filter(|_| changed_before);
+        let stalled_until =
+            stalled.map(|streak| streak.delay_ends(STALLED_DELAY, MAX_STALLED_DELAY));
+        given_up_until
+            .max(stalled_until)
+            .is_none_or(|until| now >= until)
     }
 
     /// Notes that a promotion for this cause was given up.
@@ -94,19 +98,19 @@
     /// use mangotray_desk::{backoff, detector::Cause};
     /// use std::time::Duration;
     /// let mut backoff = backoff::Backoff::default();
-    /// backoff.given_up(Cause::Planned, Duration::from_secs(10));
+    /// backoff.note_given_up(Cause::Planned, Duration::from_secs(10));
     /// assert!(!backoff.permits(&"a".into(), Cause::Planned, Duration::from_millis(10_400)));
     /// assert!(backoff.permits(&"a".into(), Cause::Crashed, Duration::from_millis(10_400)));
     /// assert!(backoff.permits(&"a".into(), Cause::Planned, Duration::from_millis(10_500)));
     /// ```
-    pub fn given_up(&mut self, cause: detector::Cause, now: id::Time) {
+    pub fn note_given_up(&mut self, cause: detector::Cause, now: id::Time) {
         if cause.can_wait() {
             self.given_up = Some(Streak::extend(self.given_up, now));
         }
     }
 
     /// Notes that `new` was promoted in place of `old`.
-    pub fn changed(
+    pub fn note_promotion(
         &mut self,
         old: &upstream::Id,
         new: &upstream::Id,
--- a/desk/src/buckets.rs
+++ b/desk/src/buckets.rs
@@ -157,7 +157,7 @@
     }
 
     /// Removes the buckets that are unused for `IDLE_TIMEOUT`.
-    pub fn tidy(&mut self, now: id::Time) {
+    pub fn prune(&mut self, now: id::Time) {
         self.entries
             .retain(|_, entry| now.saturating_sub(entry.last_used) < IDLE_TIMEOUT);
     }
--- a/desk/src/checkout.rs
+++ b/desk/src/checkout.rs
@@ -41,7 +41,7 @@
     connection: Option<connection::Connection>,
     broken: bool,
     /// A transaction is open on the connection.
-    open: bool,
+    in_transaction: bool,
     /// [`Checkout::setup_commands`] recorded values as set that have not been sent yet.
     setup_pending: bool,
 }
@@ -59,7 +59,7 @@
             urgency,
             connection: Some(connection),
             broken: false,
-            open: false,
+            in_transaction: false,
             setup_pending: false,
         }
     }
@@ -159,7 +159,7 @@
             awaited: deadline,
             ..self.urgency
         };
-        let Some(_permit) = self.pool.turn(urgency).await else {
+        let Some(_permit) = self.pool.acquire_permit(urgency).await else {
             return Err(upstream::Failure {
                 crowded: true,
                 ..unsent("no turn in time")
@@ -200,12 +200,12 @@
 
     fn update_state(&mut self, reply: Option<&reply::Reply>) {
         let open = reply.is_some_and(|reply| reply.state != reply::State::Idle);
-        match (self.open, open) {
+        match (self.in_transaction, open) {
             (false, true) => self.pool.pin(),
             (true, false) => self.pool.unpin(),
             _ => {}
         }
-        self.open = open;
+        self.in_transaction = open;
     }
 
     /// Forgets which statements are prepared on the connection, for use after the instance did not
@@ -232,8 +232,8 @@
         connection.dirty |= self.setup_pending;
         // A request that is dropped between two statements leaves its transaction open, and the
         // next user's statements would run inside of it.
-        let reusable = !self.broken && !self.open;
-        if self.open {
+        let reusable = !self.broken && !self.in_transaction;
+        if self.in_transaction {
             self.pool.unpin();
         }
         self.pool.release(reusable.then_some(connection));
@@ -251,23 +251,27 @@
 ) -> Result<Vec<reply::Reply>, upstream::Failure> {
     let sent = boot::now();
     let silence = connection.link.silence_timeout();
-    let pulse = connection.link.heartbeat();
+    let heartbeat = connection.link.heartbeat();
     let mut exchange = connection
         .link
         .run(commands, urgency, &connection.organisation);
-    let heard = loop {
-        let heard = pulse.as_ref().map_or(sent, |pulse| pulse.get().max(sent));
-        let until = urgency.awaited.min(heard + silence);
+    let last_heard = loop {
+        let last_heard = heartbeat
+            .as_ref()
+            .map_or(sent, |heartbeat| heartbeat.get().max(sent));
+        let until = urgency.awaited.min(last_heard + silence);
         if let Some(result) = wait::until(until, &mut exchange).await {
             return result;
         }
-        let heartbeat_received = pulse.as_ref().is_some_and(|pulse| pulse.get() > heard);
+        let heartbeat_received = heartbeat
+            .as_ref()
+            .is_some_and(|heartbeat| heartbeat.get() > last_heard);
         if !heartbeat_received || boot::now() >= urgency.awaited {
-            break heard;
+            break last_heard;
         }
     };
-    let conclusive = boot::now() >= heard + MIN_CONCLUSIVE_WAIT.min(silence);
-    let silent = conclusive && pool.suspect_if_silent_since(heard, &connection.organisation);
+    let conclusive = boot::now() >= last_heard + MIN_CONCLUSIVE_WAIT.min(silence);
+    let silent = conclusive && pool.suspect_if_silent_since(last_heard, &connection.organisation);
     let gives_up = silent && on_silence == OnSilence::GiveUp;
     if !gives_up && let Some(result) = wait::until(urgency.awaited, exchange).await {
         return result;
--- a/desk/src/cleanup.rs
+++ b/desk/src/cleanup.rs
@@ -125,13 +125,16 @@
 
     // Term in which the candidate leads. It may be later than the term of the promotion.
     fn leading_term(&self) -> id::Term {
-        let lead = self.group.leader().filter(|lead| lead.id == self.candidate);
-        lead.map_or(self.term, |lead| lead.term.max(self.term))
+        let leader = self
+            .group
+            .leader()
+            .filter(|leader| leader.id == self.candidate);
+        leader.map_or(self.term, |leader| leader.term.max(self.term))
     }
 
     fn is_superseded(&self) -> bool {
-        let lead = self.group.leader();
-        lead.is_some_and(|lead| lead.term > self.term && lead.id != self.candidate)
+        let leader = self.group.leader();
+        leader.is_some_and(|leader| leader.term > self.term && leader.id != self.candidate)
     }
 
     // Sends one demote command. Returns whether the replaced primary is a replica now, or is gone.
@@ -141,16 +144,16 @@
             return true;
         };
         let command = upstream::Command::Demote(self.leading_term());
-        let look = promotion::send(&old, &command, self.group.dialer()).await;
-        look.is_some_and(|look| look.status.role == role::Role::Replica)
+        let report = promotion::send(&old, &command, self.group.dialer()).await;
+        report.is_some_and(|report| report.status.role == role::Role::Replica)
     }
 
     async fn successor_answers(&self) -> bool {
         let Some(pool) = self.group.roster().find(&self.candidate) else {
             return false;
         };
-        let look = status::query(&pool, self.group.dialer(), COMMAND_TIMEOUT).await;
-        look.is_some_and(|look| look.status.role == role::Role::Primary)
+        let report = status::query(&pool, self.group.dialer(), COMMAND_TIMEOUT).await;
+        report.is_some_and(|report| report.status.role == role::Role::Primary)
     }
 
     fn others(&self) -> Vec<rc::Rc<pool::Pool>> {
@@ -162,13 +165,13 @@
     // Holds replicas that lost their hold in a restart, or were added later.
     async fn hold_unheld(&self) {
         let others = self.others();
-        let looks = self.group.query_status(&others, COMMAND_TIMEOUT).await;
+        let reports = self.group.query_status(&others, COMMAND_TIMEOUT).await;
         let command = upstream::Command::Hold(self.term);
-        for look in looks
+        for report in reports
             .iter()
-            .filter(|look| !status::knows_term(&look.status, self.term))
+            .filter(|report| !status::knows_term(&report.status, self.term))
         {
-            if let Some(pool) = others.iter().find(|pool| pool.id() == look.id) {
+            if let Some(pool) = others.iter().find(|pool| pool.id() == report.id) {
                 promotion::send(pool, &command, self.group.dialer()).await;
             }
         }
@@ -181,15 +184,15 @@
     async fn release_held(&self) -> bool {
         let mut pools = self.group.roster().pools();
         pools.retain(|pool| pool.id() != self.candidate);
-        let looks = self.group.query_status(&pools, COMMAND_TIMEOUT).await;
+        let reports = self.group.query_status(&pools, COMMAND_TIMEOUT).await;
         let last = self.leading_term().max(self.held_term);
-        let own = |look: &status::Report| (1..=last).contains(&look.status.held);
-        for look in looks.iter().filter(|look| own(look)) {
-            if let Some(pool) = pools.iter().find(|pool| pool.id() == look.id) {
+        let own = |report: &status::Report| (1..=last).contains(&report.status.held);
+        for report in reports.iter().filter(|report| own(report)) {
+            if let Some(pool) = pools.iter().find(|pool| pool.id() == report.id) {
                 promotion::resume(pool, &self.group, &self.resumes, || self.may_release()).await;
             }
         }
-        let follows = |look: &status::Report| look.status.term >= self.term && !own(look);
-        looks.len() == pools.len() && looks.iter().all(follows)
+        let follows = |report: &status::Report| report.status.term >= self.term && !own(report);
+        reports.len() == pools.len() && reports.iter().all(follows)
     }
 }
--- a/desk/src/detector.rs
+++ b/desk/src/detector.rs
@@ -64,23 +64,23 @@
     /// The primary's answer.
     pub primary: Reach,
     /// The primary has announced its shutdown.
-    pub leaving: bool,
+    pub primary_leaving: bool,
     /// When an instance was last added to the group.
-    pub added: id::Time,
+    pub last_added: id::Time,
     /// Last log position that any replica has received, `None` if no replica answered.
     pub received: Option<stamp::Stamp>,
     /// Some replica is held for a later term than that of the primary.
-    pub held: bool,
+    pub held_for_later_term: bool,
     /// Number of replicas.
-    pub replicas: usize,
+    pub replica_count: usize,
     /// Number of replicas that answered a status query, 0 in a round without queries.
-    pub answers: usize,
+    pub answer_count: usize,
 }
 
 impl Round {
     // Whether one replica can take over and another can follow it.
     const fn has_enough_replicas(&self) -> bool {
-        self.answers >= MIN_REPLICAS_FOR_STALL && self.answers == self.replicas
+        self.answer_count >= MIN_REPLICAS_FOR_STALL && self.answer_count == self.replica_count
     }
 }
 
@@ -184,12 +184,12 @@
 /// let round = |millis, primary| Round {
 ///     started: Duration::from_millis(millis),
 ///     primary,
-///     leaving: false,
-///     added: Duration::ZERO,
+///     primary_leaving: false,
+///     last_added: Duration::ZERO,
 ///     received: Some(Stamp::new(1, 5)),
-///     held: false,
-///     replicas: 2,
-///     answers: 2,
+///     held_for_later_term: false,
+///     replica_count: 2,
+///     answer_count: 2,
 /// };
 /// let mut detector = Detector::default();
 /// assert_eq!(detector.judge(&round(0, Reach::Answered(Stamp::new(1, 5)))), None);
@@ -226,23 +226,25 @@
     /// let round = Round {
     ///     started: Duration::from_secs(9),
     ///     primary: Reach::Silent,
-    ///     leaving: false,
-    ///     added: Duration::ZERO,
+    ///     primary_leaving: false,
+    ///     last_added: Duration::ZERO,
     ///     received: Some(Stamp::new(1, 5)),
-    ///     held: false,
-    ///     replicas: 2,
-    ///     answers: 2,
+    ///     held_for_later_term: false,
+    ///     replica_count: 2,
+    ///     answer_count: 2,
     /// };
     /// assert_eq!(Detector::default().judge(&round), None);
-    /// assert_eq!(Detector::resumed(vacancy).judge(&round), Some(Cause::Silent));
+    /// assert_eq!(Detector::from_vacancy(vacancy).judge(&round), Some(Cause::Silent));
     /// ```
     #[must_use]
-    pub fn resumed(vacancy: Vacancy) -> Self {
-        let seen = vacancy.received.filter(|_| vacancy.since.is_some());
+    pub fn from_vacancy(vacancy: Vacancy) -> Self {
+        let last_received = vacancy.received.filter(|_| vacancy.since.is_some());
         Self {
-            received: seen.map(|(received, _)| received),
-            received_at: seen.map(|(_, moved)| moved).unwrap_or_default(),
-            silent_since: vacancy.since.filter(|_| seen.is_some()),
+            received: last_received.map(|(received, _)| received),
+            received_at: last_received
+                .map(|(_, advanced_at)| advanced_at)
+                .unwrap_or_default(),
+            silent_since: vacancy.since.filter(|_| last_received.is_some()),
             ..Self::default()
         }
     }
@@ -251,11 +253,12 @@
     /// to.
     pub fn judge(&mut self, round: &Round) -> Option<Cause> {
         self.note(round);
-        if round.held {
+        if round.held_for_later_term {
             return Some(Cause::Unfinished);
         }
         if let Some(since) = self.leaving_since {
-            let list_is_stable = round.started >= since.max(round.added) + LISTING_QUIET_PERIOD;
+            let list_is_stable =
+                round.started >= since.max(round.last_added) + LISTING_QUIET_PERIOD;
             let late = round.started >= since + MAX_PLANNED_DELAY;
             return (list_is_stable || late).then_some(Cause::Planned);
         }
@@ -281,7 +284,7 @@
 
     /// Last log position that any replica is known to have received.
     #[must_use]
-    pub const fn furthest(&self) -> Option<stamp::Stamp> {
+    pub const fn max_received(&self) -> Option<stamp::Stamp> {
         self.received
     }
 
@@ -306,7 +309,7 @@
             !matches!(round.primary, Reach::Answered(_)),
         );
         self.closed_since = began(self.closed_since, round.primary == Reach::Closed);
-        self.leaving_since = began(self.leaving_since, round.leaving);
+        self.leaving_since = began(self.leaving_since, round.primary_leaving);
         // A primary whose connections are occupied by waiting writes answers only some of the
         // queries, so a missing answer does not reset this.
         self.ahead
--- a/desk/src/era.rs
+++ b/desk/src/era.rs
@@ -109,25 +109,25 @@
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
 /// use mangotray_desk::{era, status, upstream};
-/// let look = |id: &str, role, term, held| status::Report {
+/// let report = |id: &str, role, term, held| status::Report {
 ///     id: id.into(),
 ///     status: upstream::Status { role, term, received: Stamp::new(1, 7), held, load: upstream::Load::default() },
 ///     applied: None,
 /// };
-/// let free = look("b", Role::Replica, 1, 0);
-/// let held = look("c", Role::Replica, 1, 2);
-/// let leads = look("c", Role::Primary, 2, 0);
+/// let free = report("b", Role::Replica, 1, 0);
+/// let held = report("c", Role::Replica, 1, 2);
+/// let leads = report("c", Role::Primary, 2, 0);
 /// assert_eq!(era::lost_order(1, 2, &[free.clone(), held]), era::LostOrder::Possible);
 /// assert!(matches!(era::lost_order(1, 2, &[free.clone(), leads]), era::LostOrder::Done(_)));
 /// assert_eq!(era::lost_order(1, 1, &[free.clone()]), era::LostOrder::None);
 /// assert_eq!(era::lost_order(1, 2, &[free]), era::LostOrder::Possible);
 /// ```
 #[must_use]
-pub fn lost_order(term: id::Term, expected: usize, looks: &[status::Report]) -> LostOrder {
-    let later = |look: &status::Report| status::supersedes(&look.status, term);
-    if let Some(lead) = status::latest_leader(looks, term + 1) {
-        LostOrder::Done(lead)
-    } else if looks.len() < expected || looks.iter().any(later) {
+pub fn lost_order(term: id::Term, expected: usize, reports: &[status::Report]) -> LostOrder {
+    let later = |report: &status::Report| status::supersedes(&report.status, term);
+    if let Some(leader) = status::latest_leader(reports, term + 1) {
+        LostOrder::Done(leader)
+    } else if reports.len() < expected || reports.iter().any(later) {
         LostOrder::Possible
     } else {
         LostOrder::None
--- a/desk/src/floor.rs
+++ b/desk/src/floor.rs
@@ -39,16 +39,16 @@
     proven_at: Option<id::Time>,
     /// The primary's positions that are not yet covered by a proof, with the time at which each was
     /// requested.
-    positions: collections::VecDeque<(id::Time, stamp::Stamp)>,
+    unproven_positions: collections::VecDeque<(id::Time, stamp::Stamp)>,
     /// The floors, with the moment up to which each covers commits, in order of time.
-    known: collections::VecDeque<(id::Time, stamp::Stamp)>,
+    entries: collections::VecDeque<(id::Time, stamp::Stamp)>,
     /// When the first answered command was sent to this term's primary.
     first_sent: Option<id::Time>,
     /// When a replica was last found to have lost its log, and the primary's first known position
     /// after that.
     loss: Option<(id::Time, Option<stamp::Stamp>)>,
     /// The primary's recent positions, with the time at which each was requested.
-    recent: collections::VecDeque<(id::Time, stamp::Stamp)>,
+    recent_positions: collections::VecDeque<(id::Time, stamp::Stamp)>,
     /// When a floor was last derived from replicas alone.
     replica_only_at: Option<id::Time>,
 }
@@ -62,14 +62,14 @@
         }
         self.proven_at = self.proven_at.max(Some(started));
         let proven = self
-            .positions
+            .unproven_positions
             .iter()
             .rev()
             .find(|(sent, _)| *sent <= started);
         if let Some(&(sent, stamp)) = proven {
             self.push(sent, stamp);
         }
-        self.positions.retain(|(sent, _)| *sent > started);
+        self.unproven_positions.retain(|(sent, _)| *sent > started);
     }
 
     /// Records the primary's position in the answer to a command sent at `sent`.
@@ -84,11 +84,11 @@
         self.bound_loss(sent, stamp);
         self.record_recent(sent, stamp);
         let spaced = self
-            .positions
+            .unproven_positions
             .back()
             .is_none_or(|(last, _)| *last + SPACING <= sent);
         if spaced {
-            self.positions.push_back((sent, stamp));
+            self.unproven_positions.push_back((sent, stamp));
         }
         self.prune(sent);
     }
@@ -115,7 +115,10 @@
     }
 
     fn lowest(&self, moment: id::Time) -> Option<(id::Time, stamp::Stamp)> {
-        self.known.iter().find(|(time, _)| *time >= moment).copied()
+        self.entries
+            .iter()
+            .find(|(time, _)| *time >= moment)
+            .copied()
     }
 
     /// Adds a floor reported by another node: the primary of `term` led at `time`, and `stamp`
@@ -138,10 +141,10 @@
             return;
         }
         self.proven_at = self.proven_at.max(Some(time));
-        let at = self.known.partition_point(|(known, _)| *known < time);
-        match self.known.get_mut(at) {
+        let at = self.entries.partition_point(|(known, _)| *known < time);
+        match self.entries.get_mut(at) {
             Some((known, kept)) if *known == time => *kept = (*kept).min(stamp),
-            _ => self.known.insert(at, (time, stamp)),
+            _ => self.entries.insert(at, (time, stamp)),
         }
         self.prune(time);
     }
@@ -152,11 +155,11 @@
     }
 
     fn record_recent(&mut self, sent: id::Time, stamp: stamp::Stamp) {
-        match self.recent.back_mut() {
+        match self.recent_positions.back_mut() {
             Some((last, kept)) if sent < *last + SPACING => *kept = (*kept).max(stamp),
-            _ => self.recent.push_back((sent, stamp)),
+            _ => self.recent_positions.push_back((sent, stamp)),
         }
-        self.recent
+        self.recent_positions
             .retain(|(time, _)| *time + RECENT_RETENTION >= sent);
     }
 
@@ -179,7 +182,7 @@
         if term != self.term {
             return None;
         }
-        let answers = self.recent.iter().rev();
+        let answers = self.recent_positions.iter().rev();
         let found = answers.into_iter().find(|(time, _)| *time <= moment);
         let found = found.filter(|(time, _)| *time + RECENT_RETENTION >= moment);
         found.map(|(_, stamp)| *stamp)
@@ -230,21 +233,21 @@
     /// Whether a position of the primary requested at `moment` or later is known.
     #[must_use]
     pub fn has_position_since(&self, moment: id::Time) -> bool {
-        self.positions
+        self.unproven_positions
             .back()
             .is_some_and(|(sent, _)| *sent >= moment)
     }
 
     /// The moment up to which the newest floor covers commits.
     #[must_use]
-    pub fn newest(&self) -> Option<id::Time> {
-        self.known.back().map(|(time, _)| *time)
+    pub fn newest_moment(&self) -> Option<id::Time> {
+        self.entries.back().map(|(time, _)| *time)
     }
 
     /// The position of the newest floor.
     #[must_use]
-    pub fn furthest(&self) -> Option<stamp::Stamp> {
-        self.known.back().map(|(_, stamp)| *stamp)
+    pub fn newest_position(&self) -> Option<stamp::Stamp> {
+        self.entries.back().map(|(_, stamp)| *stamp)
     }
 
     /// The last moment at which the primary of `term` was proven to lead.
@@ -265,17 +268,17 @@
 
     fn push(&mut self, time: id::Time, stamp: stamp::Stamp) {
         let dense = self.is_dense();
-        match self.known.back_mut() {
+        match self.entries.back_mut() {
             Some((last, _)) if time < *last => {}
             // For the same moment, the lower position covers all commits as well.
             Some((last, kept)) if time == *last => *kept = (*kept).min(stamp),
             Some(last) if dense => *last = (time, stamp),
-            _ => self.known.push_back((time, stamp)),
+            _ => self.entries.push_back((time, stamp)),
         }
     }
 
     fn is_dense(&self) -> bool {
-        let mut newest = self.known.iter().rev().map(|(time, _)| *time);
+        let mut newest = self.entries.iter().rev().map(|(time, _)| *time);
         match (newest.next(), newest.next()) {
             (Some(last), Some(before)) => last < before + SPACING,
             _ => false,
@@ -284,7 +287,7 @@
 
     fn prune(&mut self, now: id::Time) {
         let oldest = now.saturating_sub(RETENTION);
-        self.known.retain(|(time, _)| *time >= oldest);
-        self.positions.retain(|(time, _)| *time >= oldest);
+        self.entries.retain(|(time, _)| *time >= oldest);
+        self.unproven_positions.retain(|(time, _)| *time >= oldest);
     }
 }
--- a/desk/src/group.rs
+++ b/desk/src/group.rs
@@ -111,12 +111,12 @@
     /// node that has just started passes `None`: an announcement in its first list may be of any
     /// age.
     ///
-    /// The list's content is as of `heard`; its transfer may have taken long.
+    /// The list's content is as of `list_time`; its transfer may have taken long.
     pub fn update(
         self: &rc::Rc<Self>,
         instances: Vec<catalog::Instance>,
         since: Option<id::Time>,
-        heard: id::Time,
+        list_time: id::Time,
     ) {
         let leader = self.leader();
         let leads = |id: &upstream::Id| leader.as_ref().is_some_and(|leader| leader.id == *id);
@@ -125,8 +125,8 @@
             .any(|instance| instance.leads != leads(&instance.id));
         let now = boot::now();
         self.note_applied(now);
-        let since = since.map(|since| since.min(heard));
-        let restarted = self.roster.update(instances, since, heard);
+        let since = since.map(|since| since.min(list_time));
+        let restarted = self.roster.update(instances, since, list_time);
         self.query_absent();
         for id in &restarted {
             let mut leadership = self.leadership.borrow_mut();
@@ -166,8 +166,8 @@
 
     /// Removes instances that have ended, closes spare connections, and queries instances that are
     /// missing from the list; called about once a second.
-    pub fn tidy(self: &rc::Rc<Self>, listed: impl Fn(&upstream::Id) -> bool) {
-        self.roster.tidy(listed);
+    pub fn maintain(self: &rc::Rc<Self>, listed: impl Fn(&upstream::Id) -> bool) {
+        self.roster.maintain(listed);
         self.forget_ended();
         self.query_absent();
     }
@@ -268,7 +268,7 @@
     /// The furthest record that any replica is known to have received, limited to what is known of
     /// the present primary's log.
     #[must_use]
-    pub fn furthest(&self) -> Option<stamp::Stamp> {
+    pub fn max_received(&self) -> Option<stamp::Stamp> {
         self.note_applied(boot::now());
         self.vacancy().received.map(|(received, _)| received)
     }
@@ -481,7 +481,7 @@
     // Determines a floor from the replicas alone. Only the last known primary may be silent: any
     // other silent instance may be the primary by now.
     async fn refresh_without_primary(self: &rc::Rc<Self>) {
-        let last = self.leadership.borrow().last().cloned();
+        let last = self.leadership.borrow().last_primary().cloned();
         let mut pools = self.roster.pools();
         pools.retain(|pool| Some(pool.id()) != last);
         let term = self.term();
@@ -559,7 +559,7 @@
                 self.suspect(response.term - 1, "a delegate reported a later term");
             }
             let mut leadership = self.leadership.borrow_mut();
-            leadership.adopt(response.term, moment, response.stamp);
+            leadership.adopt_floor(response.term, moment, response.stamp);
         }
         serves
     }
@@ -581,7 +581,7 @@
             let (found, newest) = {
                 let leadership = self.leadership.borrow();
                 let floors = leadership.floors();
-                (floors.attested_since(moment), floors.newest())
+                (floors.attested_since(moment), floors.newest_moment())
             };
             let renewal = arrived.saturating_sub(within * RENEWAL_PERCENT / 100);
             if newest.is_none_or(|newest| newest < renewal) {
@@ -605,7 +605,7 @@
         tried: &[upstream::Id],
     ) -> Option<source::Source> {
         let age = match request.freshness {
-            catalog::Freshness::Current => return self.current(request, tried).await,
+            catalog::Freshness::Current => return self.current_source(request, tried).await,
             catalog::Freshness::Bounded(age) | catalog::Freshness::Own(age) => age,
         };
         let moment = request
@@ -614,7 +614,7 @@
         let floor = self.floor(request, moment, age).await?;
         let chosen = self.choose(request, tried, moment, floor);
         if chosen.is_none() && request.writes {
-            return self.current(request, tried).await;
+            return self.current_source(request, tried).await;
         }
         chosen
     }
@@ -642,7 +642,7 @@
         }
     }
 
-    async fn current(
+    async fn current_source(
         self: &rc::Rc<Self>,
         request: &source::Requirements,
         tried: &[upstream::Id],
@@ -679,17 +679,17 @@
             let (floor, newest) = {
                 let leadership = self.leadership.borrow();
                 let floors = leadership.floors();
-                (floors.since(moment), floors.newest())
+                (floors.since(moment), floors.newest_moment())
             };
             let renewal = request.arrived.saturating_sub(age * RENEWAL_PERCENT / 100);
             if newest.is_none_or(|newest| newest < renewal) {
-                let part = if floor.is_some() {
+                let percent = if floor.is_some() {
                     RENEWAL_PERCENT
                 } else {
                     100
                 };
                 let spent = boot::now().saturating_sub(moment);
-                self.refresh_soon(spent * part / 100);
+                self.refresh_soon(spent * percent / 100);
             }
             if let Some(floor) = floor {
                 return Some(floor.max(request.own.unwrap_or_default()));
--- a/desk/src/intent.rs
+++ b/desk/src/intent.rs
@@ -96,7 +96,7 @@
     ///     place: intent::Place::default(),
     /// };
     /// assert_eq!(intent.key(), "mangotray/promotion/bookings");
-    /// assert_eq!(intent.life(), ("b".into(), 0));
+    /// assert_eq!(intent.process(), ("b".into(), 0));
     /// ```
     #[must_use]
     pub fn key(&self) -> String {
@@ -120,7 +120,7 @@
 
     /// The process to be promoted.
     #[must_use]
-    pub fn life(&self) -> promotion::Process {
+    pub fn process(&self) -> promotion::Process {
         (self.candidate.clone(), self.born)
     }
 
@@ -148,15 +148,15 @@
     ///     received: Stamp::new(1, 7),
     ///     place: intent::Place::default(),
     /// };
-    /// let look = |id: &str, role, term| status::Report {
+    /// let report = |id: &str, role, term| status::Report {
     ///     id: id.into(),
     ///     status: upstream::Status { role, term, received: Stamp::new(1, 7), held: 0, load: upstream::Load::default() },
     ///     applied: None,
     /// };
     /// let listed = ["a".into(), "b".into(), "c".into()];
-    /// let old = look("a", Role::Primary, 1);
-    /// let leads = look("b", Role::Primary, 2);
-    /// let waits = look("b", Role::Replica, 1);
+    /// let old = report("a", Role::Primary, 1);
+    /// let leads = report("b", Role::Primary, 2);
+    /// let waits = report("b", Role::Replica, 1);
     /// assert!(matches!(intent.outcome(&[old.clone(), leads], &listed), intent::Outcome::Leads(_)));
     /// assert_eq!(intent.outcome(&[old.clone(), waits], &listed), intent::Outcome::Open);
     /// assert_eq!(intent.outcome(&[old], &listed), intent::Outcome::Silent);
@@ -164,16 +164,16 @@
     /// assert_eq!(intent.outcome(&[], &listed[..1]), intent::Outcome::Void);
     /// ```
     #[must_use]
-    pub fn outcome(&self, looks: &[status::Report], listed: &[upstream::Id]) -> Outcome {
-        if let Some(lead) = status::latest_leader(looks, self.term) {
-            return Outcome::Leads(lead);
+    pub fn outcome(&self, reports: &[status::Report], listed: &[upstream::Id]) -> Outcome {
+        if let Some(leader) = status::latest_leader(reports, self.term) {
+            return Outcome::Leads(leader);
         }
         // The candidate was a replica when it was ordered.
-        let own = looks.iter().find(|look| look.id == self.candidate);
-        if let Some(look) = own.filter(|look| look.status.role == role::Role::Primary) {
-            return Outcome::Leads(look.leader());
+        let own = reports.iter().find(|report| report.id == self.candidate);
+        if let Some(report) = own.filter(|report| report.status.role == role::Role::Primary) {
+            return Outcome::Leads(report.leader());
         }
-        let answers = |id: &upstream::Id| looks.iter().any(|look| look.id == *id);
+        let answers = |id: &upstream::Id| reports.iter().any(|report| report.id == *id);
         if !listed.contains(&self.candidate) {
             return Outcome::Void;
         }
--- a/desk/src/leadership.rs
+++ b/desk/src/leadership.rs
@@ -25,7 +25,7 @@
 pub struct Leadership {
     leader: Option<status::Leader>,
     /// The instance that was last known to lead; kept when `leader` is cleared.
-    last: Option<upstream::Id>,
+    last_primary: Option<upstream::Id>,
     term: id::Term,
     /// Since when no primary is known; `None` while one is known.
     vacant_since: Option<id::Time>,
@@ -42,8 +42,8 @@
 
     /// The instance that was last known to lead.
     #[must_use]
-    pub const fn last(&self) -> Option<&upstream::Id> {
-        self.last.as_ref()
+    pub const fn last_primary(&self) -> Option<&upstream::Id> {
+        self.last_primary.as_ref()
     }
 
     /// The highest term known.
@@ -57,7 +57,7 @@
     pub const fn vacancy(&self) -> detector::Vacancy {
         detector::Vacancy {
             since: self.vacant_since,
-            received: self.progress.furthest(),
+            received: self.progress.max_received(),
         }
     }
 
@@ -82,7 +82,7 @@
     /// Sets the known primary; returns whether it has changed.
     pub fn set_leader(&mut self, leader: &status::Leader) -> bool {
         let changed = self.leader.as_ref() != Some(leader);
-        self.last = Some(leader.id.clone());
+        self.last_primary = Some(leader.id.clone());
         self.leader = Some(leader.clone());
         self.vacant_since = None;
         changed
@@ -103,7 +103,7 @@
             let status = report.status;
             if status.role == role::Role::Primary {
                 self.progress.record_primary(status.term, status.received);
-            } else if self.last.as_ref() != Some(&report.id)
+            } else if self.last_primary.as_ref() != Some(&report.id)
                 && self.progress.record(report, started, now)
             {
                 // The last primary is excluded: its log may shrink without a loss, as it has records
@@ -125,7 +125,7 @@
     }
 
     /// Adds a floor reported by another node.
-    pub fn adopt(&mut self, term: id::Term, time: id::Time, stamp: stamp::Stamp) {
+    pub fn adopt_floor(&mut self, term: id::Term, time: id::Time, stamp: stamp::Stamp) {
         self.term = self.term.max(term);
         self.floors.adopt(term, time, stamp);
     }
@@ -160,8 +160,8 @@
         lost: Option<id::Time>,
     ) -> Option<stamp::Stamp> {
         self.floors.last_proven(self.term)?;
-        let proven = self.floors.newest()?;
-        let known = self.floors.furthest().unwrap_or_default();
+        let proven = self.floors.newest_moment()?;
+        let known = self.floors.newest_position().unwrap_or_default();
         lost.is_none_or(|lost| proven > lost)
             .then_some(received.max(known))
     }
--- a/desk/src/limiter.rs
+++ b/desk/src/limiter.rs
@@ -42,9 +42,11 @@
     /// whichever is first; returns `None` if that time passes.
     pub(crate) async fn acquire(self: &rc::Rc<Self>, urgency: urgency::Urgency) -> Option<Permit> {
         let deadline = urgency.until.min(urgency.awaited);
-        let (anybody, since) = (organisation::OWN, boot::now());
+        let (any_organisation, since) = (organisation::OWN, boot::now());
         while self.running.get() >= self.window() {
-            let waited = self.waiting.wait(&anybody, urgency, since, deadline);
+            let waited = self
+                .waiting
+                .wait(&any_organisation, urgency, since, deadline);
             if !waited.await {
                 return None;
             }
--- a/desk/src/monitor.rs
+++ b/desk/src/monitor.rs
@@ -44,13 +44,13 @@
     promoter: rc::Rc<promoter::Promoter>,
     group: rc::Rc<group::Group>,
     detector: detector::Detector,
-    watched: Option<status::Leader>,
+    watched_primary: Option<status::Leader>,
     /// A watched instance that was never seen leading, but that an order may have promoted.
-    assumed: Option<status::Leader>,
+    assumed_primary: Option<status::Leader>,
     relief: relief::Relief,
     backoff: backoff::Backoff,
     /// When the current hold-back of a promotion began.
-    held_back: Option<id::Time>,
+    held_back_since: Option<id::Time>,
     /// The recorded promotion that was checked last, and when it was first checked.
     resumed_order: Option<(intent::Intent, id::Time)>,
 }
@@ -63,11 +63,11 @@
             promoter,
             group,
             detector: detector::Detector::default(),
-            watched: None,
-            assumed: None,
+            watched_primary: None,
+            assumed_primary: None,
             relief: relief::Relief::default(),
             backoff: backoff::Backoff::default(),
-            held_back: None,
+            held_back_since: None,
             resumed_order: None,
         }
     }
@@ -75,7 +75,7 @@
     /// Runs rounds until the task is dropped.
     pub async fn run(mut self) {
         loop {
-            let suspect = self.detector.is_suspect(boot::now()) || self.relief.is_near();
+            let suspect = self.detector.is_suspect(boot::now()) || self.relief.is_due_soon();
             wait::sleep(if suspect {
                 SUSPECT_INTERVAL
             } else {
@@ -83,7 +83,7 @@
             })
             .await;
             if !self.promoter.election().is_last_known_holder() {
-                self.detector = detector::Detector::resumed(self.group.vacancy());
+                self.detector = detector::Detector::from_vacancy(self.group.vacancy());
                 self.note_held_back(false);
                 continue;
             }
@@ -96,34 +96,37 @@
     // instances if none is known.
     async fn update_watched(&mut self) {
         // A view older than the last promotion would make that promotion look unfinished.
-        let term = self.watched.as_ref().map_or(0, |lead| lead.term);
-        if let Some(lead) = self.group.leader().filter(|lead| lead.term >= term) {
-            match self.watched.clone() {
+        let term = self
+            .watched_primary
+            .as_ref()
+            .map_or(0, |leader| leader.term);
+        if let Some(leader) = self.group.leader().filter(|leader| leader.term >= term) {
+            match self.watched_primary.clone() {
                 // Another node's promotion has taken effect. That node may have stopped while the
                 // replicas were still held and the old primary was not demoted.
-                Some(old) if lead.term > old.term && lead.id != old.id => {
-                    self.adopt(lead, &old).await;
+                Some(old) if leader.term > old.term && leader.id != old.id => {
+                    self.adopt(leader, &old).await;
                 }
-                _ => self.set_watched(lead),
+                _ => self.set_watched(leader),
             }
         }
-        if self.watched.is_none() {
-            self.watched = probe::infer_primary(&self.group).await;
+        if self.watched_primary.is_none() {
+            self.watched_primary = probe::infer_primary(&self.group).await;
         }
     }
 
-    fn set_watched(&mut self, lead: status::Leader) {
-        if self.watched.as_ref() != Some(&lead) {
+    fn set_watched(&mut self, leader: status::Leader) {
+        if self.watched_primary.as_ref() != Some(&leader) {
             self.detector = detector::Detector::default();
-            self.watched = Some(lead);
+            self.watched_primary = Some(leader);
         }
     }
 
     async fn run_round(&mut self) {
-        let Some(lead) = self.watched.clone() else {
+        let Some(leader) = self.watched_primary.clone() else {
             return;
         };
-        let Some(cause) = self.find_cause(&lead).await else {
+        let Some(cause) = self.find_cause(&leader).await else {
             return;
         };
         // A promotion holds the listed replicas. One that is missing from the list may be the
@@ -134,41 +137,42 @@
         }
         // The primary may have come back under another id, or been replaced, during the queries.
         let found = self.group.leader();
-        if found.is_some_and(|found| found != lead && found.term >= lead.term) {
+        if found.is_some_and(|found| found != leader && found.term >= leader.term) {
             return;
         }
-        if self.handle_lost_order(&lead).await {
+        if self.handle_lost_order(&leader).await {
             wait::sleep(IDLE_INTERVAL).await;
             return;
         }
-        if cause.can_wait() && !self.may_attempt(&lead, cause).await {
+        if cause.can_wait() && !self.may_attempt(&leader, cause).await {
             wait::sleep(IDLE_INTERVAL).await;
             return;
         }
-        let furthest = self.furthest(&lead);
-        if self.held_back.is_none() {
-            tracing::warn!(group = %self.group.name, primary = %lead.id, term = lead.term, ?cause,
-                furthest = furthest.map(tracing::field::display), "replacing the primary");
+        let max_received = self.max_received(&leader);
+        if self.held_back_since.is_none() {
+            tracing::warn!(group = %self.group.name, primary = %leader.id, term = leader.term, ?cause,
+                furthest = max_received.map(tracing::field::display), "replacing the primary");
         }
-        let done = self
+        let outcome = self
             .promoter
-            .replace(&self.group, &lead, cause, furthest)
+            .replace(&self.group, &leader, cause, max_received)
             .await;
         self.detector = detector::Detector::default();
-        self.note_held_back(done == promoter::Outcome::HeldBack);
-        match done {
+        self.note_held_back(outcome == promoter::Outcome::HeldBack);
+        match outcome {
             promoter::Outcome::Promoted(found) => {
                 let now = boot::now();
                 if cause == detector::Cause::Relief {
-                    self.relief.done(now);
+                    self.relief.note_change(now);
                 }
-                self.backoff.changed(&lead.id, &found.id, cause, now);
-                self.watched = Some(found);
+                self.backoff
+                    .note_promotion(&leader.id, &found.id, cause, now);
+                self.watched_primary = Some(found);
             }
-            promoter::Outcome::Overtaken(found) => self.adopt(found, &lead).await,
+            promoter::Outcome::Overtaken(found) => self.adopt(found, &leader).await,
             promoter::Outcome::HeldBack => wait::sleep(IDLE_INTERVAL).await,
             promoter::Outcome::GivenUp => {
-                self.backoff.given_up(cause, boot::now());
+                self.backoff.note_given_up(cause, boot::now());
                 wait::sleep(SUSPECT_INTERVAL).await;
             }
         }
@@ -177,40 +181,41 @@
     // Whether the replicas of a running primary may be held now. The primary gets no commit
     // confirmed meanwhile, so all replicas have to answer, and a promotion that failed recently is
     // not repeated before its backoff ends, unless the primary no longer leads.
-    async fn may_attempt(&self, lead: &status::Leader, cause: detector::Cause) -> bool {
-        let prober = probe::Prober::new(&self.group, lead);
-        let rested = self.backoff.permits(&lead.id, cause, boot::now());
-        let permitted = rested || !prober.leads().await;
-        let whole = permitted && prober.all_replicas_answer().await;
-        if !whole {
-            tracing::info!(group = %self.group.name, primary = %lead.id, term = lead.term, ?cause,
-                permitted, whole, "promotion postponed");
+    async fn may_attempt(&self, leader: &status::Leader, cause: detector::Cause) -> bool {
+        let prober = probe::Prober::new(&self.group, leader);
+        let backoff_over = self.backoff.permits(&leader.id, cause, boot::now());
+        let permitted = backoff_over || !prober.leads().await;
+        let all_answer = permitted && prober.all_replicas_answer().await;
+        if !all_answer {
+            tracing::info!(group = %self.group.name, primary = %leader.id, term = leader.term, ?cause,
+                permitted, whole = all_answer, "promotion postponed");
         }
-        whole
+        all_answer
     }
 
     // Handles an order whose record the store may have lost. Returns whether this round ends
     // without a promotion and without releasing replicas. If the candidate of the order leads by
     // now, it becomes the watched primary.
-    async fn handle_lost_order(&mut self, lead: &status::Leader) -> bool {
+    async fn handle_lost_order(&mut self, leader: &status::Leader) -> bool {
         if !self.promoter.may_have_lost_order(&self.group.name) {
             return false;
         }
-        let others = probe::Prober::new(&self.group, lead).others;
-        let mut looks = self.group.query_status(&others, probe::TIMEOUT).await;
-        let answers = looks.len();
+        let others = probe::Prober::new(&self.group, leader).others;
+        let mut reports = self.group.query_status(&others, probe::TIMEOUT).await;
+        let answers = reports.len();
         let now = boot::now();
-        looks.retain(|look| is_primary(look) || self.has_reliable_hold_state(&look.id, now));
-        let order = era::lost_order(lead.term, others.len(), &looks);
-        tracing::info!(group = %self.group.name, primary = %lead.id, term = lead.term, ?order,
-            answers, remembering = looks.len(), "the store may have lost the record of a promotion");
+        reports
+            .retain(|report| is_primary(report) || self.has_reliable_hold_state(&report.id, now));
+        let order = era::lost_order(leader.term, others.len(), &reports);
+        tracing::info!(group = %self.group.name, primary = %leader.id, term = leader.term, ?order,
+            answers, remembering = reports.len(), "the store may have lost the record of a promotion");
         match order {
             era::LostOrder::None => {
                 self.promoter.note_no_lost_order(&self.group.name);
                 false
             }
             era::LostOrder::Done(found) => {
-                self.adopt(found, lead).await;
+                self.adopt(found, leader).await;
                 true
             }
             era::LostOrder::Possible => true,
@@ -221,29 +226,29 @@
     // that restarted too recently has lost its hold, so its answer proves nothing.
     fn has_reliable_hold_state(&self, id: &upstream::Id, now: id::Time) -> bool {
         let pool = self.group.roster().find(id);
-        let reborn = pool.and_then(|pool| pool.restarted_at());
-        reborn.is_none_or(|reborn| now > reborn + uncertainty::MAX_ORDER_DELAY)
+        let restarted_at = pool.and_then(|pool| pool.restarted_at());
+        restarted_at.is_none_or(|restarted_at| now > restarted_at + uncertainty::MAX_ORDER_DELAY)
     }
 
     // Returns why the primary has to be replaced, if it has to.
-    async fn find_cause(&mut self, lead: &status::Leader) -> Option<detector::Cause> {
+    async fn find_cause(&mut self, leader: &status::Leader) -> Option<detector::Cause> {
         if let Some(intent) = self.promoter.election().intent(&self.group.name) {
             self.group.note_received(intent.received);
-            if intent.term > lead.term {
-                return self.resume(&intent, lead).await;
+            if intent.term > leader.term {
+                return self.resume(&intent, leader).await;
             }
             // If the candidate may never have led, its predecessor must not be demoted.
-            if intent.candidate == lead.id && self.was_seen_leading(lead) {
+            if intent.candidate == leader.id && self.was_seen_leading(leader) {
                 self.promoter.clean_up(&self.group, &intent, intent.term);
             }
         }
-        let prober = probe::Prober::new(&self.group, lead);
+        let prober = probe::Prober::new(&self.group, leader);
         let round = prober.round(self.detector.is_suspect(boot::now())).await;
         let cause = self.detector.judge(&round);
         if cause.is_none() && matches!(round.primary, detector::Reach::Answered(_)) {
             self.note_held_back(false);
         }
-        if cause.is_none() && self.needs_relief(lead).await {
+        if cause.is_none() && self.needs_relief(leader).await {
             return Some(detector::Cause::Relief);
         }
         cause
@@ -254,26 +259,29 @@
     async fn resume(
         &mut self,
         intent: &intent::Intent,
-        lead: &status::Leader,
+        leader: &status::Leader,
     ) -> Option<detector::Cause> {
         let pools = self.group.roster().pools();
         let listed: Vec<_> = pools.iter().map(|pool| pool.id()).collect();
-        let looks = self.group.query_status(&pools, probe::TIMEOUT).await;
-        let mut outcome = intent.outcome(&looks, &listed);
+        let reports = self.group.query_status(&pools, probe::TIMEOUT).await;
+        let mut outcome = intent.outcome(&reports, &listed);
         // The order is void after its timeout if the candidate has restarted, as it has lost its
         // log then, or if the old primary still leads and can continue.
         let processes: Vec<_> = pools.iter().map(|pool| (pool.id(), pool.born())).collect();
-        let other = !processes.contains(&intent.life());
+        let candidate_restarted = !processes.contains(&intent.process());
         let open = outcome == intent::Outcome::Open;
-        if open && (other || answers_as_primary(&looks, lead)) && self.is_timed_out(intent) {
+        if open
+            && (candidate_restarted || answers_as_primary(&reports, leader))
+            && self.is_timed_out(intent)
+        {
             outcome = intent::Outcome::Void;
         }
         tracing::info!(group = %self.group.name, candidate = %intent.candidate, term = intent.term,
-            primary = %lead.id, answers = looks.len(), ?outcome, "checked recorded promotion");
+            primary = %leader.id, answers = reports.len(), ?outcome, "checked recorded promotion");
         match outcome {
             intent::Outcome::Leads(found) => {
                 self.note_held_back(false);
-                self.adopt(found, lead).await;
+                self.adopt(found, leader).await;
                 None
             }
             intent::Outcome::Open => Some(detector::Cause::Unfinished),
@@ -282,7 +290,7 @@
                     id: intent.candidate.clone(),
                     term: intent.term,
                 };
-                self.assumed = Some(assumed.clone());
+                self.assumed_primary = Some(assumed.clone());
                 self.set_watched(assumed);
                 None
             }
@@ -292,8 +300,8 @@
             }
             intent::Outcome::Void => {
                 self.promoter.election().retract(&self.group.name);
-                if answers_as_primary(&looks, lead) {
-                    self.promoter.release(&self.group, lead).await;
+                if answers_as_primary(&reports, leader) {
+                    self.promoter.release(&self.group, leader).await;
                 }
                 None
             }
@@ -301,11 +309,11 @@
     }
 
     // Whether the watched primary was ever seen leading.
-    fn was_seen_leading(&mut self, lead: &status::Leader) -> bool {
-        if self.group.leader().as_ref() == Some(lead) {
-            self.assumed = None;
+    fn was_seen_leading(&mut self, leader: &status::Leader) -> bool {
+        if self.group.leader().as_ref() == Some(leader) {
+            self.assumed_primary = None;
         }
-        self.assumed.as_ref() != Some(lead)
+        self.assumed_primary.as_ref() != Some(leader)
     }
 
     // Whether a recorded promotion is too old to still take effect.
@@ -342,43 +350,43 @@
 
     // Whether the primary should swap roles with a replica, as no replica is fresh enough for
     // reads.
-    async fn needs_relief(&mut self, lead: &status::Leader) -> bool {
+    async fn needs_relief(&mut self, leader: &status::Leader) -> bool {
         let age = self
             .promoter
             .node()
             .catalog()
             .max_staleness(&self.group.name);
-        let prober = probe::Prober::new(&self.group, lead);
+        let prober = probe::Prober::new(&self.group, leader);
         let Some(view) = prober.observe_lag(age).await else {
             return false;
         };
         let due = self.relief.observe(&view);
-        tracing::info!(group = %self.group.name, primary = %lead.id, due, position = %view.position,
+        tracing::info!(group = %self.group.name, primary = %leader.id, due, position = %view.position,
             replicas = ?view.replicas, "replicas are behind");
         due
     }
 
     // Last log position that may have been acknowledged, from this node's view of the group and
     // from the detector. The group keeps it across attempts, while the detector is reset with each.
-    fn furthest(&self, lead: &status::Leader) -> Option<stamp::Stamp> {
-        let watched = self.detector.furthest();
-        let watched = watched.filter(|stamp| stamp.term >= lead.term);
-        self.group.furthest().max(watched)
+    fn max_received(&self, leader: &status::Leader) -> Option<stamp::Stamp> {
+        let watched = self.detector.max_received();
+        let watched = watched.filter(|stamp| stamp.term >= leader.term);
+        self.group.max_received().max(watched)
     }
 
     // Logs the start and the end of a hold-back once each and sets the gauge, as callers are
     // refused while it lasts.
     fn note_held_back(&mut self, held_back: bool) {
-        if held_back == self.held_back.is_some() {
+        if held_back == self.held_back_since.is_some() {
             return;
         }
         let now = boot::now();
-        if let Some(since) = self.held_back.take() {
+        if let Some(since) = self.held_back_since.take() {
             let took_ms = now.saturating_sub(since).as_millis();
             tracing::info!(group = %self.group.name, took_ms, "promotion no longer held back");
         } else {
-            self.held_back = Some(now);
-            tracing::warn!(group = %self.group.name, primary = ?self.watched,
+            self.held_back_since = Some(now);
+            tracing::warn!(group = %self.group.name, primary = ?self.watched_primary,
                 "promotion held back: only an unreachable instance may have all acknowledged commits");
         }
         let gauge =
@@ -387,12 +395,12 @@
     }
 }
 
-fn is_primary(look: &status::Report) -> bool {
-    look.status.role == role::Role::Primary
+fn is_primary(report: &status::Report) -> bool {
+    report.status.role == role::Role::Primary
 }
 
 // Whether the watched primary is among the answers and leads.
-fn answers_as_primary(looks: &[status::Report], lead: &status::Leader) -> bool {
-    let own = looks.iter().find(|look| look.id == lead.id);
+fn answers_as_primary(reports: &[status::Report], leader: &status::Leader) -> bool {
+    let own = reports.iter().find(|report| report.id == leader.id);
     own.is_some_and(is_primary)
 }
--- a/desk/src/node.rs
+++ b/desk/src/node.rs
@@ -172,13 +172,13 @@
     }
 
     /// Removes outdated state of groups, connections and quotas; called about once a second.
-    pub fn tidy(&self) {
+    pub fn maintain(&self) {
         let listed = self.listed.borrow();
         for group in self.groups.borrow().values() {
-            group.tidy(|id| listed.contains(id));
+            group.maintain(|id| listed.contains(id));
         }
-        self.router.tidy(|id| listed.contains(id));
-        self.quotas.tidy();
+        self.router.prune(|id| listed.contains(id));
+        self.quotas.prune();
     }
 
     /// Router to the instances and peers.
--- a/desk/src/pool.rs
+++ b/desk/src/pool.rs
@@ -75,7 +75,7 @@
     /// Organisation of each connection that is being opened.
     dialling: cell::RefCell<Vec<organisation::Name>>,
     idle: cell::RefCell<Vec<connection::Connection>>,
-    open: cell::Cell<usize>,
+    open_count: cell::Cell<usize>,
     waiting: queue::Queue,
     limiter: rc::Rc<limiter::Limiter>,
     pinned: cell::Cell<usize>,
@@ -116,7 +116,7 @@
             executor,
             dialling: cell::RefCell::default(),
             idle: cell::RefCell::default(),
-            open: cell::Cell::default(),
+            open_count: cell::Cell::default(),
             waiting: queue::Queue::default(),
             limiter: limiter::Limiter::new(size.max_statements),
             pinned: cell::Cell::default(),
@@ -180,12 +180,12 @@
     /// Number of lent connections and of requests that wait for one.
     #[must_use]
     pub fn load(&self) -> usize {
-        self.lent() + self.waiting.len()
+        self.checked_out_count() + self.waiting.len()
     }
 
-    fn lent(&self) -> usize {
+    fn checked_out_count(&self) -> usize {
         let rest = self.idle.borrow().len() + self.dialling.borrow().len();
-        self.open.get().saturating_sub(rest)
+        self.open_count.get().saturating_sub(rest)
     }
 
     /// Latest log position that the instance is known to have applied.
@@ -239,7 +239,7 @@
 
     /// The latest signs of life, or of its end, that this node has of the instance.
     #[must_use]
-    pub fn sign(&self) -> absence::Activity {
+    pub fn activity(&self) -> absence::Activity {
         absence::Activity {
             answered: self.last_answer.get(),
             closed: self.closed.get(),
@@ -270,7 +270,7 @@
     /// # Errors
     /// Returns the reason when no connection is available until `deadline`, or earlier when the
     /// instance is down, lost or full.
-    pub async fn lend(
+    pub async fn check_out(
         self: &rc::Rc<Self>,
         urgency: urgency::Urgency,
         organisation: &organisation::Name,
@@ -280,13 +280,13 @@
         let since = boot::now();
         loop {
             if let Some(connection) = self.take_idle(organisation, values) {
-                return Ok(self.loan(connection, urgency));
+                return Ok(self.new_checkout(connection, urgency));
             }
             let now = boot::now();
             if now < self.down_until.get() {
                 return Err(Shortage::Down);
             }
-            if self.open.get() == 0 && now < self.full_until.get() {
+            if self.open_count.get() == 0 && now < self.full_until.get() {
                 return Err(Shortage::Full);
             }
             self.grow(organisation);
@@ -295,7 +295,7 @@
             }
             let waited = self.waiting.wait(organisation, urgency, since, deadline);
             if !waited.await {
-                let opening = self.open.get() <= self.dialling.borrow().len();
+                let opening = self.open_count.get() <= self.dialling.borrow().len();
                 return Err(if opening {
                     Shortage::Opening
                 } else {
@@ -309,13 +309,13 @@
     pub fn trim(&self) {
         let oldest = boot::now().saturating_sub(self.size.get().idle_timeout);
         let mut idle = self.idle.borrow_mut();
-        while self.open.get() > MIN_CONNECTIONS
+        while self.open_count.get() > MIN_CONNECTIONS
             && idle
                 .first()
                 .is_some_and(|connection| connection.used < oldest)
         {
             idle.remove(0);
-            self.open.set(self.open.get() - 1);
+            self.open_count.set(self.open_count.get() - 1);
         }
     }
 
@@ -343,17 +343,17 @@
     /// once clears the mark.
     pub fn suspect(self: &rc::Rc<Self>, organisation: &organisation::Name) {
         self.down_until.set(boot::now() + DOWN_RETRY_DELAY);
-        self.clear();
-        let room = self.open.get() < self.connection_limit(boot::now());
+        self.close_idle();
+        let room = self.open_count.get() < self.connection_limit(boot::now());
         if room && self.dialling.borrow().is_empty() {
             self.open_for(organisation);
         }
     }
 
     /// Closes all idle connections, for example after the instance was lost.
-    pub fn clear(&self) {
+    pub fn close_idle(&self) {
         let count = self.idle.borrow_mut().drain(..).count();
-        self.open.set(self.open.get() - count);
+        self.open_count.set(self.open_count.get() - count);
     }
 
     fn take_idle(
@@ -363,22 +363,22 @@
     ) -> Option<connection::Connection> {
         loop {
             let mut idle = self.idle.borrow_mut();
-            let own = |connection: &connection::Connection| connection.serves(organisation);
+            let serves = |connection: &connection::Connection| connection.serves(organisation);
             let fits = |connection: &connection::Connection| {
                 connection.organisation == *organisation && connection.values == *values
             };
             let index = idle.iter().rposition(fits);
-            let index = index.or_else(|| idle.iter().rposition(own))?;
+            let index = index.or_else(|| idle.iter().rposition(serves))?;
             let mut connection = idle.remove(index);
             if connection.link.alive() {
                 connection.assign(organisation);
                 return Some(connection);
             }
-            self.open.set(self.open.get() - 1);
+            self.open_count.set(self.open_count.get() - 1);
         }
     }
 
-    fn loan(
+    fn new_checkout(
         self: &rc::Rc<Self>,
         connection: connection::Connection,
         urgency: urgency::Urgency,
@@ -393,7 +393,7 @@
             !connection.link.serves_any_organisation() && self.dialer.is_last_resort(&target)
         };
         let Some(connection) = connection.filter(|connection| !last_resort(connection)) else {
-            self.open.set(self.open.get() - 1);
+            self.open_count.set(self.open_count.get() - 1);
             return self.waiting.wake();
         };
         let organisation = connection.organisation.clone();
@@ -416,12 +416,12 @@
         };
         let enough = all >= MAX_DIALS || own >= wanted;
         if enough
-            || self.lent() + all >= self.useful_connections()
+            || self.checked_out_count() + all >= self.useful_connections()
             || boot::now() < self.full_until.get()
         {
             return;
         }
-        if self.open.get() >= self.connection_limit(boot::now()) && !self.evict() {
+        if self.open_count.get() >= self.connection_limit(boot::now()) && !self.evict() {
             return;
         }
         self.open_for(organisation);
@@ -464,7 +464,7 @@
             return false;
         };
         idle.remove(oldest);
-        self.open.set(self.open.get() - 1);
+        self.open_count.set(self.open_count.get() - 1);
         metrics::counter!("mangotray_upstream_evictions_total").increment(1);
         true
     }
@@ -504,7 +504,7 @@
             "cannot connect to the instance");
         if refusal == upstream::Refusal::Full {
             // This node keeps its other connections, so an idle one can still be replaced.
-            let others = self.open.get().saturating_sub(1);
+            let others = self.open_count.get().saturating_sub(1);
             let until = boot::now() + FULL_RETRY_DELAY;
             if others == 0 {
                 self.full_until.set(until);
@@ -512,11 +512,11 @@
                 self.ceiling.set((others, until));
             }
         } else {
-            let wrong = refusal == upstream::Refusal::Wrong;
-            self.replaced.set(wrong);
+            let replaced = refusal == upstream::Refusal::Wrong;
+            self.replaced.set(replaced);
             self.closed
-                .set(wrong || refusal == upstream::Refusal::Closed);
-            let pause = if wrong {
+                .set(replaced || refusal == upstream::Refusal::Closed);
+            let pause = if replaced {
                 REPLACED_RETRY_DELAY
             } else {
                 DOWN_RETRY_DELAY
@@ -549,7 +549,10 @@
     }
 
     /// Waits for a place within the instance's concurrency limit; `None` when the time is over.
-    pub(crate) async fn turn(&self, urgency: urgency::Urgency) -> Option<limiter::Permit> {
+    pub(crate) async fn acquire_permit(
+        &self,
+        urgency: urgency::Urgency,
+    ) -> Option<limiter::Permit> {
         self.limiter.acquire(urgency).await
     }
 
@@ -595,7 +598,7 @@
 
 impl Reservation {
     fn new(pool: rc::Rc<Pool>, organisation: organisation::Name) -> Self {
-        pool.open.set(pool.open.get() + 1);
+        pool.open_count.set(pool.open_count.get() + 1);
         pool.dialling.borrow_mut().push(organisation.clone());
         Self {
             pool,
@@ -624,7 +627,7 @@
             }
         }
         if !self.kept {
-            pool.open.set(pool.open.get() - 1);
+            pool.open_count.set(pool.open_count.get() - 1);
         }
     }
 }
--- a/desk/src/probe.rs
+++ b/desk/src/probe.rs
@@ -23,7 +23,7 @@
 /// Probes a group whose primary is monitored.
 pub struct Prober<'a> {
     group: &'a rc::Rc<group::Group>,
-    lead: &'a status::Leader,
+    leader: &'a status::Leader,
     /// The primary, if it is still listed.
     pub primary: Option<rc::Rc<pool::Pool>>,
     /// All other instances.
@@ -31,61 +31,61 @@
 }
 
 impl<'a> Prober<'a> {
-    /// Creates a prober for a group whose assumed primary is `lead`.
+    /// Creates a prober for a group whose assumed primary is `leader`.
     #[must_use]
-    pub fn new(group: &'a rc::Rc<group::Group>, lead: &'a status::Leader) -> Self {
+    pub fn new(group: &'a rc::Rc<group::Group>, leader: &'a status::Leader) -> Self {
         let pools = group.roster().pools();
         let (mut primary, others): (Vec<_>, Vec<_>) =
-            pools.into_iter().partition(|pool| pool.id() == lead.id);
+            pools.into_iter().partition(|pool| pool.id() == leader.id);
         Self {
             group,
-            lead,
+            leader,
             primary: primary.pop(),
             others,
         }
     }
 
     /// One round of probes for reasons to replace the primary.
-    pub async fn round(&self, uneasy: bool) -> detector::Round {
+    pub async fn round(&self, failure_suspected: bool) -> detector::Round {
         let started = boot::now();
-        let (group, lead, others) = (self.group, self.lead, &self.others);
+        let (group, leader, others) = (self.group, self.leader, &self.others);
         let dialer = group.dialer();
         let reach = match &self.primary {
             Some(pool) => {
                 // Answers to reads prove the primary only if this node routes to it as such.
-                let needs_probe = uneasy || group.leader().as_ref() != Some(lead);
+                let needs_probe = failure_suspected || group.leader().as_ref() != Some(leader);
                 reach(pool, dialer, needs_probe).await
             }
             None => detector::Reach::Silent,
         };
-        let calm = matches!(reach, detector::Reach::Answered(_)) && !uneasy;
-        let (received, held, answers) = if calm && group.leader().is_some() {
+        let healthy = matches!(reach, detector::Reach::Answered(_)) && !failure_suspected;
+        let (received, held_for_later_term, answer_count) = if healthy && group.leader().is_some() {
             (applied(others), false, 0)
         } else {
-            let looks = group.query_status(others, TIMEOUT).await;
-            let held = |look: &status::Report| status::supersedes(&look.status, lead.term);
-            let received = looks.iter().map(|look| look.status.received).max();
-            (received, looks.iter().any(held), looks.len())
+            let reports = group.query_status(others, TIMEOUT).await;
+            let held = |report: &status::Report| status::supersedes(&report.status, leader.term);
+            let received = reports.iter().map(|report| report.status.received).max();
+            (received, reports.iter().any(held), reports.len())
         };
         detector::Round {
             started,
             primary: reach,
-            leaving: self
+            primary_leaving: self
                 .primary
                 .as_ref()
                 .is_some_and(|pool| group.roster().is_departing(pool)),
-            added: group.roster().last_added(),
+            last_added: group.roster().last_added(),
             received,
-            held,
-            replicas: others.len(),
-            answers,
+            held_for_later_term,
+            replica_count: others.len(),
+            answer_count,
         }
     }
 
     /// Whether all other instances answer, so that they can be expected to be held at once.
     pub async fn all_replicas_answer(&self) -> bool {
-        let looks = self.group.query_status(&self.others, TIMEOUT).await;
-        looks.len() == self.others.len()
+        let reports = self.group.query_status(&self.others, TIMEOUT).await;
+        reports.len() == self.others.len()
     }
 
     /// Whether the primary answers and leads.
@@ -93,39 +93,39 @@
         let Some(primary) = &self.primary else {
             return false;
         };
-        let look = status::query(primary, self.group.dialer(), TIMEOUT).await;
-        look.is_some_and(|look| look.status.role == role::Role::Primary)
+        let report = status::query(primary, self.group.dialer(), TIMEOUT).await;
+        report.is_some_and(|report| report.status.role == role::Role::Primary)
     }
 
     /// Probes all instances to decide whether the primary should change places with a replica.
     /// Returns `None` unless some replica reported a lag that is too long for reads that accept
     /// data of `age`.
     pub async fn observe_lag(&self, age: time::Duration) -> Option<relief::View> {
-        let told = |pool: &rc::Rc<pool::Pool>| relief::is_stuck(pool.lag(), age);
-        if !self.others.iter().any(told) {
+        let has_long_lag = |pool: &rc::Rc<pool::Pool>| relief::is_stuck(pool.lag(), age);
+        if !self.others.iter().any(has_long_lag) {
             return None;
         }
         let now = boot::now();
         let dialer = self.group.dialer();
-        let first = status::query(self.primary.as_ref()?, dialer, TIMEOUT).await?;
-        let looks = self.group.query_status(&self.others, TIMEOUT).await;
-        if first.status.role != role::Role::Primary {
+        let primary = status::query(self.primary.as_ref()?, dialer, TIMEOUT).await?;
+        let reports = self.group.query_status(&self.others, TIMEOUT).await;
+        if primary.status.role != role::Role::Primary {
             self.group
-                .suspect(first.status.term, "the primary leads no more");
+                .suspect(primary.status.term, "the primary leads no more");
             return None;
         }
-        if looks.len() < self.others.len() {
+        if reports.len() < self.others.len() {
             return None;
         }
-        let replicas = looks.iter().map(|look| relief::Replica {
-            received: look.status.received,
-            applied: look.applied.unwrap_or_default(),
-            lag: look.status.load.lag,
-            leaving: self.group.roster().is_leaving(&look.id),
+        let replicas = reports.iter().map(|report| relief::Replica {
+            received: report.status.received,
+            applied: report.applied.unwrap_or_default(),
+            lag: report.status.load.lag,
+            leaving: self.group.roster().is_leaving(&report.id),
         });
         Some(relief::View {
             now,
-            position: first.status.received,
+            position: primary.status.received,
             replicas: replicas.collect(),
             age,
         })
@@ -139,21 +139,21 @@
 /// instances answer and none leads.
 pub async fn infer_primary(group: &rc::Rc<group::Group>) -> Option<status::Leader> {
     let pools = group.roster().pools();
-    let looks = group.query_status(&pools, TIMEOUT).await;
-    let term = looks.iter().map(|look| look.status.term).max()?;
-    let primaries = looks
+    let reports = group.query_status(&pools, TIMEOUT).await;
+    let term = reports.iter().map(|report| report.status.term).max()?;
+    let primaries = reports
         .iter()
-        .filter(|look| look.status.role == role::Role::Primary);
-    if let Some(look) = primaries.max_by_key(|look| look.status.term) {
-        let id = look.id.clone();
+        .filter(|report| report.status.role == role::Role::Primary);
+    if let Some(report) = primaries.max_by_key(|report| report.status.term) {
+        let id = report.id.clone();
         return Some(status::Leader {
             id,
-            term: look.status.term,
+            term: report.status.term,
         });
     }
     let silent = pools
         .iter()
-        .filter(|pool| looks.iter().all(|look| look.id != pool.id()))
+        .filter(|pool| reports.iter().all(|report| report.id != pool.id()))
         .max_by_key(|pool| pool.instance.borrow().leads);
     Some(status::Leader {
         id: silent.map(|pool| pool.id()).unwrap_or_default(),
@@ -170,15 +170,15 @@
 async fn reach(
     pool: &rc::Rc<pool::Pool>,
     dialer: &dyn upstream::Dialer,
-    uneasy: bool,
+    needs_probe: bool,
 ) -> detector::Reach {
-    let fresh = boot::now().saturating_sub(pool.last_answer()) < RECENT_ANSWER;
-    if fresh && !uneasy {
+    let answered_recently = boot::now().saturating_sub(pool.last_answer()) < RECENT_ANSWER;
+    if answered_recently && !needs_probe {
         return detector::Reach::Answered(pool.applied());
     }
     match status::query(pool, dialer, TIMEOUT).await {
-        Some(look) if look.status.role == role::Role::Primary => {
-            detector::Reach::Answered(look.status.received)
+        Some(report) if report.status.role == role::Role::Primary => {
+            detector::Reach::Answered(report.status.received)
         }
         None if pool.is_closed() => detector::Reach::Closed,
         // An instance that answers but no longer leads serves callers' writes no better than a
--- a/desk/src/progress.rs
+++ b/desk/src/progress.rs
@@ -10,7 +10,7 @@
 
 /// The last report of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Reported {
+struct LastReport {
     /// Newest term known to the replica.
     term: id::Term,
     /// Last record received.
@@ -41,15 +41,15 @@
 /// assert!(!progress.record(&report(3, 461), second, third));
 /// // It reports less than it had: it has restarted.
 /// assert!(progress.record(&report(1, 0), third, third));
-/// assert_eq!(progress.furthest().map(|(stamp, _)| stamp), Some(Stamp::new(3, 462)));
+/// assert_eq!(progress.max_received().map(|(stamp, _)| stamp), Some(Stamp::new(3, 462)));
 /// // The primary of a later term has every record acknowledged before.
 /// progress.record_primary(4, Stamp::new(3, 455));
-/// assert_eq!(progress.furthest().map(|(stamp, _)| stamp), Some(Stamp::new(3, 455)));
+/// assert_eq!(progress.max_received().map(|(stamp, _)| stamp), Some(Stamp::new(3, 455)));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    seen: collections::BTreeMap<upstream::Id, Reported>,
-    furthest: Option<(stamp::Stamp, id::Time)>,
+    last_reports: collections::BTreeMap<upstream::Id, LastReport>,
+    max_received: Option<(stamp::Stamp, id::Time)>,
 }
 
 impl Progress {
@@ -62,50 +62,50 @@
     pub fn record(&mut self, report: &status::Report, started: id::Time, now: id::Time) -> bool {
         let status = report.status;
         self.record_received(status.received, now);
-        let before = self.seen.get(&report.id).copied();
-        if before.is_some_and(|before| started < before.arrived) {
+        let previous = self.last_reports.get(&report.id).copied();
+        if previous.is_some_and(|previous| started < previous.arrived) {
             return false;
         }
-        let current = Reported {
+        let current = LastReport {
             term: status.term,
             received: status.received,
             arrived: now,
         };
-        self.seen.insert(report.id.clone(), current);
-        before.is_some_and(|before| {
-            let shorter = current.term == before.term && current.received < before.received;
-            current.term < before.term || shorter
+        self.last_reports.insert(report.id.clone(), current);
+        previous.is_some_and(|previous| {
+            let shorter = current.term == previous.term && current.received < previous.received;
+            current.term < previous.term || shorter
         })
     }
 
     /// Records that some replica has received `received`.
     pub fn record_received(&mut self, received: stamp::Stamp, now: id::Time) {
         if self
-            .furthest
-            .is_none_or(|(furthest, _)| received > furthest)
+            .max_received
+            .is_none_or(|(max_received, _)| received > max_received)
         {
-            self.furthest = Some((received, now));
+            self.max_received = Some((received, now));
         }
     }
 
     /// Records the log position of the primary of `term`. Records of earlier terms beyond it were
     /// never acknowledged or are lost for good, so a promotion need not wait for them.
     pub fn record_primary(&mut self, term: id::Term, position: stamp::Stamp) {
-        if let Some((furthest, _)) = &mut self.furthest
-            && furthest.term < term
+        if let Some((max_received, _)) = &mut self.max_received
+            && max_received.term < term
         {
-            *furthest = (*furthest).min(position);
+            *max_received = (*max_received).min(position);
         }
     }
 
     /// Drops the last report of an instance's earlier process.
     pub fn forget(&mut self, id: &upstream::Id) {
-        self.seen.remove(id);
+        self.last_reports.remove(id);
     }
 
     /// The furthest record that any replica is known to have received, and when it last advanced.
     #[must_use]
-    pub const fn furthest(&self) -> Option<(stamp::Stamp, id::Time)> {
-        self.furthest
+    pub const fn max_received(&self) -> Option<(stamp::Stamp, id::Time)> {
+        self.max_received
     }
 }
--- a/desk/src/promoter.rs
+++ b/desk/src/promoter.rs
@@ -60,7 +60,7 @@
 
 /// The held replicas of a group and the candidate chosen among them.
 struct Selection {
-    looks: Vec<status::Report>,
+    reports: Vec<status::Report>,
     processes: promotion::Processes,
     candidate: upstream::Id,
     /// Last log position that the candidate received.
@@ -68,23 +68,23 @@
 }
 
 /// State of the cleanup after a promotion.
-struct Progress {
+struct CleanupState {
     term: id::Term,
     /// The demotion of the replaced primary has ended; only replicas may be left to release.
-    done: bool,
+    predecessor_demoted: bool,
 }
 
 /// Replaces primaries while this node holds the promoter lease.
 pub struct Promoter {
     node: rc::Rc<node::Node>,
     election: rc::Rc<election::Election>,
-    duty: rc::Rc<dyn promote::Client>,
+    promote_client: rc::Rc<dyn promote::Client>,
     /// The last cleanup of each group that this node knows of, finished or running.
-    cleanups: cell::RefCell<collections::BTreeMap<id::Group, Progress>>,
+    cleanups: cell::RefCell<collections::BTreeMap<id::Group, CleanupState>>,
     /// The last order of each group, and the time from which its timeout counts on this node.
-    ordered: cell::RefCell<collections::BTreeMap<id::Group, (intent::Intent, id::Time)>>,
+    last_orders: cell::RefCell<collections::BTreeMap<id::Group, (intent::Intent, id::Time)>>,
     /// Groups found to have no order in flight after the store came back, with the store's era.
-    orderless: cell::RefCell<collections::BTreeMap<id::Group, store::Era>>,
+    groups_without_order: cell::RefCell<collections::BTreeMap<id::Group, store::Era>>,
     resumes: rc::Rc<cell::RefCell<resumes::Resumes>>,
 }
 
@@ -94,15 +94,15 @@
     pub fn new(
         node: rc::Rc<node::Node>,
         election: rc::Rc<election::Election>,
-        duty: rc::Rc<dyn promote::Client>,
+        promote_client: rc::Rc<dyn promote::Client>,
     ) -> rc::Rc<Self> {
         rc::Rc::new(Self {
             node,
             election,
-            duty,
+            promote_client,
             cleanups: cell::RefCell::default(),
-            ordered: cell::RefCell::default(),
-            orderless: cell::RefCell::default(),
+            last_orders: cell::RefCell::default(),
+            groups_without_order: cell::RefCell::default(),
             resumes: rc::Rc::default(),
         })
     }
@@ -133,90 +133,90 @@
         }
     }
 
-    /// Replaces the primary `lead`. `furthest` is the last log position that any replica of the
+    /// Replaces the primary `leader`. `max_received` is the last log position that any replica of the
     /// group is known to have received.
     pub async fn replace(
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
-        lead: &status::Leader,
+        leader: &status::Leader,
         cause: detector::Cause,
-        furthest: Option<stamp::Stamp>,
+        max_received: Option<stamp::Stamp>,
     ) -> Outcome {
         self.resumes.borrow_mut().set_promoting(&group.name, true);
-        let done = self.promote(group, lead, cause, furthest).await;
+        let outcome = self.promote(group, leader, cause, max_received).await;
         self.resumes.borrow_mut().set_promoting(&group.name, false);
-        done
+        outcome
     }
 
     async fn promote(
         self: &rc::Rc<Self>,
         group: &rc::Rc<group::Group>,
-        lead: &status::Leader,
+        leader: &status::Leader,
         cause: detector::Cause,
-        furthest: Option<stamp::Stamp>,
+        max_received: Option<stamp::Stamp>,
     ) -> Outcome {
         let promotion = promotion::Promotion {
             group: rc::Rc::clone(group),
-            old: probe::Prober::new(group, lead).primary,
+            old: probe::Prober::new(group, leader).primary,
             cause,
-            term: group.term().max(lead.term) + 1,
+            term: group.term().max(leader.term) + 1,
             began: boot::now(),
-            furthest,
+            max_received,
         };
-        let selection = match self.hold_after_resumes(&promotion, lead).await {
+        let selection = match self.hold_after_resumes(&promotion, leader).await {
             Ok(selection) => selection,
-            Err(done) => return done,
+            Err(outcome) => return outcome,
         };
         let candidate = &selection.candidate;
         let audit = audit(&promotion, &selection);
         tracing::info!(group = %group.name, %candidate, term = promotion.term, position = %selection.position,
             counted = audit.counted(), uncounted = audit.uncounted(),
-            furthest = promotion.furthest.map(tracing::field::display), "candidate chosen");
+            furthest = promotion.max_received.map(tracing::field::display), "candidate chosen");
         let relief = cause == detector::Cause::Relief;
         if relief
             && !self
-                .step_down_first(&promotion, candidate, &selection.looks)
+                .step_down_first(&promotion, candidate, &selection.reports)
                 .await
         {
-            self.release(group, lead).await;
+            self.release(group, leader).await;
             return Outcome::GivenUp;
         }
         if cause == detector::Cause::Planned
-            && promotion.is_ahead_of(candidate, &selection.looks).await
+            && promotion.is_ahead_of(candidate, &selection.reports).await
         {
             tracing::warn!(group = %group.name, %candidate, "the primary has records that no replica has");
-            self.release(group, lead).await;
+            self.release(group, leader).await;
             return Outcome::GivenUp;
         }
-        let outcome = self.send_order(&promotion, lead, &selection).await;
-        if let promote::Outcome::Refused(_) = outcome {
+        let order_outcome = self.send_order(&promotion, leader, &selection).await;
+        if let promote::Outcome::Refused(_) = order_outcome {
             if relief {
                 // The primary has stepped down. The replicas stay held for the next attempt, and
                 // requests must no longer be sent to it.
-                group.suspect(lead.term, "the primary has given up");
+                group.suspect(leader.term, "the primary has given up");
             } else if cause.primary_may_run()
-                && probe::Prober::new(&promotion.group, lead).leads().await
+                && probe::Prober::new(&promotion.group, leader).leads().await
             {
                 // The order was not carried out, so a running primary can continue. Otherwise
                 // its replicas would stay held until promotions are possible again.
-                self.release(group, lead).await;
+                self.release(group, leader).await;
             }
             return Outcome::GivenUp;
         }
         // If it is unknown whether the order arrived, the old primary may long remain the only
         // one, so it is demoted only once the candidate leads. It acknowledges nothing meanwhile,
         // as its replicas are held.
-        if cause.primary_may_run() && outcome == promote::Outcome::Accepted {
+        if cause.primary_may_run() && order_outcome == promote::Outcome::Accepted {
             promotion
                 .while_holding(candidate, promotion.demote_predecessor())
                 .await;
         }
-        let done = self.finish(&promotion, candidate).await;
-        if matches!(done, Outcome::Promoted(_)) {
+        let outcome = self.finish(&promotion, candidate).await;
+        if matches!(outcome, Outcome::Promoted(_)) {
             let check = check_losses(rc::Rc::clone(group), audit);
             self.node.executor().spawn(check).detach();
         }
-        done
+        outcome
     }
 
     // Makes the primary step down before its successor is ordered. Returns whether it has done so.
@@ -235,15 +235,15 @@
         if self.election.confirm().await.is_none() {
             return false;
         }
-        let Some(stands) = promotion.step_down().await else {
+        let Some(position) = promotion.step_down().await else {
             return false;
         };
         let received = held
             .iter()
-            .find(|look| look.id == *candidate)
-            .map(|look| look.status.received);
-        let ahead = stands.is_none() || stands > received;
-        tracing::info!(group = %promotion.group.name, ?stands, ?received, ahead, "the primary has stepped down");
+            .find(|report| report.id == *candidate)
+            .map(|report| report.status.received);
+        let ahead = position.is_none() || position > received;
+        tracing::info!(group = %promotion.group.name, stands = ?position, ?received, ahead, "the primary has stepped down");
         if ahead {
             wait::sleep(LISTING_DELAY).await;
         }
@@ -251,35 +251,39 @@
     }
 
     // Whether an order may have taken effect, or may still do so, that makes an instance the
-    // primary of a later term than that of `lead`.
-    fn has_open_order(&self, group: &id::Group, lead: &status::Leader) -> bool {
+    // primary of a later term than that of `leader`.
+    fn has_open_order(&self, group: &id::Group, leader: &status::Leader) -> bool {
         let intent = self.election.intent(group);
-        intent.is_some_and(|intent| intent.term > lead.term)
+        intent.is_some_and(|intent| intent.term > leader.term)
     }
 
     /// Whether an order may be in force whose record the store has lost in an outage.
     pub fn may_have_lost_order(&self, group: &id::Group) -> bool {
-        let orderless = self.orderless.borrow().get(group).copied();
-        self.election.may_have_lost_order() && orderless != Some(self.election.era())
+        let checked_era = self.groups_without_order.borrow().get(group).copied();
+        self.election.may_have_lost_order() && checked_era != Some(self.election.era())
     }
 
     /// Notes that in the store's present era the group has no order whose record was lost.
     pub fn note_no_lost_order(&self, group: &id::Group) {
         let era = self.election.era();
-        self.orderless.borrow_mut().insert(group.clone(), era);
+        self.groups_without_order
+            .borrow_mut()
+            .insert(group.clone(), era);
     }
 
     // Whether the primary that was replaced last has been demoted, or is gone.
     fn is_predecessor_demoted(&self, group: &id::Group) -> bool {
         let cleanups = self.cleanups.borrow();
-        cleanups.get(group).is_none_or(|progress| progress.done)
+        cleanups
+            .get(group)
+            .is_none_or(|state| state.predecessor_demoted)
     }
 
     // Holds all replicas, repeatedly until no earlier resume command can have arrived in between.
     async fn hold_after_resumes(
         &self,
         promotion: &promotion::Promotion,
-        lead: &status::Leader,
+        leader: &status::Leader,
     ) -> Result<Selection, Outcome> {
         let group = &promotion.group;
         let mut logged = false;
@@ -290,13 +294,13 @@
                     "promotion postponed: an earlier resume command may still arrive");
                 return Err(Outcome::GivenUp);
             }
-            let selection = self.hold(promotion, lead).await?;
+            let selection = self.hold(promotion, leader).await?;
             let Some(until) = resume_until else {
                 return Ok(selection);
             };
-            if self.has_returned(promotion, lead).await {
+            if self.has_returned(promotion, leader).await {
                 tracing::warn!(group = %group.name, term = promotion.term, "promotion given up: the old primary is leading again");
-                self.release(group, lead).await;
+                self.release(group, leader).await;
                 return Err(Outcome::GivenUp);
             }
             let left = until.saturating_sub(boot::now());
@@ -316,7 +320,7 @@
     async fn hold(
         &self,
         promotion: &promotion::Promotion,
-        lead: &status::Leader,
+        leader: &status::Leader,
     ) -> Result<Selection, Outcome> {
         let group = &promotion.group;
         loop {
@@ -324,33 +328,33 @@
             group.query_successors(probe::TIMEOUT).await;
             let pools = promotion.replicas();
             let processes = promotion.processes();
-            let looks = hold_each(promotion, &pools).await;
-            self.demote_stale(promotion, lead, &pools, &looks).await;
+            let reports = hold_each(promotion, &pools).await;
+            self.demote_stale(promotion, leader, &pools, &reports).await;
             let pending = self.election.intent(&group.name);
             let pending = pending.filter(|intent| {
-                let open = intent.term > lead.term && processes.contains(&intent.life());
+                let open = intent.term > leader.term && processes.contains(&intent.process());
                 open && !self.is_timed_out(intent)
             });
             let view = verdict::View {
-                lead,
+                leader,
                 term: promotion.term,
                 expected: pools.len(),
-                looks: &looks,
-                furthest: promotion.furthest.max(group.furthest()),
+                reports: &reports,
+                max_received: promotion.max_received.max(group.max_received()),
                 pending: pending.as_ref().map(|intent| &intent.candidate),
-                loss: self.loss(promotion, lead),
+                loss: self.loss(promotion, leader),
             };
             let leaves = |id: &upstream::Id| group.roster().is_leaving(id);
             let mut verdict = view.judge(leaves);
             if group.roster().may_have_successor() {
                 verdict = verdict::Verdict::Wait;
             }
-            let mut stands = None;
+            let mut predecessor = None;
             if verdict == verdict::Verdict::Lacking {
                 let old = promotion.query_predecessor().await;
                 verdict = view.resolve(&old, leaves);
-                stands = old.look().cloned();
-                tracing::info!(group = %group.name, furthest = ?promotion.furthest, loss = ?view.loss, ?old, ?verdict,
+                predecessor = old.report().cloned();
+                tracing::info!(group = %group.name, furthest = ?promotion.max_received, loss = ?view.loss, ?old, ?verdict,
                     "no replica has all records that a replica had received");
             }
             if let verdict::Verdict::Promote(candidate) = &verdict
@@ -358,7 +362,7 @@
                 && let old @ verdict::Predecessor::Answers(_) = promotion.query_predecessor().await
             {
                 verdict = view.resolve(&old, leaves);
-                stands = old.look().cloned();
+                predecessor = old.report().cloned();
                 tracing::info!(group = %group.name, ?old, ?verdict, "the logs of all replicas are empty");
             }
             match verdict {
@@ -367,12 +371,12 @@
                         "the instance with the longest log cannot be promoted: its id is unknown");
                 }
                 verdict::Verdict::Promote(candidate) => {
-                    let mut answers = looks.iter().chain(&stands);
-                    let chosen = answers.find(|look| look.id == candidate);
-                    let position = chosen.map(|look| look.status.received);
+                    let mut answers = reports.iter().chain(&predecessor);
+                    let chosen = answers.find(|report| report.id == candidate);
+                    let position = chosen.map(|report| report.status.received);
                     return Ok(Selection {
                         position: position.unwrap_or_default(),
-                        looks,
+                        reports,
                         processes,
                         candidate,
                     });
@@ -380,23 +384,23 @@
                 verdict::Verdict::Overtaken(found) => return Err(Outcome::Overtaken(found)),
                 verdict::Verdict::HeldBack => {
                     // If the primary comes back, its replicas must be able to receive from it.
-                    self.release(group, lead).await;
+                    self.release(group, leader).await;
                     return Err(Outcome::HeldBack);
                 }
                 verdict::Verdict::Returned => {
-                    self.release(group, lead).await;
+                    self.release(group, leader).await;
                     return Err(Outcome::GivenUp);
                 }
                 verdict::Verdict::Wait | verdict::Verdict::Lacking => {}
             }
             let late = boot::now() > promotion.began + promotion.cause.hold_timeout();
-            let returned = self.has_returned(promotion, lead).await;
+            let returned = self.has_returned(promotion, leader).await;
             if late || returned || self.election.held().is_none() {
                 tracing::warn!(group = %group.name, term = promotion.term, expected = pools.len(),
-                    answers = looks.len(), late, returned,
+                    answers = reports.len(), late, returned,
                     pending = pending.map(|intent| intent.candidate.to_string()),
                     "promotion given up");
-                self.release(group, lead).await;
+                self.release(group, leader).await;
                 return Err(Outcome::GivenUp);
             }
             wait::sleep(promotion::POLL_INTERVAL).await;
@@ -410,15 +414,16 @@
     fn loss(
         &self,
         promotion: &promotion::Promotion,
-        lead: &status::Leader,
+        leader: &status::Leader,
     ) -> Option<verdict::Loss> {
-        let floors = |panel: &witness::Witnesses<'_>| panel.leadership.floors().loss(lead.term);
+        let floors =
+            |witnesses: &witness::Witnesses<'_>| witnesses.leadership.floors().loss(leader.term);
         let bound = promotion.group.with_witnesses(floors)?;
         if promotion.cause == detector::Cause::Stalled {
             return None;
         }
         let intent = self.election.intent(&promotion.group.name);
-        let intent = intent.filter(|intent| intent.term > lead.term);
+        let intent = intent.filter(|intent| intent.term > leader.term);
         let within = intent.map(|intent| intent.received).or(bound);
         Some(within.map_or(verdict::Loss::Unknown, verdict::Loss::Within))
     }
@@ -427,11 +432,11 @@
     // candidate may lack records that another replica has, and the group has no primary meanwhile.
     fn is_timed_out(&self, intent: &intent::Intent) -> bool {
         let now = boot::now();
-        let mut ordered = self.ordered.borrow_mut();
-        match ordered.get(&intent.group) {
+        let mut last_orders = self.last_orders.borrow_mut();
+        match last_orders.get(&intent.group) {
             Some((known, since)) if known == intent => now > *since + monitor::ORDER_TIMEOUT,
             _ => {
-                ordered.insert(intent.group.clone(), (intent.clone(), now));
+                last_orders.insert(intent.group.clone(), (intent.clone(), now));
                 false
             }
         }
@@ -445,18 +450,20 @@
     async fn demote_stale(
         &self,
         promotion: &promotion::Promotion,
-        lead: &status::Leader,
+        leader: &status::Leader,
         pools: &[rc::Rc<pool::Pool>],
-        looks: &[status::Report],
+        reports: &[status::Report],
     ) {
-        let stale = |look: &&status::Report| {
-            look.status.role == role::Role::Primary && look.status.term <= lead.term
+        let stale = |report: &&status::Report| {
+            report.status.role == role::Role::Primary && report.status.term <= leader.term
         };
-        let Some(found) = looks.iter().find(stale) else {
+        let Some(found) = reports.iter().find(stale) else {
             return;
         };
-        let known = looks.iter().any(|look| look.status.term >= lead.term);
-        if !known && !self.could_order(promotion, pools.len(), looks).await {
+        let known = reports
+            .iter()
+            .any(|report| report.status.term >= leader.term);
+        if !known && !self.could_order(promotion, pools.len(), reports).await {
             return;
         }
         if let Some(pool) = pools.iter().find(|pool| pool.id() == found.id) {
@@ -470,21 +477,25 @@
         &self,
         promotion: &promotion::Promotion,
         expected: usize,
-        looks: &[status::Report],
+        reports: &[status::Report],
     ) -> bool {
-        let held = looks.iter().filter(|look| {
-            look.status.role == role::Role::Replica && look.status.held >= promotion.term
+        let held = reports.iter().filter(|report| {
+            report.status.role == role::Role::Replica && report.status.held >= promotion.term
         });
         held.count() + 1 == expected && self.election.confirm().await.is_some()
     }
 
     // Whether the old primary answers and leads, although it was presumed lost or an unfinished
     // promotion without an order has held its replicas.
-    async fn has_returned(&self, promotion: &promotion::Promotion, lead: &status::Leader) -> bool {
+    async fn has_returned(
+        &self,
+        promotion: &promotion::Promotion,
+        leader: &status::Leader,
+    ) -> bool {
         let unfinished = promotion.cause == detector::Cause::Unfinished;
         let given_up = !promotion.cause.primary_may_run();
-        let unordered = unfinished && !self.has_open_order(&promotion.group.name, lead);
-        (given_up || unordered) && probe::Prober::new(&promotion.group, lead).leads().await
+        let unordered = unfinished && !self.has_open_order(&promotion.group.name, leader);
+        (given_up || unordered) && probe::Prober::new(&promotion.group, leader).leads().await
     }
 
     /// Releases the replicas of a promotion that was given up, unless a replaced primary could then
@@ -497,7 +508,7 @@
     ///
     /// A node whose promoter lease may have ended releases nothing: the holds may be those of the
     /// next lease holder.
-    pub async fn release(&self, group: &rc::Rc<group::Group>, lead: &status::Leader) {
+    pub async fn release(&self, group: &rc::Rc<group::Group>, leader: &status::Leader) {
         if self.election.held().is_none() {
             tracing::info!(group = %group.name, "replicas stay held: the promoter lease may have ended");
             return;
@@ -506,34 +517,34 @@
             tracing::info!(group = %group.name, "replicas stay held: the store may have lost the record of a promotion order");
             return;
         }
-        if self.has_open_order(&group.name, lead) {
+        if self.has_open_order(&group.name, leader) {
             tracing::info!(group = %group.name, "replicas stay held: a promotion order may be in force");
             return;
         }
-        let prober = probe::Prober::new(group, lead);
+        let prober = probe::Prober::new(group, leader);
         if !self.is_predecessor_demoted(&group.name) && !prober.leads().await {
             tracing::info!(group = %group.name, "replicas stay held: a replaced primary is not demoted yet");
             return;
         }
-        let may = || self.election.held().is_some();
+        let may_release = || self.election.held().is_some();
         let resumes = prober
             .others
             .iter()
-            .map(|pool| promotion::resume(pool, group, &self.resumes, may));
+            .map(|pool| promotion::resume(pool, group, &self.resumes, may_release));
         futures_util::future::join_all(resumes).await;
     }
 
     async fn send_order(
         &self,
         promotion: &promotion::Promotion,
-        lead: &status::Leader,
+        leader: &status::Leader,
         selection: &Selection,
     ) -> promote::Outcome {
         let group = &promotion.group.name;
-        let open = self.has_open_order(group, lead);
+        let open = self.has_open_order(group, leader);
         let Some(lease) = self
             .election
-            .record(&promotion.intent(&selection.candidate, &selection.looks))
+            .record(&promotion.intent(&selection.candidate, &selection.reports))
             .await
         else {
             tracing::warn!(%group, "no promotion ordered: the store did not confirm the promoter lease");
@@ -549,11 +560,11 @@
                 fence: lease.fence,
             };
             let outcome = promotion
-                .while_holding(&selection.candidate, self.duty.promote(&order))
+                .while_holding(&selection.candidate, self.promote_client.promote(&order))
                 .await;
             if let Some(intent) = self.election.intent(group) {
                 let entry = (intent, boot::now());
-                self.ordered.borrow_mut().insert(group.clone(), entry);
+                self.last_orders.borrow_mut().insert(group.clone(), entry);
             }
             outcome
         } else {
@@ -572,14 +583,14 @@
         promotion: &promotion::Promotion,
         candidate: &upstream::Id,
     ) -> Outcome {
-        let leads = promotion
+        let led_term = promotion
             .await_leadership(candidate, promotion::LEADERSHIP_TIMEOUT)
             .await;
         let group = &promotion.group;
         group.search();
-        tracing::info!(group = %group.name, %candidate, term = promotion.term, leads = leads.is_some(), led = leads,
+        tracing::info!(group = %group.name, %candidate, term = promotion.term, leads = led_term.is_some(), led = led_term,
             cause = ?promotion.cause, took_ms = boot::now().saturating_sub(promotion.began).as_millis(), "promotion over");
-        let Some(term) = leads else {
+        let Some(term) = led_term else {
             return Outcome::GivenUp;
         };
         metrics::counter!(telemetry::PROMOTIONS, "cause" => promotion.cause.label()).increment(1);
@@ -627,12 +638,15 @@
         let mut cleanups = self.cleanups.borrow_mut();
         if cleanups
             .get(&group.name)
-            .is_some_and(|progress| progress.term >= term)
+            .is_some_and(|state| state.term >= term)
         {
             return;
         }
-        let done = false;
-        cleanups.insert(group.name.clone(), Progress { term, done });
+        let state = CleanupState {
+            term,
+            predecessor_demoted: false,
+        };
+        cleanups.insert(group.name.clone(), state);
         let cleanup = cleanup::Cleanup::new(
             rc::Rc::clone(group),
             intent,
@@ -643,9 +657,9 @@
         let promoter = rc::Rc::clone(self);
         let name = group.name.clone();
         let work = async move {
-            let told = cleanup.demote_predecessor().await;
+            let demoted = cleanup.demote_predecessor().await;
             promoter.note_predecessor_demoted(&name, term);
-            let done = told && cleanup.release().await;
+            let done = demoted && cleanup.release().await;
             tracing::info!(group = %name, term, done, "promotion cleaned up");
         };
         self.node.executor().spawn(work).detach();
@@ -653,9 +667,9 @@
 
     fn note_predecessor_demoted(&self, group: &id::Group, term: id::Term) {
         let mut cleanups = self.cleanups.borrow_mut();
-        let progress = cleanups.get_mut(group);
-        if let Some(progress) = progress.filter(|progress| progress.term == term) {
-            progress.done = true;
+        let state = cleanups.get_mut(group);
+        if let Some(state) = state.filter(|state| state.term == term) {
+            state.predecessor_demoted = true;
         }
     }
 }
@@ -671,8 +685,8 @@
         position: selection.position,
         term: promotion.term,
         old: promotion.old.as_ref().map(|old| old.id()),
-        looks: selection.looks.clone(),
-        asked: ids(roster.pools()),
+        reports: selection.reports.clone(),
+        queried: ids(roster.pools()),
         unlisted: ids(roster.absent()),
         forgotten: forgotten
             .map(|(id, since)| (id, now.saturating_sub(since)))
@@ -684,20 +698,20 @@
 // answers do not change this node's view of the group.
 async fn check_losses(group: rc::Rc<group::Group>, audit: audit::Audit) {
     let pools = group.roster().pools();
-    let looks = status::query_all(&pools, group.dialer(), probe::TIMEOUT).await;
+    let reports = status::query_all(&pools, group.dialer(), probe::TIMEOUT).await;
     let (candidate, position, term) = (&audit.candidate, audit.position, audit.term);
-    let ahead = audit.instances_ahead(&looks);
-    tracing::info!(group = %group.name, %candidate, term, answers = looks.len(),
-        unseen = audit.unanswered(&looks), beyond = ahead.len(), "promotion checked");
-    for look in ahead {
-        let received = look.status.received;
-        if audit.old.as_ref() == Some(&look.id) {
-            tracing::warn!(group = %group.name, instance = %look.id, %received, %candidate, %position, term,
+    let ahead = audit.instances_ahead(&reports);
+    tracing::info!(group = %group.name, %candidate, term, answers = reports.len(),
+        unseen = audit.unanswered(&reports), beyond = ahead.len(), "promotion checked");
+    for report in ahead {
+        let received = report.status.received;
+        if audit.old.as_ref() == Some(&report.id) {
+            tracing::warn!(group = %group.name, instance = %report.id, %received, %candidate, %position, term,
                 "the replaced primary has records that the new primary lacks: they are lost if they were acknowledged");
         } else {
             metrics::counter!(telemetry::PROMOTION_LOSSES, "group" => group.name.to_string())
                 .increment(1);
-            tracing::error!(group = %group.name, instance = %look.id, %received, %candidate, %position, term,
+            tracing::error!(group = %group.name, instance = %report.id, %received, %candidate, %position, term,
                 "a replica has records that the new primary lacks: acknowledged commits may be lost");
         }
     }
@@ -715,7 +729,7 @@
         .iter()
         .map(|pool| promotion::send(pool, &hold, dialer));
     let answers = futures_util::future::join_all(holds).await;
-    let looks: Vec<_> = answers.into_iter().flatten().collect();
-    promotion.group.record_reports(&looks, started);
-    looks
+    let reports: Vec<_> = answers.into_iter().flatten().collect();
+    promotion.group.record_reports(&reports, started);
+    reports
 }
--- a/desk/src/promotion.rs
+++ b/desk/src/promotion.rs
@@ -54,7 +54,7 @@
     /// When the promotion began.
     pub began: id::Time,
     /// Last log position that any replica is known to have received.
-    pub furthest: Option<stamp::Stamp>,
+    pub max_received: Option<stamp::Stamp>,
 }
 
 /// One process of an instance. A restarted instance has a new one.
@@ -110,12 +110,12 @@
         let dialer = self.group.dialer();
         loop {
             wait::sleep(HOLD_CHECK_INTERVAL).await;
-            let Some(look) = status::query(pool, dialer, status::TIMEOUT).await else {
+            let Some(report) = status::query(pool, dialer, status::TIMEOUT).await else {
                 continue;
             };
-            if is_not_held(&look, self.term) {
-                tracing::warn!(group = %self.group.name, instance = %look.id, term = self.term,
-                    received = %look.status.received, "replica lost its hold before the candidate led");
+            if is_not_held(&report, self.term) {
+                tracing::warn!(group = %self.group.name, instance = %report.id, term = self.term,
+                    received = %report.status.received, "replica lost its hold before the candidate led");
                 send(pool, &upstream::Command::Hold(self.term), dialer).await;
             }
         }
@@ -149,13 +149,13 @@
     /// answer counts as held.
     pub async fn are_held(&self) -> bool {
         let pools = self.replicas();
-        let looks = self.group.query_status(&pools, FINAL_CHECK_TIMEOUT);
-        let seek = self.group.query_successors(FINAL_CHECK_TIMEOUT);
-        let (looks, ()) = futures_util::future::join(looks, seek).await;
-        let released = looks.iter().find(|look| is_not_held(look, self.term));
-        if let Some(look) = released {
-            tracing::warn!(group = %self.group.name, instance = %look.id, term = self.term,
-                received = %look.status.received, "replica lost its hold before the order");
+        let reports = self.group.query_status(&pools, FINAL_CHECK_TIMEOUT);
+        let search = self.group.query_successors(FINAL_CHECK_TIMEOUT);
+        let (reports, ()) = futures_util::future::join(reports, search).await;
+        let released = reports.iter().find(|report| is_not_held(report, self.term));
+        if let Some(report) = released {
+            tracing::warn!(group = %self.group.name, instance = %report.id, term = self.term,
+                received = %report.status.received, "replica lost its hold before the order");
         }
         released.is_none()
     }
@@ -168,9 +168,10 @@
         let deadline = boot::now() + limit;
         while boot::now() < deadline {
             let pool = self.group.roster().find(candidate)?;
-            let look = status::query(&pool, self.group.dialer(), COMMAND_TIMEOUT).await;
-            if let Some(look) = look.filter(|look| look.status.role == role::Role::Primary) {
-                return Some(look.status.term);
+            let report = status::query(&pool, self.group.dialer(), COMMAND_TIMEOUT).await;
+            if let Some(report) = report.filter(|report| report.status.role == role::Role::Primary)
+            {
+                return Some(report.status.term);
             }
             wait::sleep(POLL_INTERVAL).await;
         }
@@ -199,8 +200,8 @@
     /// the group without a primary.
     #[must_use]
     pub fn lacks_records(&self, held: &[status::Report]) -> bool {
-        let received = held.iter().map(|look| look.status.received).max();
-        self.may_return() && received < self.furthest
+        let received = held.iter().map(|report| report.status.received).max();
+        self.may_return() && received < self.max_received
     }
 
     // Whether the old primary is still listed, so that it may come back with its log.
@@ -216,7 +217,7 @@
     pub fn intent(&self, candidate: &upstream::Id, held: &[status::Report]) -> intent::Intent {
         let pool = self.group.roster().find(candidate);
         let old = self.old.as_ref().map(|old| old.id());
-        let received = held.iter().map(|look| look.status.received).max();
+        let received = held.iter().map(|report| report.status.received).max();
         intent::Intent {
             group: self.group.name.clone(),
             candidate: candidate.clone(),
@@ -234,18 +235,18 @@
         let Some(old) = &self.old else {
             return verdict::Predecessor::Gone;
         };
-        let look = status::query(old, self.group.dialer(), COMMAND_TIMEOUT).await;
-        let replica = look
+        let report = status::query(old, self.group.dialer(), COMMAND_TIMEOUT).await;
+        let replica = report
             .as_ref()
-            .is_some_and(|look| look.status.role == role::Role::Replica);
-        let look = if replica {
+            .is_some_and(|report| report.status.role == role::Role::Replica);
+        let report = if replica {
             let hold = upstream::Command::Hold(self.term);
             send(old, &hold, self.group.dialer()).await
         } else {
-            look
+            report
         };
-        match look {
-            Some(look) => verdict::Predecessor::Answers(look),
+        match report {
+            Some(report) => verdict::Predecessor::Answers(report),
             None if self.may_return() => verdict::Predecessor::Silent,
             None => verdict::Predecessor::Gone,
         }
@@ -257,12 +258,12 @@
     /// not listed yet has received them.
     pub async fn is_ahead_of(&self, candidate: &upstream::Id, held: &[status::Report]) -> bool {
         let Some(old) = &self.old else { return false };
-        let look = status::query(old, self.group.dialer(), COMMAND_TIMEOUT).await;
+        let report = status::query(old, self.group.dialer(), COMMAND_TIMEOUT).await;
         let received = held
             .iter()
-            .find(|look| look.id == *candidate)
-            .map(|look| look.status.received);
-        look.is_some_and(|look| Some(look.status.received) > received)
+            .find(|report| report.id == *candidate)
+            .map(|report| report.status.received);
+        report.is_some_and(|report| Some(report.status.received) > received)
     }
 
     /// Sends one demote command to the old primary. Returns whether it is a replica now, or is not
@@ -270,8 +271,8 @@
     pub async fn demote_predecessor(&self) -> bool {
         let Some(old) = &self.old else { return true };
         let command = upstream::Command::Demote(self.term);
-        let look = send(old, &command, self.group.dialer()).await;
-        look.is_some_and(|look| look.status.role == role::Role::Replica)
+        let report = send(old, &command, self.group.dialer()).await;
+        report.is_some_and(|report| report.status.role == role::Role::Replica)
     }
 
     /// Makes the old primary step down before a successor is ordered. Returns `None` if it still
@@ -280,22 +281,22 @@
         let old = self.old.as_ref()?;
         let command = upstream::Command::Demote(self.term);
         let dialer = self.group.dialer();
-        let told = send_within(old, &command, dialer, STEP_DOWN_TIMEOUT).await;
-        let look = match told {
-            Some(look) => Some(look),
+        let answer = send_within(old, &command, dialer, STEP_DOWN_TIMEOUT).await;
+        let report = match answer {
+            Some(report) => Some(report),
             // The answer may be lost, or the command still queued.
             None => status::query(old, dialer, STEP_DOWN_TIMEOUT).await,
         };
-        let leads = look
+        let leads = report
             .as_ref()
-            .is_some_and(|look| look.status.role == role::Role::Primary);
-        (!leads).then(|| look.map(|look| look.status.received))
+            .is_some_and(|report| report.status.role == role::Role::Primary);
+        (!leads).then(|| report.map(|report| report.status.received))
     }
 }
 
 // Whether an instance is neither held for this term nor knows the term.
-const fn is_not_held(look: &status::Report, term: id::Term) -> bool {
-    !status::knows_term(&look.status, term)
+const fn is_not_held(report: &status::Report, term: id::Term) -> bool {
+    !status::knows_term(&report.status, term)
 }
 
 /// Sends one command to an instance and returns the status that it answers with.
@@ -312,18 +313,18 @@
     pool: &rc::Rc<pool::Pool>,
     group: &group::Group,
     resumes: &cell::RefCell<resumes::Resumes>,
-    may: impl Fn() -> bool,
+    may_release: impl Fn() -> bool,
 ) {
     let deadline = boot::now() + COMMAND_TIMEOUT;
-    let Some(mut lent) = status::connection(pool, deadline).await else {
+    let Some(mut checkout) = status::connection(pool, deadline).await else {
         return;
     };
-    if !may() {
+    if !may_release() {
         tracing::info!(instance = %pool.id(), "replica stays held: this node may no longer release it");
         return;
     }
     let number = resumes.borrow_mut().sent(&group.name, boot::now());
-    let answer = lent.run(&[upstream::Command::Resume], deadline).await;
+    let answer = checkout.run(&[upstream::Command::Resume], deadline).await;
     let open = answer.as_ref().is_err_and(|failure| failure.sent);
     if !open {
         resumes.borrow_mut().answered(number);
@@ -339,13 +340,13 @@
     limit: time::Duration,
 ) -> Option<status::Report> {
     let deadline = boot::now() + limit;
-    let mut lent = status::connection(pool, deadline).await?;
-    let replies = lent
+    let mut checkout = status::connection(pool, deadline).await?;
+    let replies = checkout
         .run(std::slice::from_ref(command), deadline)
         .await
         .ok()?;
-    let look = status::Report::parse(pool.id(), replies.first()?, dialer);
-    let status = look.as_ref().map(|look| look.status);
+    let report = status::Report::parse(pool.id(), replies.first()?, dialer);
+    let status = report.as_ref().map(|report| report.status);
     tracing::info!(instance = %pool.id(), ?command, ?status, "command sent to instance");
-    look
+    report
 }
--- a/desk/src/quotas.rs
+++ b/desk/src/quotas.rs
@@ -104,8 +104,8 @@
     }
 
     /// Removes unused buckets; called about once a second.
-    pub fn tidy(&self) {
-        self.buckets.borrow_mut().tidy(boot::now());
+    pub fn prune(&self) {
+        self.buckets.borrow_mut().prune(boot::now());
     }
 
     fn skip_reason(&self, member: &member::Member) -> Option<buckets::Reason> {
--- a/desk/src/relay.rs
+++ b/desk/src/relay.rs
@@ -104,7 +104,7 @@
         let deadline = now + OPEN_TIMEOUT;
         match self
             .pool
-            .lend(
+            .check_out(
                 urgency::Urgency::immediate(deadline),
                 &self.organisation,
                 &self.values,
@@ -245,7 +245,7 @@
     ) -> Result<checkout::Checkout, upstream::Failure> {
         let checkout = self
             .pool
-            .lend(urgency, &self.organisation, &self.values, urgency.until)
+            .check_out(urgency, &self.organisation, &self.values, urgency.until)
             .await;
         checkout.map_err(|shortage| upstream::Failure {
             sent: false,
--- a/desk/src/relief.rs
+++ b/desk/src/relief.rs
@@ -113,36 +113,38 @@
 /// let mut relief = Relief::default();
 /// assert!(!relief.observe(&view(9000)));
 /// assert!(relief.observe(&view(9300)));
-/// relief.done(Duration::from_millis(9300));
+/// relief.note_change(Duration::from_millis(9300));
 /// assert!(!relief.observe(&view(11_000)));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Relief {
-    since: Option<id::Time>,
-    done: Option<id::Time>,
+    condition_since: Option<id::Time>,
+    last_change: Option<id::Time>,
 }
 
 impl Relief {
     /// Adds an observation; returns whether primary and replica should change places now.
     pub fn observe(&mut self, view: &View) -> bool {
         if !view.calls_for_change() {
-            self.since = None;
+            self.condition_since = None;
             return false;
         }
-        let since = *self.since.get_or_insert(view.now);
-        let is_due = self.done.is_none_or(|done| view.now >= done + MIN_INTERVAL);
+        let since = *self.condition_since.get_or_insert(view.now);
+        let is_due = self
+            .last_change
+            .is_none_or(|done| view.now >= done + MIN_INTERVAL);
         view.now >= since + MIN_DURATION && is_due
     }
 
     /// Whether a change may be due soon, so that the group should be probed often.
     #[must_use]
-    pub const fn is_near(&self) -> bool {
-        self.since.is_some()
+    pub const fn is_due_soon(&self) -> bool {
+        self.condition_since.is_some()
     }
 
     /// Notes that a change was made.
-    pub const fn done(&mut self, now: id::Time) {
-        self.done = Some(now);
-        self.since = None;
+    pub const fn note_change(&mut self, now: id::Time) {
+        self.last_change = Some(now);
+        self.condition_since = None;
     }
 }
--- a/desk/src/roster.rs
+++ b/desk/src/roster.rs
@@ -104,17 +104,17 @@
         }
     }
 
-    /// Applies a list as it was at `heard`. Its changes may date back to `since`, or to any time if
+    /// Applies a list as it was at `list_time`. Its changes may date back to `since`, or to any time if
     /// that is `None`. Returns the instances that have restarted.
     pub fn update(
         &self,
         instances: Vec<catalog::Instance>,
         since: Option<id::Time>,
-        heard: id::Time,
+        list_time: id::Time,
     ) -> Vec<upstream::Id> {
         self.settling_since
             .set(Some(self.settling_since.get().unwrap_or_else(boot::now)));
-        self.note_confirmed(heard);
+        self.note_confirmed(list_time);
         let listed: collections::BTreeSet<_> = instances
             .iter()
             .map(|instance| instance.id.clone())
@@ -132,14 +132,14 @@
         };
         let running = instances.into_iter().filter(is_running);
         let restarted = running.filter_map(add_or_update).collect();
-        self.mark_unlisted_unless(|id| listed.contains(id), heard);
+        self.mark_unlisted_unless(|id| listed.contains(id), list_time);
         restarted
     }
 
-    /// Notes that the list was confirmed at `heard`, changed or not.
-    pub fn note_confirmed(&self, heard: id::Time) {
+    /// Notes that the list was confirmed at `list_time`, changed or not.
+    pub fn note_confirmed(&self, list_time: id::Time) {
         self.confirmed_at
-            .set(self.confirmed_at.get().max(Some(heard)));
+            .set(self.confirmed_at.get().max(Some(list_time)));
     }
 
     /// Whether the list was confirmed recently.
@@ -147,7 +147,7 @@
     pub fn is_fresh(&self, now: id::Time) -> bool {
         self.confirmed_at
             .get()
-            .is_some_and(|heard| now < heard + LIST_LIFETIME)
+            .is_some_and(|list_time| now < list_time + LIST_LIFETIME)
     }
 
     /// Notes a reset of the store: as after the start, existing instances may be missing from the
@@ -279,23 +279,23 @@
     }
 
     /// Marks instances that are no longer listed and closes spare connections; called periodically.
-    pub fn tidy(&self, listed: impl Fn(&upstream::Id) -> bool) {
+    pub fn maintain(&self, listed: impl Fn(&upstream::Id) -> bool) {
         self.mark_unlisted_unless(listed, boot::now());
         for pool in self.pools.borrow().values() {
             pool.trim();
         }
     }
 
-    fn mark_unlisted_unless(&self, listed: impl Fn(&upstream::Id) -> bool, heard: id::Time) {
-        let gone: Vec<_> = self
+    fn mark_unlisted_unless(&self, listed: impl Fn(&upstream::Id) -> bool, list_time: id::Time) {
+        let unlisted: Vec<_> = self
             .pools
             .borrow()
             .keys()
             .filter(|id| !listed(id))
             .cloned()
             .collect();
-        for id in gone {
-            self.mark_unlisted(&id, heard);
+        for id in unlisted {
+            self.mark_unlisted(&id, list_time);
         }
     }
 
@@ -368,17 +368,17 @@
 
     // An entry vanishes when the instance has left or can't reach the store. The instance is
     // treated as leaving: it may be healthy, but perhaps not for long.
-    fn mark_unlisted(&self, id: &upstream::Id, heard: id::Time) {
+    fn mark_unlisted(&self, id: &upstream::Id, list_time: id::Time) {
         self.leaving
             .borrow_mut()
             .entry(id.clone())
-            .or_insert(heard + MAX_LEAVING_USE);
+            .or_insert(list_time + MAX_LEAVING_USE);
         let pool = self.find(id);
         let announced = pool.is_some_and(|pool| pool.instance.borrow().draining);
         self.absent.borrow_mut().entry(id.clone()).or_insert_with(|| {
             tracing::info!(group = %self.group, instance = %id, announced, "instance is no longer listed");
             absence::Absence {
-                since: heard,
+                since: list_time,
                 noticed: boot::now(),
                 announced,
             }
@@ -394,7 +394,8 @@
         let ended = |pool: &rc::Rc<pool::Pool>| {
             let absent = self.absent.borrow();
             let absence = absent.get(&pool.id());
-            pool.sign().replaced || absence.is_some_and(|absence| absence.is_gone(pool.sign(), now))
+            pool.activity().replaced
+                || absence.is_some_and(|absence| absence.is_gone(pool.activity(), now))
         };
         let mut pools = self.pools();
         pools.retain(ended);
@@ -406,12 +407,12 @@
             }
             self.forget(pool, now);
         }
-        pools.retain(|pool| !pool.sign().replaced);
+        pools.retain(|pool| !pool.activity().replaced);
         pools.iter().map(|pool| pool.id()).collect()
     }
 
     fn forget(&self, pool: &pool::Pool, now: id::Time) {
-        let activity = pool.sign();
+        let activity = pool.activity();
         self.remove(pool);
         self.last_lost.set(Some(now));
         self.forgotten.borrow_mut().insert(pool.id(), now);
@@ -425,7 +426,7 @@
         self.leaving.borrow_mut().remove(&id);
         self.absent.borrow_mut().remove(&id);
         self.pools.borrow_mut().remove(&id);
-        pool.clear();
+        pool.close_idle();
     }
 
     /// All instances that may be probed, including leaving ones.
--- a/desk/src/router.rs
+++ b/desk/src/router.rs
@@ -40,7 +40,7 @@
 const MAX_PARALLEL_LENDERS: usize = 3;
 
 /// Timeout for borrowing a connection from another node.
-const LEND_TIMEOUT: time::Duration = time::Duration::from_millis(350);
+const BORROW_TIMEOUT: time::Duration = time::Duration::from_millis(350);
 
 /// Time for which a node that refused or broke the connection is not asked again; it is
 /// probably restarting.
@@ -84,12 +84,12 @@
     direct: rc::Rc<dyn upstream::Dialer>,
     executor: rc::Rc<async_executor::LocalExecutor<'static>>,
     members: cell::RefCell<Vec<member::Member>>,
-    connections: cell::RefCell<collections::BTreeMap<id::Group, usize>>,
+    connection_limits: cell::RefCell<collections::BTreeMap<id::Group, usize>>,
     pools: cell::RefCell<collections::BTreeMap<upstream::Id, rc::Rc<pool::Pool>>>,
-    avoided: cell::RefCell<collections::BTreeMap<id::Vm, id::Time>>,
-    unreachable: cell::RefCell<collections::BTreeMap<(id::Vm, upstream::Id), id::Time>>,
-    silent: cell::RefCell<collections::BTreeMap<upstream::Id, id::Time>>,
-    organisations: cell::Cell<usize>,
+    avoided_nodes: cell::RefCell<collections::BTreeMap<id::Vm, id::Time>>,
+    unreachable_instances: cell::RefCell<collections::BTreeMap<(id::Vm, upstream::Id), id::Time>>,
+    silent_instances: cell::RefCell<collections::BTreeMap<upstream::Id, id::Time>>,
+    organisation_count: cell::Cell<usize>,
     peers: peers::Peers,
     dial_permits: sync::Arc<async_lock::Semaphore>,
 }
@@ -107,12 +107,12 @@
             direct,
             executor,
             members: cell::RefCell::default(),
-            connections: cell::RefCell::default(),
+            connection_limits: cell::RefCell::default(),
             pools: cell::RefCell::default(),
-            avoided: cell::RefCell::default(),
-            unreachable: cell::RefCell::default(),
-            silent: cell::RefCell::default(),
-            organisations: cell::Cell::default(),
+            avoided_nodes: cell::RefCell::default(),
+            unreachable_instances: cell::RefCell::default(),
+            silent_instances: cell::RefCell::default(),
+            organisation_count: cell::Cell::default(),
             peers: peers::Peers::default(),
             dial_permits: sync::Arc::new(async_lock::Semaphore::new(MAX_CONCURRENT_DIALS)),
         })
@@ -130,9 +130,9 @@
     pub fn apply(&self, catalog: &catalog::Catalog) {
         let limits = catalog.services.iter();
         let limits = limits.map(|service| (service.group.clone(), service.connections));
-        self.connections.replace(limits.collect());
+        self.connection_limits.replace(limits.collect());
         let organisations = catalog.organisations.as_ref();
-        self.organisations
+        self.organisation_count
             .set(organisations.map_or(0, organisations::Organisations::len));
     }
 
@@ -178,7 +178,7 @@
     // How many connections this node may have to an instance, for itself and for the nodes that it
     // lends to. A node that lends only as a substitute leaves most of them to the regular ones.
     fn size(&self, target: &upstream::Target) -> size::Size {
-        let (nodes, each) = match self.way(target) {
+        let (nodes, each) = match self.serving_mode(target) {
             serving::Mode::Direct => return size::Size::shared(),
             serving::Mode::Shared { nodes, each } => (nodes, each),
         };
@@ -203,34 +203,36 @@
 
     // Whether each connection belongs to one organisation, so that connections are always scarce.
     fn partitions_connections(&self) -> bool {
-        self.organisations.get() > 1
+        self.organisation_count.get() > 1
     }
 
     /// Closes spare idle connections, and removes pools of unlisted instances and expired marks.
-    pub fn tidy(&self, listed: impl Fn(&upstream::Id) -> bool) {
+    pub fn prune(&self, listed: impl Fn(&upstream::Id) -> bool) {
         self.pools.borrow_mut().retain(|id, pool| {
             pool.trim();
             listed(id) || pool.load() > 0
         });
         let now = boot::now();
-        self.silent.borrow_mut().retain(|_, until| now < *until);
-        self.unreachable
+        self.silent_instances
+            .borrow_mut()
+            .retain(|_, until| now < *until);
+        self.unreachable_instances
             .borrow_mut()
             .retain(|_, until| now < *until);
     }
 
-    fn way(&self, target: &upstream::Target) -> serving::Mode {
-        let connections = self.connections.borrow().get(&target.group).copied();
+    fn serving_mode(&self, target: &upstream::Target) -> serving::Mode {
+        let connections = self.connection_limits.borrow().get(&target.group).copied();
         serving::mode(
             connections.unwrap_or_default(),
             self.members.borrow().len(),
-            self.organisations.get(),
+            self.organisation_count.get(),
         )
     }
 
     // The nodes to borrow from, in order of preference; only this node itself if it is one of them.
     fn lenders(&self, target: &upstream::Target) -> Vec<member::Member> {
-        let serving::Mode::Shared { nodes, .. } = self.way(target) else {
+        let serving::Mode::Shared { nodes, .. } = self.serving_mode(target) else {
             return Vec::new();
         };
         let members = self.members.borrow();
@@ -255,9 +257,9 @@
     fn may_lend(&self, name: &id::Vm, instance: &upstream::Id) -> bool {
         let now = boot::now();
         let expired = |until: &id::Time| *until < now;
-        let avoided = self.avoided.borrow();
-        let unreachable = self.unreachable.borrow();
-        avoided.get(name).is_none_or(expired)
+        let avoided_nodes = self.avoided_nodes.borrow();
+        let unreachable = self.unreachable_instances.borrow();
+        avoided_nodes.get(name).is_none_or(expired)
             && unreachable
                 .get(&(name.clone(), instance.clone()))
                 .is_none_or(expired)
@@ -270,17 +272,17 @@
         }
         match self.borrow_from_first(target, &lenders).await {
             Err(upstream::Refusal::Silent(_)) => {}
-            known => return known,
+            result => return result,
         }
         let others = self.lenders(target);
         if others.iter().any(|other| other.name == self.name) {
             return self.borrow_from_first(target, &others).await;
         }
         let others = others.iter().take(MAX_PARALLEL_LENDERS);
-        let asked = others.map(|other| self.borrow_from(other, target, None).boxed_local());
-        let asked: Vec<_> = asked.collect();
-        if !asked.is_empty()
-            && let Ok((dialled, _)) = future::select_ok(asked).await
+        let attempts = others.map(|other| self.borrow_from(other, target, None).boxed_local());
+        let attempts: Vec<_> = attempts.collect();
+        if !attempts.is_empty()
+            && let Ok((dialled, _)) = future::select_ok(attempts).await
         {
             return Ok(dialled);
         }
@@ -316,8 +318,11 @@
         target: &upstream::Target,
         lifetime: Option<time::Duration>,
     ) -> Dialled {
-        let dialled =
-            wait::within(LEND_TIMEOUT, remote::dial(lender.address, target, lifetime)).await;
+        let dialled = wait::within(
+            BORROW_TIMEOUT,
+            remote::dial(lender.address, target, lifetime),
+        )
+        .await;
         let refusal = match dialled {
             Some(Ok(Ok(dialled))) => return Ok(dialled),
             Some(Ok(Err(refusal))) => {
@@ -345,14 +350,14 @@
 
     fn avoid(&self, name: &id::Vm, pause: time::Duration) {
         let until = boot::now() + pause;
-        self.avoided.borrow_mut().insert(name.clone(), until);
+        self.avoided_nodes.borrow_mut().insert(name.clone(), until);
     }
 
     // Records that a node could not reach an instance, if that was the reason of its refusal.
     fn note_refusal(&self, name: &id::Vm, target: &upstream::Target, refusal: &upstream::Refusal) {
         if matches!(refusal, upstream::Refusal::Silent(_)) {
             let pair = (name.clone(), target.id.clone());
-            self.unreachable
+            self.unreachable_instances
                 .borrow_mut()
                 .insert(pair, boot::now() + UNREACHABLE_PAUSE);
         }
@@ -376,7 +381,9 @@
         }
         if let Some(dialled) = self.dial_through_others(target).await {
             let until = boot::now() + SILENT_INSTANCE_PERIOD;
-            self.silent.borrow_mut().insert(target.id.clone(), until);
+            self.silent_instances
+                .borrow_mut()
+                .insert(target.id.clone(), until);
             return Ok(dialled);
         }
         let dialled = direct.await;
@@ -389,26 +396,26 @@
         others.retain(|member| member.name != self.name && self.may_lend(&member.name, &target.id));
         fastrand::shuffle(&mut others);
         others.truncate(MAX_PARALLEL_DETOURS);
-        let asked = others.iter().map(|other| {
+        let attempts = others.iter().map(|other| {
             self.borrow_from(other, target, Some(DETOUR_LIFETIME))
                 .boxed_local()
         });
-        let asked: Vec<_> = asked.collect();
-        if asked.is_empty() {
+        let attempts: Vec<_> = attempts.collect();
+        if attempts.is_empty() {
             return None;
         }
-        let (dialled, _) = future::select_ok(asked).await.ok()?;
+        let (dialled, _) = future::select_ok(attempts).await.ok()?;
         tracing::info!(instance = %target.id, "instance is silent; connected through another node");
         Some(dialled)
     }
 
     fn is_silent(&self, id: &upstream::Id) -> bool {
-        let silent = self.silent.borrow();
+        let silent = self.silent_instances.borrow();
         silent.get(id).is_some_and(|until| boot::now() < *until)
     }
 
     fn note_result(&self, target: &upstream::Target, dialled: &Dialled) {
-        let mut silent = self.silent.borrow_mut();
+        let mut silent = self.silent_instances.borrow_mut();
         if matches!(dialled, Err(upstream::Refusal::Silent(_))) {
             silent.insert(target.id.clone(), boot::now() + SILENT_INSTANCE_PERIOD);
         } else {
@@ -437,19 +444,20 @@
     }
 
     fn is_last_resort(&self, target: &upstream::Target) -> bool {
-        self.partitions_connections() && self.way(target) != serving::Mode::Direct
+        self.partitions_connections() && self.serving_mode(target) != serving::Mode::Direct
     }
 
     fn request_floor<'a>(
         &'a self,
-        ask: &'a delegate::Request,
+        request: &'a delegate::Request,
     ) -> future::LocalBoxFuture<'a, Option<delegate::Response>> {
         async move {
             let may_ask = |name: &id::Vm| self.peers.may_ask(name);
-            let keeper = delegate::choose(&self.members.borrow(), &ask.group, &self.name, may_ask)?;
-            let question = question::Question::Floor(ask.clone());
-            match self.peers.ask(&keeper, &question).await? {
-                question::Answer::Floor(told) => Some(told),
+            let delegate =
+                delegate::choose(&self.members.borrow(), &request.group, &self.name, may_ask)?;
+            let question = question::Question::Floor(request.clone());
+            match self.peers.ask(&delegate, &question).await? {
+                question::Answer::Floor(response) => Some(response),
                 _ => None,
             }
         }
--- a/desk/src/session.rs
+++ b/desk/src/session.rs
@@ -278,15 +278,15 @@
         let rollback = async move {
             let deadline = boot::now() + ROLLBACK_TIMEOUT;
             pinned
-                .lent
+                .checkout
                 .set_urgency(urgency::Urgency::immediate(deadline));
             let result = pinned
-                .lent
+                .checkout
                 .run(&[upstream::Command::Rollback { id }], deadline)
                 .await;
             let clean = result.is_ok_and(|replies| is_idle(&replies));
             if !clean {
-                pinned.lent.discard();
+                pinned.checkout.discard();
             }
         };
         self.node.executor().spawn(rollback).detach();
@@ -368,13 +368,15 @@
         let Some(pinned) = &mut transaction.pinned else {
             return self.error(reply::Code::Aborted, "the transaction has no connection");
         };
-        pinned.lent.set_urgency(deadline::urgency_in_transaction(
-            &transaction.route,
-            query.arrived,
-        ));
-        let commands = query.commands(&mut pinned.lent, &self.values, None, true);
+        pinned
+            .checkout
+            .set_urgency(deadline::urgency_in_transaction(
+                &transaction.route,
+                query.arrived,
+            ));
+        let commands = query.commands(&mut pinned.checkout, &self.values, None, true);
         let sent = boot::now();
-        let result = pinned.lent.run(&commands, deadline).await;
+        let result = pinned.checkout.run(&commands, deadline).await;
         let Some(reply) = result.ok().and_then(|mut replies| replies.pop()) else {
             // No COMMIT was sent and the connection is closed: the instance rolls the
             // transaction back.
@@ -448,11 +450,13 @@
         };
         let sent = boot::now();
         let deadline = arrived + transaction.route.timeout;
-        pinned.lent.set_urgency(deadline::urgency_in_transaction(
-            &transaction.route,
-            arrived,
-        ));
-        let reply = match pinned.lent.run(&[command], deadline).await {
+        pinned
+            .checkout
+            .set_urgency(deadline::urgency_in_transaction(
+                &transaction.route,
+                arrived,
+            ));
+        let reply = match pinned.checkout.run(&[command], deadline).await {
             Ok(mut replies) => replies.pop(),
             // The COMMIT was not sent. Closing the connection rolls the transaction back.
             Err(failure) if !failure.sent => {
--- a/desk/src/status.rs
+++ b/desk/src/status.rs
@@ -99,10 +99,10 @@
 ) -> Option<checkout::Checkout> {
     let urgency = urgency::Urgency::immediate(deadline);
     let own = organisation::OWN;
-    let lent = pool
-        .lend(urgency, &own, &connection::Values::new(), deadline)
+    let checkout = pool
+        .check_out(urgency, &own, &connection::Values::new(), deadline)
         .await;
-    lent.ok()
+    checkout.ok()
 }
 
 /// Queries the status of one instance; `None` if it doesn't answer within `limit`.
@@ -112,9 +112,9 @@
     limit: time::Duration,
 ) -> Option<Report> {
     let deadline = boot::now() + limit;
-    let mut lent = connection(pool, deadline).await?;
+    let mut checkout = connection(pool, deadline).await?;
     metrics::counter!("mangotray_upstream_looks_total").increment(1);
-    let replies = lent
+    let replies = checkout
         .run(&[upstream::Command::Status], deadline)
         .await
         .ok()?;
--- a/desk/src/verdict.rs
+++ b/desk/src/verdict.rs
@@ -17,15 +17,15 @@
 #[derive(Clone, Debug)]
 pub struct View<'a> {
     /// The primary that is replaced, and its term.
-    pub lead: &'a status::Leader,
+    pub leader: &'a status::Leader,
     /// Term for which the replicas are held.
     pub term: id::Term,
     /// Number of instances that have to be held: all except the one that is replaced.
     pub expected: usize,
     /// The answers of these instances.
-    pub looks: &'a [status::Report],
+    pub reports: &'a [status::Report],
     /// Last log position that any replica is known to have received.
-    pub furthest: Option<stamp::Stamp>,
+    pub max_received: Option<stamp::Stamp>,
     /// An instance whose order may still take effect.
     pub pending: Option<&'a upstream::Id>,
     /// If a replica has lost its log, the bound on the records that it may have confirmed.
@@ -56,12 +56,12 @@
     /// The status that it answered with.
     ///
     /// ```
-    /// assert_eq!(mangotray_desk::verdict::Predecessor::Gone.look(), None);
+    /// assert_eq!(mangotray_desk::verdict::Predecessor::Gone.report(), None);
     /// ```
     #[must_use]
-    pub const fn look(&self) -> Option<&status::Report> {
+    pub const fn report(&self) -> Option<&status::Report> {
         match self {
-            Self::Answers(look) => Some(look),
+            Self::Answers(report) => Some(report),
             Self::Gone | Self::Silent => None,
         }
     }
@@ -95,27 +95,27 @@
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
     /// use mangotray_desk::{status, upstream, verdict};
-    /// let look = |id: &str, position| status::Report {
+    /// let report = |id: &str, position| status::Report {
     ///     id: id.into(),
     ///     status: upstream::Status { role: Role::Replica, term: 1, received: Stamp::new(1, position), held: 2, load: upstream::Load::default() },
     ///     applied: None,
     /// };
-    /// let lead = status::Leader { id: "a".into(), term: 1 };
-    /// let looks = [look("b", 4), look("c", 9)];
-    /// let view = verdict::View { lead: &lead, term: 2, expected: 2, looks: &looks, furthest: Some(Stamp::new(1, 9)), pending: None, loss: None };
+    /// let leader = status::Leader { id: "a".into(), term: 1 };
+    /// let reports = [report("b", 4), report("c", 9)];
+    /// let view = verdict::View { leader: &leader, term: 2, expected: 2, reports: &reports, max_received: Some(Stamp::new(1, 9)), pending: None, loss: None };
     /// assert_eq!(view.judge(|_| false), verdict::Verdict::Promote("c".into()));
     /// ```
     #[must_use]
     pub fn judge(&self, leaves: impl Fn(&upstream::Id) -> bool) -> Verdict {
-        if let Some(lead) = self.overtaken() {
-            return Verdict::Overtaken(lead);
+        if let Some(leader) = self.overtaken() {
+            return Verdict::Overtaken(leader);
         }
-        let all = !self.looks.is_empty() && self.looks.len() == self.expected;
-        if !all || !self.looks.iter().all(|look| self.is_held(look)) {
+        let all = !self.reports.is_empty() && self.reports.len() == self.expected;
+        if !all || !self.reports.iter().all(|report| self.is_held(report)) {
             return Verdict::Wait;
         }
         match self.best(leaves) {
-            Some(look) if self.has_all(look) => self.promote(look),
+            Some(report) if self.has_all(report) => self.promote(report),
             _ => Verdict::Lacking,
         }
     }
@@ -127,9 +127,9 @@
     /// use mangotray::{role::Role, stamp::Stamp};
     /// use mangotray_desk::{status, upstream, verdict};
     /// let status = upstream::Status { role: Role::Replica, term: 1, received: Stamp::new(1, 4), held: 2, load: upstream::Load::default() };
-    /// let lead = status::Leader { id: "a".into(), term: 1 };
-    /// let looks = [status::Report { id: "b".into(), status, applied: None }];
-    /// let view = verdict::View { lead: &lead, term: 2, expected: 1, looks: &looks, furthest: Some(Stamp::new(1, 9)), pending: None, loss: None };
+    /// let leader = status::Leader { id: "a".into(), term: 1 };
+    /// let reports = [status::Report { id: "b".into(), status, applied: None }];
+    /// let view = verdict::View { leader: &leader, term: 2, expected: 1, reports: &reports, max_received: Some(Stamp::new(1, 9)), pending: None, loss: None };
     /// assert_eq!(view.judge(|_| false), verdict::Verdict::Lacking);
     /// assert_eq!(view.resolve(&verdict::Predecessor::Silent, |_| false), verdict::Verdict::HeldBack);
     /// assert_eq!(view.resolve(&verdict::Predecessor::Gone, |_| false), verdict::Verdict::Promote("b".into()));
@@ -139,22 +139,22 @@
         let Some(best) = self.best(leaves) else {
             return Verdict::Wait;
         };
-        let look = match old {
+        let report = match old {
             Predecessor::Silent => return Verdict::HeldBack,
             // No instance has the records any more. Waiting would only leave the group without a
             // primary.
             Predecessor::Gone => return self.promote(best),
-            Predecessor::Answers(look) => look,
+            Predecessor::Answers(report) => report,
         };
-        let leads = look.status.role == role::Role::Primary;
-        if leads && look.status.term > self.lead.term {
-            return Verdict::Overtaken(look.leader());
+        let leads = report.status.role == role::Role::Primary;
+        if leads && report.status.term > self.leader.term {
+            return Verdict::Overtaken(report.leader());
         }
-        let further = look.status.received > best.status.received;
-        match (leads, further) {
+        let has_more_records = report.status.received > best.status.received;
+        match (leads, has_more_records) {
             (true, true) => Verdict::Returned,
             // The old primary is a replica now, and the only instance with the records.
-            (false, true) if self.is_held(look) => self.promote(look),
+            (false, true) if self.is_held(report) => self.promote(report),
             (false, true) => Verdict::Wait,
             (_, false) => self.promote(best),
         }
@@ -163,62 +163,62 @@
     /// Whether the log of this instance is empty.
     ///
     /// A promoter that has just started does not know what the replicas had received before they
-    /// lost their logs, so [`View::furthest`] may be empty. If the primary is cut off from two
+    /// lost their logs, so [`View::max_received`] may be empty. If the primary is cut off from two
     /// replicas that have both restarted, a promotion would lose the whole log.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
     /// use mangotray_desk::{status, upstream, verdict};
     /// let status = upstream::Status { role: Role::Replica, term: 1, received: Stamp::new(1, 0), held: 4, load: upstream::Load::default() };
-    /// let lead = status::Leader { id: "a".into(), term: 3 };
-    /// let looks = [status::Report { id: "b".into(), status, applied: None }];
-    /// let view = verdict::View { lead: &lead, term: 4, expected: 1, looks: &looks, furthest: None, pending: None, loss: None };
+    /// let leader = status::Leader { id: "a".into(), term: 3 };
+    /// let reports = [status::Report { id: "b".into(), status, applied: None }];
+    /// let view = verdict::View { leader: &leader, term: 4, expected: 1, reports: &reports, max_received: None, pending: None, loss: None };
     /// assert_eq!(view.judge(|_| false), verdict::Verdict::Promote("b".into()));
     /// assert!(view.is_empty(&"b".into()));
     /// ```
     #[must_use]
     pub fn is_empty(&self, candidate: &upstream::Id) -> bool {
-        let look = self.looks.iter().find(|look| look.id == *candidate);
-        look.is_some_and(|look| look.status.received.position == 0)
+        let report = self.reports.iter().find(|report| report.id == *candidate);
+        report.is_some_and(|report| report.status.received.position == 0)
     }
 
     // Promotes the instance with the longest log. An instance whose order may still take effect is
     // preferred if its log is as long. If it is shorter, that instance may still lead later, and
     // two instances would lead in turns if another were promoted meanwhile.
-    fn promote(&self, furthest: &status::Report) -> Verdict {
+    fn promote(&self, best: &status::Report) -> Verdict {
         let pending = self
-            .looks
+            .reports
             .iter()
-            .find(|look| self.pending == Some(&look.id));
+            .find(|report| self.pending == Some(&report.id));
         match pending {
-            Some(look) if look.status.received < furthest.status.received => Verdict::Wait,
-            Some(look) => Verdict::Promote(look.id.clone()),
-            None => Verdict::Promote(furthest.id.clone()),
+            Some(report) if report.status.received < best.status.received => Verdict::Wait,
+            Some(report) => Verdict::Promote(report.id.clone()),
+            None => Verdict::Promote(best.id.clone()),
         }
     }
 
     // Records that a replica confirmed shortly before it lost its log may never have been observed,
-    // so `furthest` alone does not cover them.
-    fn has_all(&self, look: &status::Report) -> bool {
-        let received = look.status.received;
+    // so `max_received` alone does not cover them.
+    fn has_all(&self, report: &status::Report) -> bool {
+        let received = report.status.received;
         let covers = self.loss.is_none_or(|loss| match loss {
             Loss::Unknown => false,
             Loss::Within(stamp) => received >= stamp,
         });
-        covers && Some(received) >= self.furthest
+        covers && Some(received) >= self.max_received
     }
 
     fn overtaken(&self) -> Option<status::Leader> {
-        status::latest_leader(self.looks, self.lead.term + 1)
+        status::latest_leader(self.reports, self.leader.term + 1)
     }
 
-    fn is_held(&self, look: &status::Report) -> bool {
-        look.status.role == role::Role::Replica && look.status.held >= self.term
+    fn is_held(&self, report: &status::Report) -> bool {
+        report.status.role == role::Role::Replica && report.status.held >= self.term
     }
 
     fn best(&self, leaves: impl Fn(&upstream::Id) -> bool) -> Option<&status::Report> {
-        self.looks
+        self.reports
             .iter()
-            .max_by_key(|look| (look.status.received, !leaves(&look.id)))
+            .max_by_key(|report| (report.status.received, !leaves(&report.id)))
     }
 }
--- a/desk/tests/audit.rs
+++ b/desk/tests/audit.rs
@@ -13,7 +13,7 @@
 use mangotray_desk::upstream;
 use mangotray_desk::wait;
 
-fn look(id: &str, role: role::Role, term: u64, number: u64) -> status::Report {
+fn report(id: &str, role: role::Role, term: u64, number: u64) -> status::Report {
     status::Report {
         id: id.into(),
         status: upstream::Status {
@@ -34,15 +34,15 @@
         position: stamp::Stamp::new(3, 420),
         term: 4,
         old: Some("a".into()),
-        looks: vec![look("b", role::Role::Replica, 3, 420)],
-        asked: ["a", "b", "c"].map(upstream::Id::from).to_vec(),
+        reports: vec![report("b", role::Role::Replica, 3, 420)],
+        queried: ["a", "b", "c"].map(upstream::Id::from).to_vec(),
         unlisted: vec!["c".into()],
         forgotten: vec![("d".into(), time::Duration::from_secs(7))],
     }
 }
 
-fn instances_ahead(looks: &[status::Report]) -> Vec<&str> {
-    let found = audit().instances_ahead(looks);
+fn instances_ahead(reports: &[status::Report]) -> Vec<&str> {
+    let found = audit().instances_ahead(reports);
     found.iter().map(|found| found.id.as_str()).collect()
 }
 
@@ -55,8 +55,8 @@
         audit.uncounted(),
         "a replaced, c unlisted, d forgotten 7s ago"
     );
-    audit.looks.push(look("c", role::Role::Replica, 3, 400));
-    audit.asked.push("e".into());
+    audit.reports.push(report("c", role::Role::Replica, 3, 400));
+    audit.queried.push("e".into());
     assert_eq!(
         audit.counted(),
         "b 3/420 term 3 held 0, c 3/400 term 3 held 0 unlisted"
@@ -65,15 +65,15 @@
         audit.uncounted(),
         "a replaced, e not held, d forgotten 7s ago"
     );
-    assert_eq!(audit.unanswered(&audit.looks), "a, e");
+    assert_eq!(audit.unanswered(&audit.reports), "a, e");
 }
 
 /// Guards against an undetected loss when the replica with the lost records was not counted.
 #[test]
 fn records_that_the_new_primary_lacks_are_a_loss() {
-    let leads = look("b", role::Role::Primary, 4, 440);
-    let replica = look("c", role::Role::Replica, 3, 421);
-    let old = look("a", role::Role::Primary, 3, 425);
+    let leads = report("b", role::Role::Primary, 4, 440);
+    let replica = report("c", role::Role::Replica, 3, 421);
+    let old = report("a", role::Role::Primary, 3, 425);
     assert_eq!(instances_ahead(&[old, leads, replica.clone()]), ["a", "c"]);
     // The new primary does not answer.
     assert_eq!(instances_ahead(&[replica]), ["c"]);
@@ -84,14 +84,14 @@
 fn records_of_the_new_primary_are_no_loss() {
     // The new primary leads a later term than its replicas were held for, and one of them already
     // has records of that term.
-    let leads = look("b", role::Role::Primary, 6, 440);
+    let leads = report("b", role::Role::Primary, 6, 440);
     let followers = [
-        look("a", role::Role::Replica, 3, 420),
-        look("c", role::Role::Replica, 6, 439),
+        report("a", role::Role::Replica, 3, 420),
+        report("c", role::Role::Replica, 6, 439),
     ];
     let [first, second] = followers;
     assert!(instances_ahead(&[first, leads, second]).is_empty());
-    let behind = look("c", role::Role::Replica, 2, 500);
+    let behind = report("c", role::Role::Replica, 2, 500);
     assert!(instances_ahead(&[behind]).is_empty());
 }
 
--- a/desk/tests/cluster/mod.rs
+++ b/desk/tests/cluster/mod.rs
@@ -592,13 +592,13 @@
     /// Starts the node's periodic housekeeping.
     pub fn run_housekeeping(&self) {
         let node = rc::Rc::clone(&self.node);
-        let tidy = async move {
+        let maintenance = async move {
             loop {
-                node.tidy();
+                node.maintain();
                 wait::sleep(HOUSEKEEPING_INTERVAL).await;
             }
         };
-        self.executor.spawn(tidy).detach();
+        self.executor.spawn(maintenance).detach();
     }
 
     /// Removes a running instance from the list, and waits longer than a restarting one is missing.
--- a/desk/tests/detector.rs
+++ b/desk/tests/detector.rs
@@ -11,36 +11,36 @@
 }
 
 /// A round with a leaving primary.
-fn round(millis: u64, added: u64) -> detector::Round {
+fn round(millis: u64, last_added: u64) -> detector::Round {
     let stamp = stamp::Stamp::new(1, 5);
     detector::Round {
         started: at(millis),
         primary: detector::Reach::Answered(stamp),
-        leaving: true,
-        added: at(added),
+        primary_leaving: true,
+        last_added: at(last_added),
         received: Some(stamp),
-        held: false,
-        replicas: 2,
-        answers: 2,
+        held_for_later_term: false,
+        replica_count: 2,
+        answer_count: 2,
     }
 }
 
 /// A round with a primary that has records which no replica receives.
-fn stalled(millis: u64, replicas: usize, answers: usize) -> detector::Round {
+fn stalled(millis: u64, replica_count: usize, answer_count: usize) -> detector::Round {
     detector::Round {
         primary: detector::Reach::Answered(stamp::Stamp::new(1, 9)),
-        leaving: false,
-        replicas,
-        answers,
+        primary_leaving: false,
+        replica_count,
+        answer_count,
         ..round(millis, 0)
     }
 }
 
-fn judge_for_seconds(replicas: usize, answers: usize) -> Option<detector::Cause> {
+fn judge_for_seconds(replica_count: usize, answer_count: usize) -> Option<detector::Cause> {
     let mut detector = detector::Detector::default();
     let rounds = (10_000..13_000).step_by(100);
     rounds.fold(None, |cause, millis| {
-        cause.or(detector.judge(&stalled(millis, replicas, answers)))
+        cause.or(detector.judge(&stalled(millis, replica_count, answer_count)))
     })
 }
 
@@ -128,10 +128,10 @@
     let mut backoff = backoff::Backoff::default();
     let cause = detector::Cause::Stalled;
     let (a, b) = ("a".into(), "b".into());
-    backoff.changed(&a, &b, cause, at(10_000));
+    backoff.note_promotion(&a, &b, cause, at(10_000));
     assert!(!backoff.permits(&b, cause, at(13_900)));
     assert!(backoff.permits(&b, cause, at(14_000)));
-    backoff.changed(&b, &a, cause, at(14_000));
+    backoff.note_promotion(&b, &a, cause, at(14_000));
     assert!(!backoff.permits(&a, cause, at(21_900)));
     assert!(backoff.permits(&a, cause, at(22_000)));
     // A different primary that has lost its replicas is replaced at once.
@@ -148,7 +148,7 @@
     let (mut now, mut tries) = (13_000, Vec::new());
     while now < 17_000 {
         if backoff.permits(&primary, cause, at(now)) {
-            backoff.given_up(cause, at(now));
+            backoff.note_given_up(cause, at(now));
             tries.push(now);
         }
         now += 100;
--- a/desk/tests/group.rs
+++ b/desk/tests/group.rs
@@ -208,7 +208,7 @@
         let urgency = urgency::Urgency::immediate(deadline);
         drop(
             before
-                .lend(
+                .check_out(
                     urgency,
                     &organisation::OWN,
                     &connection::Values::new(),
--- a/desk/tests/handover.rs
+++ b/desk/tests/handover.rs
@@ -300,7 +300,7 @@
         wait::sleep(harness::LONG).await;
         assert_eq!(harness.cluster.world.borrow_mut().at(follower).held, 0);
         let group = harness.cluster.node.group(&cluster::GROUP.into());
-        assert_eq!(group.leader().map(|lead| lead.term), Some(2));
+        assert_eq!(group.leader().map(|leader| leader.term), Some(2));
         let recorded = harness.election.intent(&cluster::GROUP.into());
         assert_eq!(recorded.map(|intent| intent.term), Some(2));
     });
--- a/desk/tests/harness/mod.rs
+++ b/desk/tests/harness/mod.rs
@@ -450,7 +450,8 @@
     pub async fn wait_for_primary(&self, term: u64) {
         let group = self.cluster.node.group(&cluster::GROUP.into());
         cluster::until("a primary leads", || {
-            group.leader().is_some_and(|lead| lead.term >= term) && self.election.held().is_some()
+            group.leader().is_some_and(|leader| leader.term >= term)
+                && self.election.held().is_some()
         })
         .await;
     }
--- a/desk/tests/organisations.rs
+++ b/desk/tests/organisations.rs
@@ -48,9 +48,12 @@
     let deadline = boot::now() + LIMIT;
     let urgency = urgency::Urgency::immediate(deadline);
     let values = connection::Values::new();
-    let lent = pool.lend(urgency, &name.into(), &values, deadline).await;
-    let mut lent = lent.expect("a connection");
-    lent.run(&cluster::read(name), deadline)
+    let checkout = pool
+        .check_out(urgency, &name.into(), &values, deadline)
+        .await;
+    let mut checkout = checkout.expect("a connection");
+    checkout
+        .run(&cluster::read(name), deadline)
         .await
         .expect("an answer");
 }
@@ -83,8 +86,8 @@
         let urgency = urgency::Urgency::immediate(deadline);
         let values = connection::Values::new();
         let own = organisation::OWN;
-        let lend = || pool.lend(urgency, &own, &values, deadline);
-        let held = [lend().await, lend().await, lend().await];
+        let check_out = || pool.check_out(urgency, &own, &values, deadline);
+        let held = [check_out().await, check_out().await, check_out().await];
         drop(held);
         let ran = wait::within(millis(400), async {
             run_for(&pool, "dome").await;
@@ -104,7 +107,9 @@
         let deadline = boot::now() + LIMIT;
         let urgency = urgency::Urgency::immediate(deadline);
         let values = connection::Values::new();
-        let held = pool.lend(urgency, &"dome".into(), &values, deadline).await;
+        let held = pool
+            .check_out(urgency, &"dome".into(), &values, deadline)
+            .await;
         let waiting = {
             let pool = rc::Rc::clone(&pool);
             cluster
--- a/desk/tests/pool.rs
+++ b/desk/tests/pool.rs
@@ -24,17 +24,17 @@
 const LIMIT: time::Duration = time::Duration::from_secs(5);
 const SHORT: time::Duration = time::Duration::from_millis(40);
 
-async fn lend(pool: &rc::Rc<pool::Pool>, values: &Values) -> checkout::Checkout {
+async fn check_out(pool: &rc::Rc<pool::Pool>, values: &Values) -> checkout::Checkout {
     let deadline = boot::now() + LIMIT;
-    let lent = pool
-        .lend(
+    let checkout = pool
+        .check_out(
             urgency::Urgency::immediate(deadline),
             &organisation::OWN,
             values,
             deadline,
         )
         .await;
-    lent.expect("a connection")
+    checkout.expect("a connection")
 }
 
 /// Guards against a statement that runs with other session values than its caller set. A
@@ -52,8 +52,8 @@
     let pool = cluster.pool(2, 1);
     cluster.run(async {
         let values = Values::from([("tint".into(), "red".into())]);
-        let mut first = lend(&pool, &Values::new()).await;
-        let mut second = lend(&pool, &values).await;
+        let mut first = check_out(&pool, &Values::new()).await;
+        let mut second = check_out(&pool, &values).await;
         cluster.world.borrow_mut().stalled = true;
         let busy = cluster.executor.spawn(async move {
             let status = [upstream::Command::Status];
@@ -68,7 +68,7 @@
         drop(second);
         cluster.world.borrow_mut().stalled = false;
         let _busy = busy.await.expect("an answer");
-        let mut third = lend(&pool, &values).await;
+        let mut third = check_out(&pool, &values).await;
         let prelude = third.setup_commands(&values, None, false);
         let sets = |command: &upstream::Command| matches!(command, upstream::Command::Set { .. });
         assert!(prelude.iter().any(sets), "{prelude:?}");
@@ -85,9 +85,9 @@
     cluster.run(async {
         let read = cluster::read("read");
         cluster.world.borrow_mut().at("a").refuse = 30;
-        let mut lent = lend(&pool, &Values::new()).await;
+        let mut checkout = check_out(&pool, &Values::new()).await;
         for _ in 0..30 {
-            let replies = lent.run(&read, boot::now() + LIMIT);
+            let replies = checkout.run(&read, boot::now() + LIMIT);
             replies.await.expect("an answer");
             wait::sleep(time::Duration::from_millis(10)).await;
         }
@@ -103,10 +103,10 @@
     let cluster = cluster::Cluster::new();
     let pool = cluster.pool(2, 1);
     cluster.run(async {
-        let mut lent = lend(&pool, &Values::new()).await;
+        let mut checkout = check_out(&pool, &Values::new()).await;
         cluster.world.borrow_mut().stalled = true;
         let status = [upstream::Command::Status];
-        let result = lent.run(&status, boot::now() + SHORT).await;
+        let result = checkout.run(&status, boot::now() + SHORT).await;
         assert!(result.expect_err("no answer").sent);
         assert!(!pool.is_down());
     });
@@ -135,14 +135,14 @@
         rc::Rc::new(cluster::Dialer(rc::Rc::clone(&world))),
     );
     cluster.run(async {
-        let mut lent = lend(&pool, &Values::new()).await;
+        let mut checkout = check_out(&pool, &Values::new()).await;
         // A second connection may have been started for it meanwhile.
         wait::sleep(SHORT).await;
         let opened = world.borrow().connections;
         world.borrow_mut().dead = opened;
         let silent = cluster.executor.spawn(async move {
             let status = [upstream::Command::Status];
-            lent.run(&status, boot::now() + LIMIT).await.is_err()
+            checkout.run(&status, boot::now() + LIMIT).await.is_err()
         });
         let another = || world.borrow().connections == opened + 1;
         cluster::until("another connection is opened", another).await;
@@ -189,7 +189,7 @@
     cluster.run(async {
         let taken = permits.acquire_arc().await;
         let values = Values::new();
-        let mut waiting = std::pin::pin!(lend(&pool, &values));
+        let mut waiting = std::pin::pin!(check_out(&pool, &values));
         assert!(wait::within(SHORT, waiting.as_mut()).await.is_none());
         assert_eq!(world.borrow().connections, 0);
         drop(taken);
--- a/desk/tests/promoter.rs
+++ b/desk/tests/promoter.rs
@@ -25,7 +25,7 @@
 use harness::start_on;
 
 #[test]
-fn a_crashed_primary_is_replaced_by_the_furthest_replica() {
+fn a_crashed_primary_is_replaced_by_the_replica_with_the_longest_log() {
     let harness = start();
     harness.cluster.run(async {
         harness.wait_for_primary(1).await;
@@ -137,7 +137,7 @@
 /// outside and taken by another node, and the old holder orders a promotion without confirming its
 /// lease with the store.
 #[test]
-fn a_holder_unaware_that_it_lost_its_seat_orders_nothing() {
+fn a_holder_unaware_that_it_lost_its_lease_orders_nothing() {
     let harness = start();
     harness.cluster.run(async {
         harness.wait_for_primary(1).await;
@@ -281,7 +281,7 @@
 /// later term. Once the old primary is demoted, the first cleanup released the replicas, which then
 /// received commits that the second candidate lacks.
 #[test]
-fn cleanup_without_the_seat_keeps_the_holds_of_a_later_term() {
+fn cleanup_without_the_lease_keeps_the_holds_of_a_later_term() {
     let harness = start();
     harness.cluster.run(async {
         harness.wait_for_primary(1).await;
@@ -340,7 +340,7 @@
         cause: detector::Cause::Crashed,
         term: 2,
         began: boot::now(),
-        furthest: Some(stamp::Stamp::new(1, 11)),
+        max_received: Some(stamp::Stamp::new(1, 11)),
     }
 }
 
--- a/desk/tests/relief.rs
+++ b/desk/tests/relief.rs
@@ -69,7 +69,7 @@
     for step in 0..100 {
         let now = step * 200;
         if relief.observe(&view(now, stuck.clone())) {
-            relief.done(time::Duration::from_millis(now));
+            relief.note_change(time::Duration::from_millis(now));
             changes.push(now);
         }
     }
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -139,8 +139,8 @@
     cluster.run(async {
         let urgency = urgency::Urgency::immediate(boot::now() + LONG_DEADLINE);
         let (values, own) = (connection::Values::new(), organisation::OWN);
-        let loan = pool.lend(urgency, &own, &values, boot::now() + TEST_TIMEOUT);
-        let mut checkout = loan.await.expect("a connection");
+        let pending = pool.check_out(urgency, &own, &values, boot::now() + TEST_TIMEOUT);
+        let mut checkout = pending.await.expect("a connection");
         let read = cluster::read("one");
         let run = checkout.run_unless_silent(&read, boot::now() + LONG_DEADLINE);
         let failure = wait::within(TEST_TIMEOUT, run)
--- a/desk/tests/replay/mod.rs
+++ b/desk/tests/replay/mod.rs
@@ -238,7 +238,7 @@
             age: millis(2500),
         };
         if self.policy.relief && self.relief.observe(&view) {
-            self.relief.done(millis(now));
+            self.relief.note_change(millis(now));
             self.primary = (self.primary + 1) % self.instances.len();
             // A promoted replica has applied all records that it received; so has the old primary.
             self.stuck[self.primary] = false;
--- a/desk/tests/session.rs
+++ b/desk/tests/session.rs
@@ -195,8 +195,8 @@
         let group = cluster.node.group(&cluster::GROUP.into());
         let (pool, _) = group.wait_for_primary(deadline()).await.expect("a primary");
         let values = std::collections::BTreeMap::new();
-        let mut lent = pool
-            .lend(
+        let mut checkout = pool
+            .check_out(
                 urgency::Urgency::immediate(deadline()),
                 &organisation::OWN,
                 &values,
@@ -209,8 +209,8 @@
             read_only: false,
             after: None,
         };
-        lent.run(&[begin], deadline()).await.expect("an answer");
-        drop(lent);
+        checkout.run(&[begin], deadline()).await.expect("an answer");
+        drop(checkout);
         let mut other = cluster.session("current");
         assert!(other.handle(&cluster::request("WRITE y 1")).await.is_done());
     });
--- a/desk/tests/verdict.rs
+++ b/desk/tests/verdict.rs
@@ -9,7 +9,7 @@
 use mangotray_desk::upstream;
 use mangotray_desk::verdict;
 
-fn look(id: &str, role: role::Role, term: u64, position: u64, held: u64) -> status::Report {
+fn report(id: &str, role: role::Role, term: u64, position: u64, held: u64) -> status::Report {
     status::Report {
         id: id.into(),
         status: upstream::Status {
@@ -24,10 +24,10 @@
 }
 
 fn held(id: &str, term: u64, position: u64) -> status::Report {
-    look(id, role::Role::Replica, term, position, 4)
+    report(id, role::Role::Replica, term, position, 4)
 }
 
-fn lead() -> status::Leader {
+fn leader() -> status::Leader {
     status::Leader {
         id: "a".into(),
         term: 3,
@@ -43,34 +43,36 @@
 /// `b`, while `c` received nothing. `b` and `c` answer their holds, but neither has what `b` was
 /// known to have. Only the silent primary may have it.
 #[test]
-fn receipts_that_were_lost_hold_a_promotion_back_until_the_primary_is_known() {
-    let mut receipts = progress::Progress::default();
+fn records_lost_with_a_replica_hold_a_promotion_back_until_the_primary_is_known() {
+    let mut progress = progress::Progress::default();
     let now = time::Duration::ZERO;
-    let mut hear = |look: &status::Report| receipts.record(look, now, now);
-    assert!(!hear(&look("b", role::Role::Replica, 3, 462, 0)));
-    assert!(!hear(&look("c", role::Role::Replica, 3, 420, 0)));
-    let looks = [held("b", 1, 0), held("c", 3, 420)];
-    assert!(hear(&looks[0]));
-    let lead = lead();
+    let mut record = |report: &status::Report| progress.record(report, now, now);
+    assert!(!record(&report("b", role::Role::Replica, 3, 462, 0)));
+    assert!(!record(&report("c", role::Role::Replica, 3, 420, 0)));
+    let reports = [held("b", 1, 0), held("c", 3, 420)];
+    assert!(record(&reports[0]));
+    let leader = leader();
     let view = verdict::View {
-        lead: &lead,
+        leader: &leader,
         term: 4,
         expected: 2,
-        looks: &looks,
-        furthest: receipts.furthest().map(|(furthest, _)| furthest),
+        reports: &reports,
+        max_received: progress
+            .max_received()
+            .map(|(max_received, _)| max_received),
         pending: None,
         loss: None,
     };
     assert_eq!(view.judge(stays), verdict::Verdict::Lacking);
     let resolve = |old| view.resolve(&old, stays);
-    let answers = |look| resolve(verdict::Predecessor::Answers(look));
+    let answers = |report| resolve(verdict::Predecessor::Answers(report));
     let promote = |id: &str| verdict::Verdict::Promote(id.into());
     assert_eq!(
         resolve(verdict::Predecessor::Silent),
         verdict::Verdict::HeldBack
     );
     // The hold-back ends when the primary still leads, is a replica with its log, or has lost it.
-    let primary = look("a", role::Role::Primary, 3, 470, 0);
+    let primary = report("a", role::Role::Primary, 3, 470, 0);
     assert_eq!(answers(primary), verdict::Verdict::Returned);
     assert_eq!(answers(held("a", 3, 470)), promote("a"));
     assert_eq!(answers(held("a", 1, 0)), promote("c"));
@@ -81,24 +83,30 @@
 /// not answer, is not held, or still leads a term that is over.
 #[test]
 fn all_others_have_to_be_held() {
-    let lead = lead();
+    let leader = leader();
     let rows = [
         vec![held("c", 3, 420)],
-        vec![look("b", role::Role::Replica, 3, 420, 3), held("c", 3, 420)],
-        vec![look("b", role::Role::Primary, 2, 400, 4), held("c", 3, 420)],
+        vec![
+            report("b", role::Role::Replica, 3, 420, 3),
+            held("c", 3, 420),
+        ],
+        vec![
+            report("b", role::Role::Primary, 2, 400, 4),
+            held("c", 3, 420),
+        ],
         vec![],
     ];
-    for looks in rows {
+    for reports in rows {
         let view = verdict::View {
-            lead: &lead,
+            leader: &leader,
             term: 4,
             expected: 2,
-            looks: &looks,
-            furthest: None,
+            reports: &reports,
+            max_received: None,
             pending: None,
             loss: None,
         };
-        assert_eq!(view.judge(stays), verdict::Verdict::Wait, "{looks:?}");
+        assert_eq!(view.judge(stays), verdict::Verdict::Wait, "{reports:?}");
     }
 }
 
@@ -106,14 +114,17 @@
 /// another lease holder has taken effect, and this one still monitors the previous primary.
 #[test]
 fn a_primary_of_a_later_term_is_taken_over() {
-    let lead = lead();
-    let looks = [look("b", role::Role::Primary, 5, 430, 0), held("c", 3, 420)];
+    let leader = leader();
+    let reports = [
+        report("b", role::Role::Primary, 5, 430, 0),
+        held("c", 3, 420),
+    ];
     let view = verdict::View {
-        lead: &lead,
+        leader: &leader,
         term: 4,
         expected: 2,
-        looks: &looks,
-        furthest: None,
+        reports: &reports,
+        max_received: None,
         pending: None,
         loss: None,
     };
@@ -125,16 +136,16 @@
 }
 
 // Verdict for `b` and `c` at these log positions. `pending` may have been ordered to lead.
-fn judge_pair(positions: (u64, u64), furthest: u64, pending: Option<&str>) -> verdict::Verdict {
-    let lead = lead();
+fn judge_pair(positions: (u64, u64), max_received: u64, pending: Option<&str>) -> verdict::Verdict {
+    let leader = leader();
     let pending = pending.map(upstream::Id::from);
-    let looks = [held("b", 3, positions.0), held("c", 3, positions.1)];
+    let reports = [held("b", 3, positions.0), held("c", 3, positions.1)];
     let view = verdict::View {
-        lead: &lead,
+        leader: &leader,
         term: 4,
         expected: 2,
-        looks: &looks,
-        furthest: Some(stamp::Stamp::new(3, furthest)),
+        reports: &reports,
+        max_received: Some(stamp::Stamp::new(3, max_received)),
         pending: pending.as_ref(),
         loss: None,
     };
@@ -168,24 +179,24 @@
 /// a replica.
 #[test]
 fn a_primary_that_is_gone_does_not_end_the_wait_for_an_order() {
-    let lead = lead();
+    let leader = leader();
     let pending = upstream::Id::from("b");
-    let looks = [held("b", 3, 5), held("c", 3, 9)];
+    let reports = [held("b", 3, 5), held("c", 3, 9)];
     let view = |pending| verdict::View {
-        lead: &lead,
+        leader: &leader,
         term: 4,
         expected: 2,
-        looks: &looks,
-        furthest: Some(stamp::Stamp::new(3, 12)),
+        reports: &reports,
+        max_received: Some(stamp::Stamp::new(3, 12)),
         pending,
         loss: None,
     };
-    let olds = [
+    let predecessors = [
         (verdict::Predecessor::Gone, "c"),
         (verdict::Predecessor::Answers(held("a", 3, 12)), "a"),
         (verdict::Predecessor::Answers(held("a", 3, 4)), "c"),
     ];
-    for (old, later) in olds {
+    for (old, later) in predecessors {
         let resolve = |pending| view(pending).resolve(&old, stays);
         assert_eq!(resolve(Some(&pending)), verdict::Verdict::Wait, "{old:?}");
         assert_eq!(resolve(None), verdict::Verdict::Promote(later.into()));
@@ -196,14 +207,14 @@
 /// before it lost its log.
 #[test]
 fn only_the_primarys_position_covers_a_lost_log() {
-    let lead = lead();
-    let looks = [held("b", 3, 410), held("c", 3, 0)];
+    let leader = leader();
+    let reports = [held("b", 3, 410), held("c", 3, 0)];
     let view = |loss| verdict::View {
-        lead: &lead,
+        leader: &leader,
         term: 4,
         expected: 2,
-        looks: &looks,
-        furthest: Some(stamp::Stamp::new(3, 400)),
+        reports: &reports,
+        max_received: Some(stamp::Stamp::new(3, 400)),
         pending: None,
         loss,
     };
