--- a/desk/src/absence.rs
+++ b/desk/src/absence.rs
@@ -1,31 +1,31 @@
-//! Instances that are missing from the list of instances, and when they count as gone.
+//! Instances that are missing from the list of instances, and when they count as ended.
 //!
-//! An instance that can't write its entry for seconds goes on receiving records and letting commits
-//! be acknowledged. If a promotion passes over it while it runs, acknowledged commits are lost; if
-//! a promotion waits for it after it has ended, the group has no primary.
+//! An instance that can't write its entry for seconds still receives records, so commits are
+//! acknowledged because of it. If a promotion passes over it while it runs, acknowledged commits
+//! are lost; if a promotion waits for it after it has ended, the group has no primary.
 
 use std::time;
 
 use mangotray::id;
 
 /// How long an instance that hasn't announced its end may run without an entry after its last
-/// answer, whatever its address says: a connection may be refused while the process goes on or
+/// answer, even if its address refuses connections: it may do so while the process runs or
 /// restarts.
 const RESTART_GRACE: time::Duration = time::Duration::from_millis(5500);
 
-/// Silence after which an instance that announced its end counts as gone, as the list says. It is
-/// probed each second, and an instance under load answers within a quarter of one.
+/// Silence after which an unlisted instance that announced its end counts as ended. It is probed
+/// each second, and an instance under load answers within a quarter of one.
 const ANNOUNCED_SILENCE: time::Duration = time::Duration::from_millis(2500);
 
-/// Silence after which an instance that hasn't announced its end counts as gone. A crashed instance
-/// is unlisted three heartbeats after its last answer and has been silent for this long
+/// Silence after which an instance that hasn't announced its end counts as ended. A crashed
+/// instance is unlisted three heartbeats after its last answer and has been silent for this long
 /// [`RESTART_GRACE`] later. An instance that goes on answering without an entry is running, and may
 /// only be cut off from this node.
 const UNANNOUNCED_SILENCE: time::Duration = time::Duration::from_secs(9);
 
 /// A primary is handed over once its entry has been missing for this long. Entries that expired
-/// while the store was away come back within two seconds of its return, and the list takes some
-/// time to report them.
+/// while the store was unavailable come back within two seconds of its return, and the list takes
+/// some time to report them.
 const OVERDUE_AFTER: time::Duration = time::Duration::from_secs(3);
 
 /// The last known activity of an instance.
@@ -62,7 +62,7 @@
 }
 
 impl Absence {
-    /// Whether the instance is gone, by both the list and its own activity.
+    /// Whether the instance has ended, by both the list and its own activity.
     ///
     /// ```
     /// use mangotray_desk::absence;
--- a/desk/src/attempt.rs
+++ b/desk/src/attempt.rs
@@ -192,7 +192,10 @@
                     }
                     let reason = retry::Reason::from_shortage(shortage);
                     if !delay_retry(retry_deadline(&reason, &urgency, wait_deadline)).await {
-                        return Outcome::Refused(reply::Code::Busy, "primary out of reach".into());
+                        return Outcome::Refused(
+                            reply::Code::Busy,
+                            "the primary cannot be reached".into(),
+                        );
                     }
                     continue;
                 }
@@ -285,8 +288,8 @@
     ) -> Result<pinned::Pinned, (reply::Code, CompactString)> {
         let mut requirements = self.requirements(begin.arrived, arrived);
         if !begin.read_only {
-            // Its reads need only the freshness of the route, so the primary's lead need not be
-            // proven here: a commit fails if the instance no longer leads.
+            // Its reads need only the freshness of the route, so no proof that the primary still
+            // leads is needed here: a commit fails if it no longer does.
             requirements.writes = true;
             requirements.deadline = self.primary_wait_deadline(arrived);
         }
--- a/desk/src/backoff.rs
+++ b/desk/src/backoff.rs
@@ -2,9 +2,9 @@
 //!
 //! When a primary loses its replicas and some of them can't reach each other either, the new
 //! primary is as isolated as the old one. Without a delay the two would change places every second,
-//! each time without what the other has acknowledged. Likewise, if a replica answers probes but
-//! can't be held, the other replicas are held in vain, and meanwhile the primary gets no commit
-//! confirmed.
+//! and each would lack the commits that the other has acknowledged. Likewise, if a replica answers
+//! probes but can't be held, each attempt fails after the other replicas were held, and the primary
+//! gets no commit confirmed while they are held.
 
 use std::time;
 
--- a/desk/src/boot.rs
+++ b/desk/src/boot.rs
@@ -7,9 +7,9 @@
 
 /// Clock of the time since the VM booted, including suspended time.
 ///
-/// The usual monotonic clock stops while a VM is suspended, so that old data would look fresh after
-/// the VM resumes: a read with a staleness bound of 1.5 s could be answered from a floor that is
-/// many seconds old. This clock includes the suspension.
+/// The usual monotonic clock stops while a VM is suspended, so that old data would count as fresh
+/// after the VM resumes: a read with a staleness bound of 1.5 s could be answered from a floor that
+/// is many seconds old. This clock includes the suspension.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Boot;
 
--- a/desk/src/checkout.rs
+++ b/desk/src/checkout.rs
@@ -25,7 +25,7 @@
 /// avoided for 200 ms. Above the longest execution (220 ms) and half of a full queue (160 ms).
 const MIN_CONCLUSIVE_WAIT: time::Duration = time::Duration::from_millis(300);
 
-/// What to do with commands whose instance is silent.
+/// Handling of commands whose instance is silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OnSilence {
     /// Wait until the deadline, for commands that may already have taken effect.
@@ -162,11 +162,11 @@
         let Some(_permit) = self.pool.acquire_permit(urgency).await else {
             return Err(upstream::Failure {
                 crowded: true,
-                ..unsent("no turn in time")
+                ..unsent("no permit within the concurrency limit in time")
             });
         };
         let Some(connection) = &mut self.connection else {
-            return Err(unsent("the connection is gone"));
+            return Err(unsent("the connection has been returned"));
         };
         let sent = boot::now();
         let (values, statements) = commands.split_at(setup_len(&*connection.link, commands));
--- a/desk/src/cleanup.rs
+++ b/desk/src/cleanup.rs
@@ -137,7 +137,8 @@
         leader.is_some_and(|leader| leader.term > self.term && leader.id != self.candidate)
     }
 
-    // Sends one demote command. Returns whether the replaced primary is a replica now, or is gone.
+    // Sends one demote command. Returns whether the replaced primary is a replica now, or has
+    // ended.
     async fn try_demote_predecessor(&self) -> bool {
         let roster = self.group.roster();
         let Some(old) = self.old.as_ref().and_then(|old| roster.find(old)) else {
--- a/desk/src/detector.rs
+++ b/desk/src/detector.rs
@@ -13,15 +13,15 @@
 /// primary commits nothing for this long with a probability of one in a hundred thousand.
 const SILENCE_TIMEOUT: time::Duration = time::Duration::from_millis(600);
 
-/// The same for a primary whose address refuses connections, so that its process is gone.
+/// The same for a primary whose address refuses connections, so that its process has ended.
 const REFUSED_TIMEOUT: time::Duration = time::Duration::from_millis(150);
 
 /// A primary that has records which no replica receives for this long has lost its replicas. It
 /// cannot acknowledge any write, so its callers wait until they time out.
 const STALL_TIMEOUT: time::Duration = time::Duration::from_millis(700);
 
-/// Replicas that seem to receive nothing for this long are queried. Those that are only slow to
-/// apply are then seen to receive well before [`STALL_TIMEOUT`].
+/// Replicas that seem to receive nothing for this long are queried. The queries show which of them
+/// receive records and are only slow to apply them, long before [`STALL_TIMEOUT`].
 const STALL_SUSPICION_DELAY: time::Duration = time::Duration::from_millis(400);
 
 /// Least number of replicas, all answering, for which a stalled primary is replaced: one takes over
@@ -63,13 +63,13 @@
     pub started: id::Time,
     /// The primary's answer.
     pub primary: Reach,
-    /// The primary has announced its shutdown.
+    /// Whether the primary has announced its shutdown.
     pub primary_leaving: bool,
     /// When an instance was last added to the group.
     pub last_added: id::Time,
     /// Last log position that any replica has received, `None` if no replica answered.
     pub received: Option<stamp::Stamp>,
-    /// Some replica is held for a later term than that of the primary.
+    /// Whether a replica is held for a later term than that of the primary.
     pub held_for_later_term: bool,
     /// Number of replicas.
     pub replica_count: usize,
@@ -92,7 +92,7 @@
     Planned,
     /// It does not answer.
     Silent,
-    /// Its process is gone.
+    /// Its process has ended.
     Crashed,
     /// It has lost its replicas.
     Stalled,
@@ -166,7 +166,7 @@
     }
 }
 
-/// What a node without the promoter lease has observed of a group without a primary.
+/// Observations of a group without a primary, by a node that does not hold the promoter lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Vacancy {
     /// When the node lost the primary, `None` while it knows one.
@@ -203,8 +203,8 @@
     silent_since: Option<id::Time>,
     closed_since: Option<id::Time>,
     leaving_since: Option<id::Time>,
-    /// The oldest record of the primary that no replica is known to have received, and when it was
-    /// first seen.
+    /// The oldest log position of the primary that no replica is known to have reached, and when
+    /// the primary first reported it.
     ahead: Option<(id::Time, stamp::Stamp)>,
 }
 
@@ -268,7 +268,7 @@
                 round.started >= since_last_change + limit
             })
         };
-        // A node that reaches no replica either may be cut off itself, and cannot judge.
+        // A node that reaches no replica either may be cut off itself, so it does not decide.
         round.received?;
         if over(self.closed_since, REFUSED_TIMEOUT) {
             return Some(Cause::Crashed);
--- a/desk/src/election.rs
+++ b/desk/src/election.rs
@@ -42,12 +42,12 @@
 /// tenth of a call.
 const RENEW_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// A node that has heard of no change for this long reads the election key itself, in case a
+/// A node that was notified of no change for this long reads the election key itself, in case a
 /// notification was lost. Each read by each node is a priced call.
 const RECHECK_INTERVAL: time::Duration = time::Duration::from_mins(1);
 
 /// Window in which nodes claim a vacant lease at random, for each [`CLAIM_WINDOW_NODES`] of them:
-/// most hear of the first claim before their own turn.
+/// most are notified of the first claim before they claim themselves.
 const CLAIM_WINDOW: time::Duration = time::Duration::from_millis(300);
 
 /// Number of nodes among which the first claim comes soon although each waits for up to
@@ -281,7 +281,7 @@
         self.store_reachable.notify(usize::MAX);
     }
 
-    /// Whether this node held the lease when it last heard of it, even if the lease may have ended
+    /// Whether this node held the lease by its last information, even if the lease may have ended
     /// since.
     ///
     /// Such a node goes on checking the primaries while the store is unavailable, so that failure
@@ -489,9 +489,9 @@
 /// Window in which this many nodes claim a vacant lease.
 ///
 /// When a hundred nodes start together, all see the lease vacant, and each asks the store before it
-/// claims. Within the window for eight nodes, half of them would ask before they hear of the first
-/// claim. A window in proportion to their number keeps the first claim as early and lets few nodes
-/// ask.
+/// claims. Within the window for eight nodes, half of them would ask before they are notified of
+/// the first claim. A window in proportion to their number keeps the first claim as early and lets
+/// few nodes ask.
 ///
 /// ```
 /// use mangotray_desk::election;
--- a/desk/src/era.rs
+++ b/desk/src/era.rs
@@ -1,9 +1,9 @@
-//! What a node does with its data after a reset of the platform's store to an older copy.
+//! Handling of a node's data after a reset of the platform's store to an older copy.
 //!
-//! The store is away for a moment and returns to what it held some seconds ago. Writes and leases
-//! since then are lost, and revisions are reused; operators and instances write their entries
-//! again. A node that ignored the reset would take missing entries for removed ones, and a reused
-//! revision for its own.
+//! The store is unavailable for a moment and comes back with its content from some seconds ago.
+//! Writes and leases since then are lost, and revisions are reused; operators and instances write
+//! their entries again. A node that ignored the reset would take missing entries for removed ones,
+//! and a reused revision for its own.
 
 use std::time;
 
@@ -42,7 +42,7 @@
     Election,
 }
 
-/// What happens to a node's data after a reset.
+/// Handling of one kind of data after a reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResetPolicy {
     /// It is kept until the store has a newer version; an older version is ignored.
@@ -104,7 +104,7 @@
 /// A promotion holds every replica before its order is sent, and the holder of the lease releases
 /// none while the order may take effect. A successor without the record must not release a held
 /// replica, or a replaced primary acknowledges writes that the new one never gets. It must not
-/// order another candidate either, or two instances lead in turn.
+/// order another candidate either, or two instances lead alternately.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
--- a/desk/src/floor.rs
+++ b/desk/src/floor.rs
@@ -1,5 +1,5 @@
-//! Floors: the log positions that an instance must have applied to hold all commits acknowledged
-//! before a moment.
+//! Floors: the log positions that an instance must have applied to have all commits that were
+//! acknowledged before a given time.
 
 use std::collections;
 use std::time;
@@ -18,9 +18,9 @@
 
 /// Evidence from the instances of one term, and the floors derived from it.
 ///
-/// The primary's position tells which commits exist; a replica's status tells that this primary
-/// still leads. Only both together give a floor, valid for the earlier of the two moments: a
-/// replaced primary keeps answering but doesn't know of later commits.
+/// The primary's position shows which commits exist; a replica's status shows that this primary
+/// still leads. Only both together give a floor, valid for the earlier of the two times: a replaced
+/// primary keeps answering but doesn't know of later commits.
 ///
 /// ```
 /// use mangotray::stamp;
@@ -244,7 +244,7 @@
         self.entries.back().map(|(time, _)| *time)
     }
 
-    /// The position of the newest floor.
+    /// The log position of the newest floor.
     #[must_use]
     pub fn newest_position(&self) -> Option<stamp::Stamp> {
         self.entries.back().map(|(_, stamp)| *stamp)
--- a/desk/src/group.rs
+++ b/desk/src/group.rs
@@ -106,12 +106,12 @@
     /// Applies the group's part of a new list of instances.
     ///
     /// Changes in the list are dated back to `since`, the time of the previous list: after an
-    /// outage of the list, an instance that is found leaving may have announced it long ago. Were
-    /// its announcement taken for fresh, the instance would be sent work after it has stopped. A
+    /// outage of the list, an instance that is found leaving may have announced it long ago. If the
+    /// announcement were treated as new, the instance would be sent work after it has stopped. A
     /// node that has just started passes `None`: an announcement in its first list may be of any
     /// age.
     ///
-    /// The list's content is as of `list_time`; its transfer may have taken long.
+    /// `list_time` is the time at which the store had this list; its transfer may have taken long.
     pub fn update(
         self: &rc::Rc<Self>,
         instances: Vec<catalog::Instance>,
@@ -164,8 +164,8 @@
         self.executor.spawn(search).detach();
     }
 
-    /// Removes instances that have ended, closes spare connections, and queries instances that are
-    /// missing from the list; called about once a second.
+    /// Runs the group's periodic maintenance, about once a second: removes instances that have
+    /// ended, closes spare connections, and queries instances that are missing from the list.
     pub fn maintain(self: &rc::Rc<Self>, listed: impl Fn(&upstream::Id) -> bool) {
         self.roster.maintain(listed);
         self.forget_ended();
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Queries whatever listens at the address of an instance that has ended, and adds it to the
+    /// Queries the process that listens at the address of an ended instance, and adds it to the
     /// roster if it belongs to the group.
     pub async fn query_successors(self: &rc::Rc<Self>, limit: time::Duration) {
         let vacated = self.roster.successor_candidates();
@@ -265,8 +265,8 @@
         leadership.progress().record_received(received, boot::now());
     }
 
-    /// The furthest record that any replica is known to have received, limited to what is known of
-    /// the present primary's log.
+    /// Highest log position that any replica is known to have received. Records of earlier terms
+    /// that are beyond the log of the present primary don't count.
     #[must_use]
     pub fn max_received(&self) -> Option<stamp::Stamp> {
         self.note_applied(boot::now());
@@ -291,7 +291,7 @@
         self.leadership.borrow().leader().cloned()
     }
 
-    /// Since when no primary is known, and the furthest record received.
+    /// Since when no primary is known, and the highest received log position.
     #[must_use]
     pub fn vacancy(&self) -> detector::Vacancy {
         self.leadership.borrow().vacancy()
--- a/desk/src/intent.rs
+++ b/desk/src/intent.rs
@@ -2,10 +2,10 @@
 //!
 //! A promoter may fail between its order and the moment when the replaced primary learns of it. Its
 //! successor finds held replicas and needs to know why. Replicas of a promotion that was never
-//! ordered may be released, and the old primary goes on. Replicas of an ordered promotion must stay
-//! held, or a primary that never heard of its replacement acknowledges writes that the new one
-//! doesn't get. The record is written by the call that confirms the promoter's lease, so it costs
-//! no further call.
+//! ordered may be released, and the old primary continues. Replicas of an ordered promotion must
+//! stay held, or an old primary that was not notified of its replacement acknowledges writes that
+//! the new one doesn't get. The record is written by the call that confirms the promoter's lease,
+//! so it costs no further call.
 
 use mangotray::id;
 use mangotray::role;
@@ -64,7 +64,7 @@
     pub place: Place,
 }
 
-/// What became of a recorded promotion, as far as the instances' answers show.
+/// Outcome of a recorded promotion, as far as the instances' answers show it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// An instance leads in the promotion's term or a later one.
@@ -74,7 +74,7 @@
     /// The candidate doesn't answer, while the replaced primary does or is no longer listed. The
     /// candidate may lead, and is replaced like any silent primary.
     Silent,
-    /// Neither answers, so it is unknown which of them acknowledged what.
+    /// Neither answers, so it is unknown which of them acknowledged which commits.
     Unknown,
     /// The candidate has left the group for good.
     Void,
@@ -134,7 +134,7 @@
         } == *other
     }
 
-    /// Determines what became of the promotion from the answers of the listed instances.
+    /// Determines the outcome of the promotion from the answers of the listed instances.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
--- a/desk/src/leadership.rs
+++ b/desk/src/leadership.rs
@@ -52,7 +52,7 @@
         self.term
     }
 
-    /// Since when no primary is known, and the furthest record received.
+    /// Since when no primary is known, and the highest received log position.
     #[must_use]
     pub const fn vacancy(&self) -> detector::Vacancy {
         detector::Vacancy {
@@ -144,15 +144,14 @@
     }
 
     /// A position that covers every acknowledged commit, from replicas alone: `received` is the
-    /// furthest record that the remaining replicas have received, `lost` is when an instance was
-    /// last lost.
+    /// highest log position that the remaining replicas have received, `lost` is when an instance
+    /// was last lost.
     ///
     /// A commit is acknowledged once one replica has received it. If that replica is lost, only the
     /// primary has the commit, and the remaining replicas' positions don't cover it. They cover all
     /// commits only if a floor based on the primary's own position was proven after the loss.
-    /// Otherwise, with one of two replicas gone for good and the other receiving nothing for
-    /// seconds, reads on the other replica would miss the commits that only the lost replica had
-    /// received.
+    /// Otherwise, if one of two replicas is lost for good and the other has received nothing for
+    /// seconds, reads on the other would miss the commits that only the lost replica had received.
     #[must_use]
     pub fn covering_position(
         &self,
--- a/desk/src/monitor.rs
+++ b/desk/src/monitor.rs
@@ -33,7 +33,7 @@
 /// Pause between rounds while a failure is suspected.
 const SUSPECT_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Time after which a promotion order without a visible effect is considered dead, from when this
+/// Time after which a promotion order without a visible effect counts as failed, from when this
 /// node first checked for its outcome. The call takes 0.8 s at most and a promotion 0.6 s; the rest
 /// allows for a platform that carries out an unanswered call late. The group may take no writes
 /// until then.
@@ -95,7 +95,7 @@
     // Updates the watched primary from this node's view of the group, or infers it from the
     // instances if none is known.
     async fn update_watched(&mut self) {
-        // A view older than the last promotion would make that promotion look unfinished.
+        // With a view from before the last promotion, that promotion would count as unfinished.
         let term = self
             .watched_primary
             .as_ref()
@@ -129,8 +129,8 @@
         let Some(cause) = self.find_cause(&leader).await else {
             return;
         };
-        // A promotion holds the listed replicas. One that is missing from the list may be the
-        // only one with an acknowledged commit, so the list has to be settled.
+        // A promotion holds only the listed replicas. A replica that is missing from the list may
+        // be the only one with an acknowledged commit, so the list has to be settled.
         let election = self.promoter.election();
         if election.held().is_none() || !self.group.roster().is_settled() {
             return;
@@ -374,8 +374,8 @@
         self.group.max_received().max(watched)
     }
 
-    // Logs the start and the end of a hold-back once each and sets the gauge, as callers are
-    // refused while it lasts.
+    // Logs the start and the end of a hold-back once each and sets the gauge. Callers are refused
+    // while a promotion is held back.
     fn note_held_back(&mut self, held_back: bool) {
         if held_back == self.held_back_since.is_some() {
             return;
--- a/desk/src/peers.rs
+++ b/desk/src/peers.rs
@@ -1,8 +1,8 @@
 //! Sends questions to other nodes.
 //!
 //! A node that does not answer is skipped for a while, so that its silence doesn't delay each
-//! question again. An idle connection may be dead although its node is healthy, for example after a
-//! network fault: a question on it is repeated on a new connection before the node counts as
+//! question again. An idle connection may be broken although its node is healthy, for example after
+//! a network fault: a question on it is repeated on a new connection before the node counts as
 //! silent.
 
 use std::cell;
@@ -30,7 +30,7 @@
     pub answer: time::Duration,
     /// Maximum wait for an answer of a node that did not answer the previous question.
     pub after_silence: time::Duration,
-    /// Wait for an answer on an idle connection. It may be dead although the node is healthy, so
+    /// Wait for an answer on an idle connection. It may be broken although the node is healthy, so
     /// the question is then also sent on a new connection.
     pub idle_connection: time::Duration,
 }
@@ -135,8 +135,8 @@
     }
 
     // A broken idle connection says nothing about the node: its process may have restarted. Nor
-    // does a silent one, as open connections can go dead while new ones work. Only a node that does
-    // not answer on a new connection either is silent itself.
+    // does a silent one, as open connections can break unnoticed while new ones work. Only a node
+    // that does not answer on a new connection either is silent itself.
     async fn exchange(
         &self,
         address: net::SocketAddr,
@@ -169,7 +169,7 @@
             .await
     }
 
-    // The other idle connections are as old as the silent one, so they are probably dead too.
+    // The other idle connections are as old as the silent one, so they are probably broken too.
     fn drop_idle(&self, address: net::SocketAddr) {
         let dropped = self.idle.borrow_mut().remove(&address);
         let others = dropped.map_or(0, |streams| streams.len());
--- a/desk/src/pool.rs
+++ b/desk/src/pool.rs
@@ -1,9 +1,9 @@
 //! The pool of connections to one instance, shared by all sessions of this node.
 //!
-//! The pool opens connections in the background, lends them to statements and transactions, and
-//! records what their answers tell about the instance: its applied position, its latency, and
-//! whether it can be reached. After a failed dial it refuses requests for a short time, so that
-//! they fail over to another instance instead of waiting.
+//! Statements and transactions check connections out of the pool, which opens them in the
+//! background. From the answers it records the state of the instance: its applied position, its
+//! latency, and whether it can be reached. After a failed dial it refuses requests for a short
+//! time, so that they fail over to another instance instead of waiting.
 
 use std::cell;
 use std::rc;
@@ -32,8 +32,8 @@
 /// Delay before a new connection to an instance that reported that it has none left.
 const FULL_RETRY_DELAY: time::Duration = time::Duration::from_millis(300);
 
-/// Delay before a new connection to an instance that accepted none, so that requests fail over
-/// at once instead of each waiting for a dead address.
+/// Delay before a new connection to an instance that accepted none, so that requests fail over at
+/// once instead of each waiting for an unreachable address.
 const DOWN_RETRY_DELAY: time::Duration = time::Duration::from_millis(200);
 
 /// Delay before a new connection to an address at which a different instance answers: the
@@ -52,7 +52,8 @@
 /// don't wait for a lost instance, as another node may reach it.
 const LOST_AFTER: time::Duration = time::Duration::from_secs(1);
 
-/// Why no connection was lent. The names of the variants are part of a text that relays send.
+/// Why no connection could be checked out. The names of the variants are part of a text that relays
+/// send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     /// All connections were in use until the deadline.
@@ -65,7 +66,7 @@
     Full,
 }
 
-/// The shared connections to one instance, and what is known about it from their answers.
+/// The shared connections to one instance, and its state as known from their answers.
 pub struct Pool {
     /// The instance's current entry in the list of instances.
     pub instance: cell::RefCell<catalog::Instance>,
@@ -177,7 +178,7 @@
         self.size.set(size);
     }
 
-    /// Number of lent connections and of requests that wait for one.
+    /// Number of connections that are checked out, plus requests that wait for one.
     #[must_use]
     pub fn load(&self) -> usize {
         self.checked_out_count() + self.waiting.len()
@@ -237,7 +238,7 @@
         self.closed.get()
     }
 
-    /// The latest signs of life, or of its end, that this node has of the instance.
+    /// The last known activity of the instance, or the end of its process.
     #[must_use]
     pub fn activity(&self) -> absence::Activity {
         absence::Activity {
@@ -263,7 +264,8 @@
         self.caught_up_at.get().saturating_sub(boot::now())
     }
 
-    /// Lends a connection to an organisation, preferably one with the same organisation and values.
+    /// Checks out a connection for an organisation, preferably one that the organisation used last
+    /// with the same values.
     ///
     /// A lost instance is dialled in the background, and the caller does not wait for it.
     ///
@@ -339,8 +341,8 @@
     /// Marks the instance as down because it did not answer an organisation's request, and closes
     /// its idle connections: each of them would cost another caller the same time to find out.
     ///
-    /// If only the connections are dead and not the instance, the new connection that is opened at
-    /// once clears the mark.
+    /// If the instance works and only its open connections are broken, the new connection that is
+    /// opened at once clears the mark.
     pub fn suspect(self: &rc::Rc<Self>, organisation: &organisation::Name) {
         self.down_until.set(boot::now() + DOWN_RETRY_DELAY);
         self.close_idle();
@@ -386,7 +388,7 @@
         checkout::Checkout::new(rc::Rc::clone(self), connection, urgency)
     }
 
-    /// Takes a lent connection back into the pool; `None` if it was closed.
+    /// Takes a connection that was checked out back into the pool; `None` if it was closed.
     pub(crate) fn release(&self, connection: Option<connection::Connection>) {
         let last_resort = |connection: &connection::Connection| {
             let target = self.target(&connection.organisation);
@@ -469,13 +471,13 @@
         true
     }
 
-    /// Counts a connection on which a transaction was opened.
+    /// Counts one more connection with an open transaction.
     pub(crate) fn pin(&self) {
         self.pinned.set(self.pinned.get() + 1);
         self.waiting.wake();
     }
 
-    /// The reverse of [`Pool::pin`].
+    /// Counts one connection with an open transaction less.
     pub(crate) fn unpin(&self) {
         self.pinned.set(self.pinned.get() - 1);
     }
@@ -548,7 +550,8 @@
         self.idle.borrow_mut().push(connection);
     }
 
-    /// Waits for a place within the instance's concurrency limit; `None` when the time is over.
+    /// Waits for a permit under the instance's concurrency limit; `None` if the statement's latest
+    /// start or its deadline passes.
     pub(crate) async fn acquire_permit(
         &self,
         urgency: urgency::Urgency,
--- a/desk/src/probe.rs
+++ b/desk/src/probe.rs
@@ -17,7 +17,7 @@
 /// A primary that answered a request this recently isn't probed.
 const RECENT_ANSWER: time::Duration = time::Duration::from_millis(250);
 
-/// Timeout of one probe, above the slowest answers under load.
+/// Timeout of one status query; instances under load answer within this time.
 pub const TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
 /// Probes a group whose primary is monitored.
@@ -45,14 +45,16 @@
         }
     }
 
-    /// One round of probes for reasons to replace the primary.
+    /// Runs one round of probes, from which the detector decides whether to replace the primary.
+    /// `failure_suspected` makes the round query instances that would otherwise be skipped.
     pub async fn round(&self, failure_suspected: bool) -> detector::Round {
         let started = boot::now();
         let (group, leader, others) = (self.group, self.leader, &self.others);
         let dialer = group.dialer();
         let reach = match &self.primary {
             Some(pool) => {
-                // Answers to reads prove the primary only if this node routes to it as such.
+                // Answers to reads show that the primary leads only if this node treats it as the
+                // primary.
                 let needs_probe = failure_suspected || group.leader().as_ref() != Some(leader);
                 reach(pool, dialer, needs_probe).await
             }
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Whether all other instances answer, so that they can be expected to be held at once.
+    /// Whether all other instances answer, so that a hold of all of them is likely to succeed.
     pub async fn all_replicas_answer(&self) -> bool {
         let reports = self.group.query_status(&self.others, TIMEOUT).await;
         reports.len() == self.others.len()
@@ -111,7 +113,7 @@
         let reports = self.group.query_status(&self.others, TIMEOUT).await;
         if primary.status.role != role::Role::Primary {
             self.group
-                .suspect(primary.status.term, "the primary leads no more");
+                .suspect(primary.status.term, "the instance is no longer primary");
             return None;
         }
         if reports.len() < self.others.len() {
@@ -132,11 +134,12 @@
     }
 }
 
-/// Infers the primary to monitor where none was ever seen to lead.
+/// Infers the primary to monitor if this node has never seen an instance lead.
 ///
 /// After all nodes fail in the middle of a promotion, or together with a primary, no node knows
-/// which instance led, and waiting for a primary to appear might never end. The id is empty if all
-/// instances answer and none leads.
+/// which instance led, and waiting for a primary to appear might never end. Returns the instance
+/// that reports leading, or else a silent one, as it may be the lost primary. The id is empty if
+/// all instances answer and none leads.
 pub async fn infer_primary(group: &rc::Rc<group::Group>) -> Option<status::Leader> {
     let pools = group.roster().pools();
     let reports = group.query_status(&pools, TIMEOUT).await;
@@ -161,8 +164,8 @@
     })
 }
 
-// Latest record reported with the replicas' answers to reads. It costs no probe and lags a little
-// behind what they have received, so it only serves to raise a suspicion.
+// Highest log position that the replicas reported with their answers to reads. It needs no query,
+// but is slightly below the received position, so a gap to the primary is only a suspicion.
 fn applied(pools: &[rc::Rc<pool::Pool>]) -> Option<stamp::Stamp> {
     pools.iter().map(|pool| pool.applied()).max()
 }
@@ -181,8 +184,7 @@
             detector::Reach::Answered(report.status.received)
         }
         None if pool.is_closed() => detector::Reach::Closed,
-        // An instance that answers but no longer leads serves callers' writes no better than a
-        // silent one.
+        // An instance that answers but no longer leads cannot serve writes, so it counts as silent.
         Some(_) | None => detector::Reach::Silent,
     }
 }
--- a/desk/src/progress.rs
+++ b/desk/src/progress.rs
@@ -1,4 +1,4 @@
-//! Replication progress: the records that replicas are known to have received.
+//! Replication progress: how much of the log the replicas are known to have received.
 
 use std::collections;
 
@@ -19,11 +19,13 @@
     arrived: id::Time,
 }
 
-/// The records that replicas are known to have received, for each replica and in total.
+/// The log positions that replicas are known to have received: the last report of each replica, and
+/// the highest position of all.
 ///
 /// A commit is acknowledged once one replica has received it. A promotion, and a read without the
-/// primary's answer, need the furthest record that any replica ever had, and need to detect when a
-/// replica lost its log: a replica may restart empty before the list of instances shows it.
+/// primary's answer, need the highest position that any replica ever received. They also need to
+/// know when a replica has lost its log: it may restart with an empty log before the list of
+/// instances shows the restart.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
@@ -88,8 +90,9 @@
         }
     }
 
-    /// Records the log position of the primary of `term`. Records of earlier terms beyond it were
-    /// never acknowledged or are lost for good, so a promotion need not wait for them.
+    /// Limits the highest received position to the log position of the primary of `term`, unless it
+    /// is of that term. Records of earlier terms beyond the primary's position were never
+    /// acknowledged or are lost for good, so a promotion need not wait for them.
     pub fn record_primary(&mut self, term: id::Term, position: stamp::Stamp) {
         if let Some((max_received, _)) = &mut self.max_received
             && max_received.term < term
@@ -103,7 +106,7 @@
         self.last_reports.remove(id);
     }
 
-    /// The furthest record that any replica is known to have received, and when it last advanced.
+    /// Highest log position that any replica is known to have received, and when it last advanced.
     #[must_use]
     pub const fn max_received(&self) -> Option<(stamp::Stamp, id::Time)> {
         self.max_received
--- a/desk/src/promoter.rs
+++ b/desk/src/promoter.rs
@@ -193,7 +193,7 @@
             if relief {
                 // The primary has stepped down. The replicas stay held for the next attempt, and
                 // requests must no longer be sent to it.
-                group.suspect(leader.term, "the primary has given up");
+                group.suspect(leader.term, "the primary has stepped down");
             } else if cause.primary_may_run()
                 && probe::Prober::new(&promotion.group, leader).leads().await
             {
@@ -203,8 +203,8 @@
             }
             return Outcome::GivenUp;
         }
-        // If it is unknown whether the order arrived, the old primary may long remain the only
-        // one, so it is demoted only once the candidate leads. It acknowledges nothing meanwhile,
+        // If it is unknown whether the order arrived, the old primary may remain the only one for
+        // long, so it is demoted only once the candidate leads. It acknowledges nothing meanwhile,
         // as its replicas are held.
         if cause.primary_may_run() && order_outcome == promote::Outcome::Accepted {
             promotion
@@ -271,7 +271,7 @@
             .insert(group.clone(), era);
     }
 
-    // Whether the primary that was replaced last has been demoted, or is gone.
+    // Whether the primary that was replaced last has been demoted, or has ended.
     fn is_predecessor_demoted(&self, group: &id::Group) -> bool {
         let cleanups = self.cleanups.borrow();
         cleanups
@@ -442,7 +442,7 @@
         }
     }
 
-    // Demotes an instance that still leads a term that is over, as it was never notified.
+    // Demotes an instance that was not notified of the end of its term and still leads it.
     //
     // If no other instance knows the term that is replaced, its primary may never have led. Then
     // the primary of the earlier term is the only one, and is demoted only for a promotion that
@@ -485,8 +485,8 @@
         held.count() + 1 == expected && self.election.confirm().await.is_some()
     }
 
-    // Whether the old primary answers and leads, although it was presumed lost or an unfinished
-    // promotion without an order has held its replicas.
+    // Whether the old primary answers and leads, although it was presumed lost, or although an
+    // unfinished promotion without an order holds its replicas.
     async fn has_returned(
         &self,
         promotion: &promotion::Promotion,
@@ -548,9 +548,9 @@
             .await
         else {
             tracing::warn!(%group, "no promotion ordered: the store did not confirm the promoter lease");
-            return promote::Outcome::Refused("the seat is not confirmed".into());
+            return promote::Outcome::Refused("the promoter lease is not confirmed".into());
         };
-        // A replica that restarted has lost its hold, and one that was added never had one.
+        // A restarted replica has lost its hold, and an added replica never had one.
         let outcome = if promotion.are_held().await && promotion.processes() == selection.processes
         {
             let order = promote::Order {
@@ -568,7 +568,7 @@
             }
             outcome
         } else {
-            promote::Outcome::Refused("a replica is no longer as it was held".into())
+            promote::Outcome::Refused("a replica has restarted, been added or lost its hold".into())
         };
         tracing::info!(%group, candidate = %selection.candidate, fence = lease.fence, ?outcome,
             "promotion ordered");
--- a/desk/src/promotion.rs
+++ b/desk/src/promotion.rs
@@ -64,8 +64,8 @@
 pub type Processes = Vec<Process>;
 
 impl Promotion {
-    /// Waits up to `limit` until the candidate leads, and keeps the other replicas held meanwhile.
-    /// Returns the term in which it leads.
+    /// Waits up to `limit` until the candidate leads, and renews lost holds of the other replicas
+    /// meanwhile. Returns the term in which it leads.
     pub async fn await_leadership(
         &self,
         candidate: &upstream::Id,
@@ -75,7 +75,7 @@
             .await
     }
 
-    /// Awaits `work`, and holds any other replica again that loses its hold meanwhile.
+    /// Awaits `work`, and meanwhile renews the hold of any other replica that loses it.
     ///
     /// An order takes some hundred milliseconds. A replica that restarts in that time, or is
     /// released by a late command, would let the old primary acknowledge writes that its successor
@@ -92,7 +92,7 @@
         work.or(keep).await
     }
 
-    // Never returns. A replica that does not answer delays none of the others.
+    // Never returns. The replicas are checked concurrently, so that a silent one delays no other.
     async fn keep_held(&self, candidate: &upstream::Id) {
         loop {
             let pools = self.others(candidate);
@@ -178,7 +178,7 @@
         None
     }
 
-    /// The present process of each replica.
+    /// The current process of each replica.
     #[must_use]
     pub fn processes(&self) -> Processes {
         let pools = self.replicas();
@@ -229,8 +229,9 @@
         }
     }
 
-    /// Queries the old primary, for a group whose replicas lack records that one had received. If
-    /// it is a replica by now it is held, as it may be the only instance with these records.
+    /// Queries the old primary of a group whose replicas lack records that one of them had
+    /// received. If the old primary is a replica by now, it is held: it may be the only instance
+    /// with these records.
     pub async fn query_predecessor(&self) -> verdict::Predecessor {
         let Some(old) = &self.old else {
             return verdict::Predecessor::Gone;
--- a/desk/src/query.rs
+++ b/desk/src/query.rs
@@ -23,7 +23,7 @@
     pub text: CompactString,
     /// Whether the statement reads or writes.
     pub access: statement::Access,
-    /// For a prepared statement: its name on connections, what it does, and its arguments.
+    /// For a prepared statement: its name on connections, its definition, and its arguments.
     pub prepared: Option<(CompactString, statement::Shape, CompactString)>,
 }
 
--- a/desk/src/quotas.rs
+++ b/desk/src/quotas.rs
@@ -26,8 +26,8 @@
 /// Few enough that a node quickly learns which of the counting nodes are silent.
 const MIN_SHARDS: usize = 16;
 
-/// Nodes for each share: what one counts grows with what so many of them serve, and not with the
-/// size of the fleet.
+/// Nodes per shard. The load of a counting node then depends on the operations that so many nodes
+/// serve, and not on the size of the fleet.
 const NODES_PER_SHARD: usize = 5;
 
 /// Enforces the quotas of organisations together with the other nodes.
--- a/desk/src/records.rs
+++ b/desk/src/records.rs
@@ -8,7 +8,7 @@
 
 use crate::intent;
 
-/// The last recorded promotion of each group, and what the store has of them.
+/// The last recorded promotion of each group, and which of them the store has.
 ///
 /// Every node is notified of each record as it is written. A store that is reset to an older copy
 /// loses the latest records or has older ones in their place. Every node that knows a later record
@@ -65,7 +65,7 @@
         self.note(intent);
     }
 
-    /// Replaces what is known of the store's content, which may be less than before.
+    /// Replaces the known content of the store, which may have fewer records than before.
     pub fn reload<'a>(&self, entries: impl Iterator<Item = &'a store::Entry>) {
         self.stored.borrow_mut().clear();
         for entry in entries {
--- a/desk/src/relay.rs
+++ b/desk/src/relay.rs
@@ -34,7 +34,7 @@
 const OPEN_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
 /// An instance that answered within this time counts as reachable, even if no connection is free
-/// for the organisation that asks. If congestion counted as a lost link, all nodes would look for
+/// for the organisation that asks. If congestion counted as a lost link, all nodes would try
 /// another route.
 const RECENT_ANSWER: time::Duration = time::Duration::from_millis(500);
 
@@ -119,7 +119,9 @@
             }
             Err(pool::Shortage::Full) => Err(upstream::Refusal::Full),
             Err(_) if self.pool.is_closed() => Err(upstream::Refusal::Closed),
-            Err(_) => Err(upstream::Refusal::Silent("out of reach".into())),
+            Err(_) => Err(upstream::Refusal::Silent(
+                "the instance cannot be reached".into(),
+            )),
         }
     }
 
@@ -423,7 +425,7 @@
 }
 
 // Awaits the commands and sends heartbeats meanwhile, so that the requesting node can take silence
-// as a sign that the connection or this node is dead.
+// for a failure of the connection or of this node.
 async fn run_with_heartbeats(
     mut run: pin::Pin<&mut impl Future<Output = Answer>>,
     stream: &mut TcpStream,
--- a/desk/src/relief.rs
+++ b/desk/src/relief.rs
@@ -3,7 +3,7 @@
 //! Replicas apply their records in order, so one record that takes seconds delays all behind it.
 //! Meanwhile no replica may serve a read, and the few slots of the primary get the work of all. The
 //! replicas go on receiving, however: a promoted replica leads with everything it has received
-//! within some 350 ms, and the old primary, whose log is fully applied, serves fresh reads as a
+//! within about 350 ms, and the old primary, whose log is fully applied, serves fresh reads as a
 //! replica from then on. The group's usable slots double at the cost of one short gap for writes.
 //!
 //! A replica reports its lag as soon as it receives a slow record, so the change is over before the
@@ -46,7 +46,7 @@
 pub struct View {
     /// When the probes began.
     pub now: id::Time,
-    /// Last record that the primary had before the replicas were probed.
+    /// Last log position of the primary, queried before the replicas.
     pub position: stamp::Stamp,
     /// All other instances; there is no view if any of them didn't answer.
     pub replicas: Vec<Replica>,
--- a/desk/src/remote.rs
+++ b/desk/src/remote.rs
@@ -19,8 +19,8 @@
 use crate::wait;
 
 /// Longest wait for another node to accept a connection: a few round trips, as the kernel accepts
-/// even while the node is busy. Kept short because a node that is gone for good stays listed, and
-/// each node that starts asks it first for some instance.
+/// even while the node is busy. Kept short because a node that never returns stays listed, and each
+/// node that starts asks it first for some instance.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_millis(80);
 
 /// A connection is suspected after this long without an answer or a heartbeat. The relaying node
--- a/desk/src/resumes.rs
+++ b/desk/src/resumes.rs
@@ -5,9 +5,9 @@
 
 use mangotray::id;
 
-/// A command without an answer arrives within this time or never: it waits for its turn for up
-/// to 300 ms, the instance drops a dead connection after three seconds, and a full queue takes 160
-/// ms.
+/// A command without an answer arrives within this time or never: it waits for a connection for up
+/// to 300 ms, the instance drops a broken connection after three seconds, and a full queue takes
+/// 160 ms.
 pub const MAX_DELIVERY_DELAY: time::Duration = time::Duration::from_secs(4);
 
 /// A command that may still arrive.
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether a promotion of this group is under way; nothing else may release its replicas.
+    /// Whether a promotion of this group is in progress; nothing else may release its replicas.
     #[must_use]
     pub fn is_promoting(&self, group: &id::Group) -> bool {
         self.promoting.contains(group)
--- a/desk/src/retry.rs
+++ b/desk/src/retry.rs
@@ -20,7 +20,7 @@
 }
 
 impl Reason {
-    /// The reason when a pool lent no connection.
+    /// The reason if no connection could be checked out of the pool.
     #[must_use]
     pub const fn from_shortage(shortage: pool::Shortage) -> Self {
         match shortage {
--- a/desk/src/router.rs
+++ b/desk/src/router.rs
@@ -35,8 +35,8 @@
 use crate::wait;
 
 /// Nodes that are asked in parallel for a connection after the first has failed. When a network
-/// partition cuts most nodes off from an instance, one in four reaches it; asking them in turn
-/// would take longer than callers wait.
+/// partition cuts most nodes off from an instance, one in four reaches it; asking them one after
+/// the other would take longer than callers wait.
 const MAX_PARALLEL_LENDERS: usize = 3;
 
 /// Timeout for borrowing a connection from another node.
@@ -153,7 +153,7 @@
     pub fn pool(&self, target: &upstream::Target) -> rc::Rc<pool::Pool> {
         let size = self.size(target);
         let mut pools = self.pools.borrow_mut();
-        // The process of an earlier start has ended: drop its connections and what is known of it.
+        // The instance has restarted: the pool of its earlier process is dropped.
         pools.retain(|id, pool| *id != target.id || pool.born() >= target.born);
         let pool = pools.entry(target.id.clone()).or_insert_with(|| {
             let instance = catalog::Instance {
@@ -366,7 +366,7 @@
     /// Dials the instance directly, and through other nodes if it does not answer in time.
     ///
     /// The link between this node and an instance can be cut while both are healthy. This is no
-    /// reason to replace a primary, but all callers of this node would wait for it in vain.
+    /// reason to replace a primary, but without a detour all callers of this node would time out.
     async fn dial_directly(&self, target: &upstream::Target) -> Dialled {
         let silent = self.is_silent(&target.id);
         let delay = if silent {
--- a/desk/src/schedule.rs
+++ b/desk/src/schedule.rs
@@ -4,7 +4,7 @@
 //! every answer late: the request that is served has waited longest, and each new one waits as
 //! long. A standing queue is therefore served newest first: as many requests are served, and most
 //! of them in time. Within a priority, routes with a shorter objective come first, as callers of
-//! the other routes are still served well a second later.
+//! the other routes are still served in time a second later.
 
 use std::time;
 
--- a/desk/src/status.rs
+++ b/desk/src/status.rs
@@ -1,4 +1,4 @@
-//! Status queries to the instances of a group, and what their reports say about its primary.
+//! Status queries to the instances of a group, and conclusions about its primary from the reports.
 
 use std::rc;
 use std::time;
@@ -92,7 +92,7 @@
         .map(Report::leader)
 }
 
-/// Borrows a connection for a command of this node itself, ahead of callers' statements.
+/// Checks out a connection for a command of this node itself, ahead of callers' statements.
 pub async fn connection(
     pool: &rc::Rc<pool::Pool>,
     deadline: id::Time,
@@ -194,7 +194,7 @@
 ///
 /// A commit is acknowledged once one replica has received it. As long as every instance but the
 /// primary (`others` instances) is still a replica of `term` or an earlier one, no promotion has
-/// completed, and the replica with the furthest log has received every acknowledged commit.
+/// completed, and the replica with the longest log has received every acknowledged commit.
 ///
 /// ```
 /// use mangotray::{role::Role, stamp::Stamp};
--- a/desk/src/upstream.rs
+++ b/desk/src/upstream.rs
@@ -127,7 +127,7 @@
 /// The load of an instance.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Estimated time until the instance has applied what it has received: rises at once when a
+    /// Estimated time until the instance has applied all received records: rises at once when a
     /// record is expected to take long, then counts down.
     pub lag: time::Duration,
 }
--- a/desk/src/validity.rs
+++ b/desk/src/validity.rs
@@ -27,7 +27,7 @@
 const ASK_STORE_PERCENT: u32 = 45;
 
 /// Time after a reset of the store to an older copy during which its answers prove nothing: the
-/// operators first write again what the copy lacks.
+/// operators first write the missing entries again.
 const STORE_RESET_DISTRUST: time::Duration = time::Duration::from_secs(3);
 
 /// Whether a node may accept keys.
--- a/desk/src/verdict.rs
+++ b/desk/src/verdict.rs
@@ -2,9 +2,9 @@
 //! candidate.
 //!
 //! Replicas may not answer, may have restarted without their logs, or may already lead by the order
-//! of an earlier lease holder. The old primary may come back, with its log or without. A promotion
-//! without an acknowledged record loses data, and one that is held back indefinitely leaves the
-//! group without a primary.
+//! of an earlier lease holder. The old primary may come back, with its log or without. If a
+//! candidate without some acknowledged record is promoted, data is lost; if the promotion is held
+//! back indefinitely, the group has no primary.
 
 use mangotray::id;
 use mangotray::role;
@@ -41,7 +41,7 @@
     Within(stamp::Stamp),
 }
 
-/// What is known of the primary that is replaced.
+/// State of the primary that is replaced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Predecessor {
     /// It is no longer listed and cannot come back with its log.
@@ -70,8 +70,8 @@
 /// What a promotion has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Hold again. A replica does not answer or is not held, and may be the only one with some
-    /// commit; or an instance with a pending order may still lead without records that another has.
+    /// Hold the replicas again. A replica that does not answer or is not held may be the only one
+    /// with some commit, or an instance with a pending order and a shorter log may still lead.
     Wait,
     /// An instance already leads a later term.
     Overtaken(status::Leader),
@@ -81,7 +81,7 @@
     HeldBack,
     /// Give up: the replaced primary still leads, with records that no replica has.
     Returned,
-    /// Promote this instance, which has all records that exist.
+    /// Promote this instance, whose log has all records that still exist.
     Promote(upstream::Id),
 }
 
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Resolves [`Verdict::Lacking`] by what is known of the replaced primary. The hold-back ends
-    /// once the primary answers or is no longer listed.
+    /// Resolves [`Verdict::Lacking`] by the state of the replaced primary. The hold-back ends once
+    /// the primary answers or is no longer listed.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
@@ -162,9 +162,9 @@
 
     /// Whether the log of this instance is empty.
     ///
-    /// A promoter that has just started does not know what the replicas had received before they
-    /// lost their logs, so [`View::max_received`] may be empty. If the primary is cut off from two
-    /// replicas that have both restarted, a promotion would lose the whole log.
+    /// A promoter that has just started does not know which records the replicas had received
+    /// before they lost their logs, so [`View::max_received`] may be empty. If the primary is cut
+    /// off from two replicas that have both restarted, a promotion would lose the whole log.
     ///
     /// ```
     /// use mangotray::{role::Role, stamp::Stamp};
--- a/desk/src/witness.rs
+++ b/desk/src/witness.rs
@@ -7,7 +7,7 @@
 //!
 //! When a promotion takes effect, it ends the holds of all replicas. A replica that receives no
 //! records is not held then, and doesn't know of the later term. So a witness also has to follow
-//! the primary: it must have received what the primary had [`REPLICATION_DELAY`] ago.
+//! the primary: it must have received the records that the primary had [`REPLICATION_DELAY`] ago.
 
 use std::rc;
 use std::time;
@@ -23,8 +23,8 @@
 use crate::status;
 use crate::upstream;
 
-/// A replica that follows a primary has received what the primary's log held this long ago. Allows
-/// for the transit of records across the network; the time to apply them doesn't count.
+/// A replica that follows a primary has received all records that the primary had this long ago.
+/// Allows for the transit of records across the network; the time to apply them doesn't count.
 pub const REPLICATION_DELAY: time::Duration = time::Duration::from_millis(250);
 
 /// The instances of a group other than its primary, as witnesses.
@@ -88,7 +88,7 @@
     /// none of the instances that answered has restarted:
     ///
     /// - The instance may be missing from the list, which is not settled yet.
-    /// - The instance's process is gone. It may have been promoted before, but then it has
+    /// - The instance's process has ended. It may have been promoted before, but then it has
     ///   acknowledged nothing, as none of the instances that answered knows of its term.
     #[must_use]
     pub fn prove_leadership(
--- a/desk/tests/absence.rs
+++ b/desk/tests/absence.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Guards against a replaced primary that is never told because its entry was already gone.
+/// Guards against a replaced primary that is never demoted because its entry had already expired.
 #[test]
 fn a_primary_that_is_listed_no_more_is_told_of_its_successor() {
     let harness = start();
--- a/desk/tests/cluster/mod.rs
+++ b/desk/tests/cluster/mod.rs
@@ -79,7 +79,7 @@
     pub status_queries: usize,
     /// Whether all answers are withheld.
     pub stalled: bool,
-    /// Connections up to this number are dead: they never answer again.
+    /// Connections up to this number are broken: they never answer again.
     pub dead: u64,
     /// Number of following commands that set a value and fail.
     pub fail_sets: usize,
--- a/desk/tests/era.rs
+++ b/desk/tests/era.rs
@@ -114,9 +114,9 @@
     });
 }
 
-/// Guards against two nodes that promote in turn. The store is reset to a copy from before a holder
-/// obtained the lease, and another node obtains it at the same revision. The first hasn't noticed,
-/// relies on its lease and revision, and a primary crashes.
+/// Guards against two nodes that promote alternately. The store is reset to a copy from before a
+/// holder obtained the lease, and another node obtains it at the same revision. The first hasn't
+/// noticed, relies on its lease and revision, and a primary crashes.
 #[test]
 fn a_holder_orders_nothing_after_a_reset() {
     let harness = start();
--- a/desk/tests/group.rs
+++ b/desk/tests/group.rs
@@ -133,7 +133,7 @@
 }
 
 /// Guards against failing reads that accept some staleness while there is no primary. The primary
-/// is gone, no successor leads yet, and both replicas answer. Floors were derived only from the
+/// has ended, no successor leads yet, and both replicas answer. Floors were derived only from the
 /// primary's own position.
 #[test]
 fn bounded_reads_go_on_without_a_primary() {
@@ -190,7 +190,7 @@
     });
 }
 
-/// Guards against reads sent to a replica that refuses them, and withheld from one that is well. A
+/// Guards against reads sent to a replica that refuses them, and withheld from a healthy one. A
 /// replica with a long log that had announced its end restarts under the same id with an empty log.
 /// Its applied position, its announcement and its connections were kept by id.
 #[test]
@@ -264,9 +264,9 @@
     });
 }
 
-/// Guards against a group that serves no read of current data although all its instances are well.
-/// Both replicas restart, one after the other. Their reports have to count when all instances other
-/// than the primary are queried together.
+/// Guards against a group that serves no read of current data although all its instances are
+/// healthy. Both replicas restart, one after the other. Their reports have to count when all
+/// instances other than the primary are queried together.
 #[test]
 fn restarted_replicas_prove_leadership_together() {
     let cluster = cluster::Cluster::new();
@@ -347,8 +347,8 @@
 }
 
 /// Guards against reads that accept some staleness and miss fifty commits. One of two replicas
-/// receives nothing; commits are acknowledged by the other, which is then gone for good; the
-/// primary is unreachable. A floor was derived from the remaining replica alone.
+/// receives nothing; commits are acknowledged by the other, which then never returns; the primary
+/// is unreachable. A floor was derived from the remaining replica alone.
 #[test]
 fn no_floor_is_derived_from_replicas_after_one_is_lost() {
     let cluster = cluster::Cluster::new();
--- a/desk/tests/handover.rs
+++ b/desk/tests/handover.rs
@@ -86,9 +86,9 @@
 }
 
 /// Guards against a group that serves no writes although its primary `b` leads. A promoter stops
-/// after holding `c` for a later term, without an order, and `a` does not answer. The next
-/// promoter tried to finish that promotion, which needs all answers, and started over every four
-/// seconds. It never demoted `a`, as the promoter that had replaced `a` was gone.
+/// after holding `c` for a later term, without an order, and `a` does not answer. The next promoter
+/// tried to finish that promotion, which needs all answers, and started over every four seconds. It
+/// never demoted `a`, as the promoter that had replaced `a` had ended.
 #[test]
 fn a_leading_primary_is_kept_and_its_predecessor_is_demoted() {
     let (world, store) = unfinished_promotion();
@@ -190,9 +190,9 @@
     });
 }
 
-/// Guards against a group that never gets a usable primary although one leads with all records.
-/// The order for a successor is lost, both replicas restart without their logs, and the lease
-/// holder stops. The next holder waited without limit for an order whose candidate process is gone.
+/// Guards against a group that never gets a usable primary although one leads with all records. The
+/// order for a successor is lost, both replicas restart without their logs, and the lease holder
+/// stops. The next holder waited without limit for an order whose candidate process has ended.
 #[test]
 fn an_order_for_a_process_that_is_gone_is_dropped() {
     let first = harness::start();
--- a/desk/tests/organisations.rs
+++ b/desk/tests/organisations.rs
@@ -322,7 +322,7 @@
     assert_eq!(node.key_validity(), validity::State::Valid);
 }
 
-/// Guards against a proof that looks newer than it is after it was passed on along a chain of
+/// Guards against a proof that counts as newer than it is after it was passed on along a chain of
 /// nodes, with pauses and late answers.
 #[test]
 fn evidence_that_is_handed_on_never_looks_younger() {
--- a/desk/tests/peers.rs
+++ b/desk/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Questions to other nodes over connections that go dead.
+//! Questions to other nodes over connections that break without notice.
 
 use std::cell;
 use std::net;
@@ -103,8 +103,8 @@
     }));
 }
 
-/// Guards against a healthy node that counts as silent because an idle connection to it has gone
-/// dead, so that token requests fail.
+/// Guards against a healthy node that counts as silent because an idle connection to it is broken,
+/// so that token requests fail.
 #[test]
 fn a_dead_connection_is_not_taken_for_a_dead_node() {
     run_test(async |node, member, peers| {
@@ -116,7 +116,7 @@
     });
 }
 
-/// Guards against a timeout for each of several idle connections that went dead at the same time.
+/// Guards against a timeout for each of several idle connections that broke at the same time.
 #[test]
 fn connections_as_old_as_a_dead_one_are_not_asked() {
     run_test(async |node, member, peers| {
--- a/desk/tests/pool.rs
+++ b/desk/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Pools of shared connections, and what they record about connections and instances.
+//! Pools of shared connections, and the state of connections and instances that they record.
 
 mod cluster;
 
@@ -37,10 +37,10 @@
     checkout.expect("a connection")
 }
 
-/// Guards against a statement that runs with other session values than its caller set. A
-/// statement waits for the concurrency limit and gives up, or its caller leaves, and the connection
-/// is lent to a session with the same values. The values were recorded as set although the
-/// commands that set them had not been sent.
+/// Guards against a statement that runs with other session values than its caller set. A statement
+/// waits for the concurrency limit and gives up, or its caller leaves, and the connection is reused
+/// by a session with the same values. The values were recorded as set although the commands that
+/// set them had not been sent.
 #[test]
 fn values_that_were_never_sent_are_sent_to_the_next() {
     check_values_are_resent(false);
@@ -124,7 +124,8 @@
     ))
 }
 
-/// Guards against an instance that is treated as down although only old connections to it are dead.
+/// Guards against an instance that is treated as down although only old connections to it are
+/// broken.
 #[test]
 fn a_new_connection_shows_that_a_silent_instance_is_up() {
     let cluster = cluster::Cluster::new();
--- a/desk/tests/promoter.rs
+++ b/desk/tests/promoter.rs
@@ -207,7 +207,7 @@
 }
 
 /// Guards against a group that never gets a primary after a failure of all nodes. They fail during
-/// a promotion and restart while the replicas are held and the primary is gone. A promoter
+/// a promotion and restart while the replicas are held and the primary has ended. A promoter
 /// monitored only primaries that it had seen leading.
 #[test]
 fn a_holder_that_never_saw_a_primary_finds_one() {
@@ -251,7 +251,8 @@
 
 /// Guards against a group that never gets a primary although all its instances are healthy. The old
 /// primary is demoted and the order for its successor is lost. The lease holder took the answer of
-/// the demoted primary as proof that it leads, and the next holder looked for a silent instance.
+/// the demoted primary as proof that it leads, and the next holder expected the lost primary to be
+/// a silent instance.
 #[test]
 fn a_group_without_a_leader_gets_a_primary() {
     for seen in [true, false] {
@@ -481,7 +482,7 @@
 
 /// Guards against a lost commit after a crash. The store returns from an outage in which all
 /// entries expired. A node starts, takes the promoter lease and lists the instances before one of
-/// two replicas is listed again. The primary is gone, and the listed replica has received less.
+/// two replicas is listed again. The primary has ended, and the listed replica has received less.
 #[test]
 fn a_holder_that_has_just_started_waits_for_a_complete_list() {
     let world = cluster::world();
@@ -493,13 +494,13 @@
         harness.cluster.world.borrow_mut().at("a").up = false;
         let group = harness.cluster.node.group(&cluster::GROUP.into());
         let settles = group.roster().settles_at().expect("a list");
-        // The replica is listed again well before the list counts as complete.
+        // The replica is listed again shortly before the list counts as complete.
         cluster::until("the list is nearly old enough", || {
             assert!(harness.client.orders.borrow().is_empty());
             boot::now() + SHORT >= settles
         })
         .await;
-        let missing = missing.expect("it was on stage");
+        let missing = missing.expect("the replica was among the instances");
         harness
             .cluster
             .world
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -1,4 +1,4 @@
-//! Connections through another node that is busy or dead.
+//! Connections through another node that is busy or has failed.
 
 mod cluster;
 
@@ -21,7 +21,7 @@
 use mangotray_desk::urgency;
 use mangotray_desk::wait;
 
-/// Test timeout, far above any wait for a connection that is alive.
+/// Test timeout, far above any wait on a working connection.
 const TEST_TIMEOUT: time::Duration = time::Duration::from_secs(20);
 
 /// Deadline of statements, too long to be reached in a test.
@@ -89,8 +89,8 @@
     }
 }
 
-/// Guards against a busy relaying node that is taken for dead, by checking that it sends heartbeats
-/// while a statement runs.
+/// Guards against a busy relaying node that is taken for failed, by checking that it sends
+/// heartbeats while a statement runs.
 #[test]
 fn a_relaying_node_sends_heartbeats_while_a_statement_runs() {
     let cluster = cluster::Cluster::new();
@@ -112,8 +112,8 @@
     });
 }
 
-/// Guards against a read that waits for half of its timeout on a connection that is dead: the other
-/// node accepts the connection and then neither answers nor sends heartbeats.
+/// Guards against a read that waits for half of its timeout on a broken connection: the other node
+/// accepts the connection and then neither answers nor sends heartbeats.
 #[test]
 fn a_read_on_a_dead_connection_is_given_up_soon() {
     let cluster = cluster::Cluster::new();
--- a/desk/tests/session.rs
+++ b/desk/tests/session.rs
@@ -250,9 +250,9 @@
     });
 }
 
-/// Guards against callers that wait in vain in a group without a primary, and retry at once. The
-/// primary is lost and no replica can be promoted. Each statement waited as long as right after
-/// the loss, and the refusal named no time for a retry.
+/// Guards against callers that wait until they time out in a group without a primary, and retry at
+/// once. The primary is lost and no replica can be promoted. Each statement waited as long as right
+/// after the loss, and the refusal named no time for a retry.
 #[test]
 fn a_group_that_stays_without_a_primary_refuses_with_a_time_to_come_back() {
     let cluster = cluster::Cluster::new();
@@ -262,7 +262,7 @@
         cluster.world.borrow_mut().at("a").up = false;
         group.suspect(1, "test");
         let since = group.vacancy().since;
-        cluster::until("the group counts as dark", || {
+        cluster::until("the group has had no primary for long", || {
             deadline::is_vacant(since, boot::now())
         })
         .await;
--- a/desk/tests/verdict.rs
+++ b/desk/tests/verdict.rs
@@ -175,7 +175,7 @@
     assert_eq!(judge_pair((9, 5), 5, Some("b")), promote("b"));
 }
 
-/// Guards against two instances that lead in turns once the replaced primary is gone or has become
+/// Guards against two instances that lead alternately once the replaced primary has ended or become
 /// a replica.
 #[test]
 fn a_primary_that_is_gone_does_not_end_the_wait_for_an_order() {
--- a/desk/tests/witness.rs
+++ b/desk/tests/witness.rs
@@ -110,8 +110,8 @@
 }
 
 /// Guards against too strict a rule, by which no read of current data is served while the store is
-/// unreachable: this node can't reach the list of instances, and the process of one replica is
-/// gone.
+/// unreachable: this node can't reach the list of instances, and the process of one replica has
+/// ended.
 #[test]
 fn an_old_list_does_not_stop_reads_if_all_live_instances_answer() {
     let cluster = cluster::Cluster::new();
