--- a/desk/src/absence.rs
+++ b/desk/src/absence.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Activity {
     /// When it last answered anything.
-    pub answered: id::Time,
+    pub last_answer: id::Time,
     /// Its address refused the last connection, or another instance answered there.
-    pub closed: bool,
+    pub connection_refused: bool,
     /// Another instance answered there, so its process has ended.
     pub replaced: bool,
 }
@@ -45,20 +45,20 @@
 /// use mangotray_desk::absence;
 /// use std::time::Duration;
 /// let seconds = Duration::from_secs;
-/// let absence = absence::Absence { since: seconds(9), noticed: seconds(10), announced: false };
-/// let answers = |at| absence::Activity { answered: at, closed: false, replaced: false };
+/// let absence = absence::Absence { unlisted_since: seconds(9), noticed_at: seconds(10), end_announced: false };
+/// let answers = |at| absence::Activity { last_answer: at, connection_refused: false, replaced: false };
 /// // It is running and may confirm commits.
-/// assert!(!absence.is_gone(answers(seconds(39)), seconds(40)));
-/// assert!(absence.is_gone(answers(seconds(20)), seconds(40)));
+/// assert!(!absence.has_ended(answers(seconds(39)), seconds(40)));
+/// assert!(absence.has_ended(answers(seconds(20)), seconds(40)));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Absence {
     /// Time of the first list without it.
-    pub since: id::Time,
+    pub unlisted_since: id::Time,
     /// When this node received that list.
-    pub noticed: id::Time,
+    pub noticed_at: id::Time,
     /// It had announced its end before.
-    pub announced: bool,
+    pub end_announced: bool,
 }
 
 impl Absence {
@@ -68,20 +68,21 @@
     /// use mangotray_desk::absence;
     /// use std::time::Duration;
     /// let seconds = Duration::from_secs;
-    /// let absence = absence::Absence { since: seconds(9), noticed: seconds(10), announced: true };
-    /// let ended = absence::Activity { answered: seconds(9), closed: true, replaced: false };
-    /// assert!(absence.is_gone(ended, seconds(10)));
+    /// let absence = absence::Absence { unlisted_since: seconds(9), noticed_at: seconds(10), end_announced: true };
+    /// let ended = absence::Activity { last_answer: seconds(9), connection_refused: true, replaced: false };
+    /// assert!(absence.has_ended(ended, seconds(10)));
     /// ```
     #[must_use]
-    pub fn is_gone(&self, activity: Activity, now: id::Time) -> bool {
-        let last_seen = self.since.max(activity.answered);
-        let may_return = !self.announced && !activity.replaced && now <= last_seen + RESTART_GRACE;
-        let silent = if self.announced {
-            now > activity.answered.max(self.noticed) + ANNOUNCED_SILENCE
+    pub fn has_ended(&self, activity: Activity, now: id::Time) -> bool {
+        let last_seen = self.unlisted_since.max(activity.last_answer);
+        let may_return =
+            !self.end_announced && !activity.replaced && now <= last_seen + RESTART_GRACE;
+        let silent = if self.end_announced {
+            now > activity.last_answer.max(self.noticed_at) + ANNOUNCED_SILENCE
         } else {
-            now > activity.answered + UNANNOUNCED_SILENCE
+            now > activity.last_answer + UNANNOUNCED_SILENCE
         };
-        !may_return && (activity.closed || silent)
+        !may_return && (activity.connection_refused || silent)
     }
 
     /// Whether it has been missing for longer than the list needs to become complete again.
@@ -90,12 +91,12 @@
     /// use mangotray_desk::absence;
     /// use std::time::Duration;
     /// let seconds = Duration::from_secs;
-    /// let absence = absence::Absence { since: seconds(9), noticed: seconds(10), announced: false };
+    /// let absence = absence::Absence { unlisted_since: seconds(9), noticed_at: seconds(10), end_announced: false };
     /// assert!(!absence.is_overdue(seconds(11)));
     /// assert!(absence.is_overdue(seconds(14)));
     /// ```
     #[must_use]
     pub fn is_overdue(&self, now: id::Time) -> bool {
-        now >= self.noticed + OVERDUE_AFTER
+        now >= self.noticed_at + OVERDUE_AFTER
     }
 }
--- a/desk/src/bucket.rs
+++ b/desk/src/bucket.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
     tokens: f64,
-    refilled: id::Time,
+    refilled_at: id::Time,
 }
 
 impl Bucket {
@@ -29,7 +29,7 @@
     pub const fn new(tokens: f64, now: id::Time) -> Self {
         Self {
             tokens,
-            refilled: now,
+            refilled_at: now,
         }
     }
 
@@ -38,11 +38,11 @@
     /// # Errors
     /// The delay until a token is available, if there is none now.
     pub fn take(&mut self, quota: &quota::Quota, now: id::Time) -> Result<(), time::Duration> {
-        let elapsed = now.saturating_sub(self.refilled).as_secs_f64();
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         // With a burst below 1 the bucket could never hold a whole token.
         let capacity = quota.burst.max(1.0);
         self.tokens = (self.tokens + elapsed * quota.rate).min(capacity);
-        self.refilled = now;
+        self.refilled_at = now;
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return Ok(());
--- a/desk/src/buckets.rs
+++ b/desk/src/buckets.rs
@@ -19,14 +19,14 @@
 
 /// Fraction of the tolerated excess that a new bucket starts with. Together with the tokens that a
 /// failed predecessor granted this stays within the tolerance.
-const INITIAL_PART: f64 = 0.25;
+const INITIAL_FRACTION: f64 = 0.25;
 
 /// Fraction of the tolerated excess that a deputy may grant as a burst while the counting node is
 /// silent and may still serve other nodes.
-const DEPUTY_BURST_PART: f64 = 0.1;
+const DEPUTY_BURST_FRACTION: f64 = 0.1;
 
 /// Fraction of the tolerated excess that a deputy may grant per window in addition to the burst.
-const DEPUTY_PART: f64 = 0.6;
+const DEPUTY_FRACTION: f64 = 0.6;
 
 /// A deputy that gets no requests for this long ends its role.
 const DEPUTY_IDLE_TIMEOUT: time::Duration = time::Duration::from_secs(1);
@@ -129,7 +129,7 @@
             .entry(request.organisation.clone())
             .or_insert_with(|| {
                 let initial = if request.turn == Reason::Counting {
-                    excess * INITIAL_PART
+                    excess * INITIAL_FRACTION
                 } else {
                     0.0
                 };
@@ -148,8 +148,8 @@
             Reason::Silent => {
                 let window = self.tolerance.window.as_secs_f64();
                 let deputy_quota = quota::Quota {
-                    rate: excess * DEPUTY_PART / window,
-                    burst: excess * DEPUTY_BURST_PART,
+                    rate: excess * DEPUTY_FRACTION / window,
+                    burst: excess * DEPUTY_BURST_FRACTION,
                 };
                 entry.take_as_deputy(&request.quota, &deputy_quota, takeover, now)
             }
--- a/desk/src/confirmer.rs
+++ b/desk/src/confirmer.rs
@@ -116,11 +116,12 @@
         let members = self.node.router().members();
         let peers = self.node.router().peers();
         let may_ask = |name: &mangotray::id::Vm| peers.may_ask(name);
-        let keeper = delegate::choose(&members, &RENDEZVOUS_KEY.into(), &self.node.name, may_ask)?;
+        let delegate =
+            delegate::choose(&members, &RENDEZVOUS_KEY.into(), &self.node.name, may_ask)?;
         // The peer's proof may be as old as the renewal age; it is used for the rest of the bound.
         let question = question::Question::Newest(validity.renewal());
         let sent = boot::now();
-        let answer = peers.ask(&keeper, &question).await;
+        let answer = peers.ask(&delegate, &question).await;
         let Some(question::Answer::Newest(newest)) = answer else {
             return Some(false);
         };
--- a/desk/src/node.rs
+++ b/desk/src/node.rs
@@ -39,14 +39,14 @@
     executor: rc::Rc<async_executor::LocalExecutor<'static>>,
     catalog: ArcSwap<catalog::Catalog>,
     groups: cell::RefCell<collections::BTreeMap<id::Group, rc::Rc<group::Group>>>,
-    listed: cell::RefCell<collections::BTreeSet<upstream::Id>>,
+    listed_instances: cell::RefCell<collections::BTreeSet<upstream::Id>>,
     instances_known: cell::Cell<bool>,
     validity: Option<validity::Validity>,
     /// Whether the newest configuration could not be parsed; it may revoke keys.
-    unreadable: cell::Cell<bool>,
+    newest_unreadable: cell::Cell<bool>,
     quotas: quotas::Quotas,
     /// Groups of listed instances that are not in the configuration; each is logged once.
-    unconfigured: cell::RefCell<collections::BTreeSet<id::Group>>,
+    unconfigured_groups: cell::RefCell<collections::BTreeSet<id::Group>>,
 }
 
 impl Node {
@@ -63,7 +63,7 @@
         let buckets = buckets::Buckets::new(guarantees.tolerance, takeover);
         rc::Rc::new(Self {
             validity: guarantees.revocation.map(validity::Validity::new),
-            unreadable: cell::Cell::default(),
+            newest_unreadable: cell::Cell::default(),
             quotas: quotas::Quotas::new(name.clone(), rc::Rc::clone(&router), buckets),
             name,
             domain,
@@ -71,9 +71,9 @@
             executor,
             catalog: ArcSwap::default(),
             groups: cell::RefCell::default(),
-            listed: cell::RefCell::default(),
+            listed_instances: cell::RefCell::default(),
             instances_known: cell::Cell::default(),
-            unconfigured: cell::RefCell::default(),
+            unconfigured_groups: cell::RefCell::default(),
         })
     }
 
@@ -86,7 +86,7 @@
     /// Puts a configuration in force and returns `true`, unless its version is not higher than that
     /// of the one in force.
     pub fn apply(&self, catalog: catalog::Catalog) -> bool {
-        self.unreadable.set(false);
+        self.newest_unreadable.set(false);
         let version = self.catalog.load().version;
         if catalog.version <= version {
             return false;
@@ -111,19 +111,19 @@
         true
     }
 
-    /// Applies a new list of instances, read at `heard`. Its changes are no older than `since`, or
+    /// Applies a new list of instances, read at `list_time`. Its changes are no older than `since`, or
     /// of unknown age if that is `None`.
     pub fn update(
         &self,
         instances: Vec<catalog::Instance>,
         since: Option<id::Time>,
-        heard: id::Time,
+        list_time: id::Time,
     ) {
         let listed = instances
             .iter()
             .map(|instance| instance.id.clone())
             .collect();
-        self.listed.replace(listed);
+        self.listed_instances.replace(listed);
         self.instances_known.set(true);
         let mut by_group: collections::BTreeMap<id::Group, Vec<catalog::Instance>> =
             collections::BTreeMap::new();
@@ -136,19 +136,19 @@
         for name in self.groups.borrow().keys() {
             by_group.entry(name.clone()).or_default();
         }
-        for (name, part) in by_group {
+        for (name, group_instances) in by_group {
             if self.is_configured(&name) {
-                self.group(&name).update(part, since, heard);
-            } else if self.unconfigured.borrow_mut().insert(name.clone()) {
+                self.group(&name).update(group_instances, since, list_time);
+            } else if self.unconfigured_groups.borrow_mut().insert(name.clone()) {
                 tracing::warn!(group = %name, "listed instances belong to a group that is not in the configuration");
             }
         }
     }
 
-    /// Records that the list of instances was confirmed as unchanged at `heard`.
-    pub fn note_confirmed(&self, heard: id::Time) {
+    /// Records that the list of instances was confirmed as unchanged at `list_time`.
+    pub fn note_confirmed(&self, list_time: id::Time) {
         for group in self.groups.borrow().values() {
-            group.roster().note_confirmed(heard);
+            group.roster().note_confirmed(list_time);
         }
     }
 
@@ -173,7 +173,7 @@
 
     /// Removes outdated state of groups, connections and quotas; called about once a second.
     pub fn maintain(&self) {
-        let listed = self.listed.borrow();
+        let listed = self.listed_instances.borrow();
         for group in self.groups.borrow().values() {
             group.maintain(|id| listed.contains(id));
         }
@@ -203,7 +203,10 @@
     /// Records that the store had acknowledged nothing newer than the configuration in force at
     /// `moment`.
     pub fn confirm(&self, moment: id::Time) {
-        let validity = self.validity.as_ref().filter(|_| !self.unreadable.get());
+        let validity = self
+            .validity
+            .as_ref()
+            .filter(|_| !self.newest_unreadable.get());
         if let Some(validity) = validity {
             validity.confirm(moment, boot::now());
         }
@@ -212,7 +215,7 @@
     /// Records that the newest configuration could not be parsed. The one in force cannot be
     /// confirmed until another one arrives.
     pub fn note_unreadable(&self) {
-        self.unreadable.set(true);
+        self.newest_unreadable.set(true);
     }
 
     /// Records that the store may hold an outdated configuration for a while.
@@ -302,9 +305,9 @@
 
     /// Answers a peer's question for the read floor of a group; `None` if the group is unknown or
     /// has no floor.
-    pub async fn floor_for_peer(&self, ask: delegate::Request) -> Option<delegate::Response> {
-        let group = self.groups.borrow().get(&ask.group).cloned()?;
-        group.floor_for_peer(ask.within).await
+    pub async fn floor_for_peer(&self, request: delegate::Request) -> Option<delegate::Response> {
+        let group = self.groups.borrow().get(&request.group).cloned()?;
+        group.floor_for_peer(request.within).await
     }
 
     /// All groups.
--- a/desk/src/peers.rs
+++ b/desk/src/peers.rs
@@ -58,7 +58,7 @@
 const MAX_IDLE_CONNECTIONS: usize = 2;
 
 /// A node that is skipped for a while.
-struct Skipped {
+struct SkippedNode {
     until: id::Time,
     reason: buckets::Reason,
 }
@@ -68,7 +68,7 @@
 pub struct Peers {
     timeouts: Timeouts,
     idle: cell::RefCell<collections::BTreeMap<net::SocketAddr, Vec<TcpStream>>>,
-    skipped: cell::RefCell<collections::BTreeMap<id::Vm, Skipped>>,
+    skipped_nodes: cell::RefCell<collections::BTreeMap<id::Vm, SkippedNode>>,
 }
 
 impl Peers {
@@ -90,7 +90,7 @@
     /// Returns why a node is skipped now, or `None` if it may be asked.
     #[must_use]
     pub fn skip_reason(&self, name: &id::Vm) -> Option<buckets::Reason> {
-        let skipped = self.skipped.borrow();
+        let skipped = self.skipped_nodes.borrow();
         let skipped = skipped.get(name)?;
         (boot::now() <= skipped.until).then_some(skipped.reason)
     }
@@ -105,7 +105,7 @@
         let answered = wait::within(limit, self.exchange(node.address, question)).await;
         let failure = match answered {
             Some(Ok(answer)) => {
-                self.skipped.borrow_mut().remove(&node.name);
+                self.skipped_nodes.borrow_mut().remove(&node.name);
                 return Some(answer);
             }
             Some(Err(error)) => error,
@@ -120,14 +120,14 @@
             (SILENT_BACKOFF, buckets::Reason::Silent)
         };
         let until = boot::now() + pause;
-        self.skipped
+        self.skipped_nodes
             .borrow_mut()
-            .insert(node.name.clone(), Skipped { until, reason });
+            .insert(node.name.clone(), SkippedNode { until, reason });
         None
     }
 
     fn answer_timeout(&self, name: &id::Vm) -> time::Duration {
-        let skipped = self.skipped.borrow();
+        let skipped = self.skipped_nodes.borrow();
         match skipped.get(name) {
             Some(before) if before.reason == buckets::Reason::Silent => self.timeouts.after_silence,
             _ => self.timeouts.answer,
--- a/desk/src/pool.rs
+++ b/desk/src/pool.rs
@@ -242,8 +242,8 @@
     #[must_use]
     pub fn activity(&self) -> absence::Activity {
         absence::Activity {
-            answered: self.last_answer.get(),
-            closed: self.closed.get(),
+            last_answer: self.last_answer.get(),
+            connection_refused: self.closed.get(),
             replaced: self.replaced.get(),
         }
     }
--- a/desk/src/promoter.rs
+++ b/desk/src/promoter.rs
@@ -288,7 +288,10 @@
         let group = &promotion.group;
         let mut logged = false;
         loop {
-            let resume_until = self.resumes.borrow_mut().until(&group.name, boot::now());
+            let resume_until = self
+                .resumes
+                .borrow_mut()
+                .latest_arrival(&group.name, boot::now());
             if resume_until.is_some() && promotion.cause.can_wait() {
                 tracing::info!(group = %group.name, term = promotion.term,
                     "promotion postponed: an earlier resume command may still arrive");
--- a/desk/src/promotion.rs
+++ b/desk/src/promotion.rs
@@ -324,11 +324,11 @@
         tracing::info!(instance = %pool.id(), "replica stays held: this node may no longer release it");
         return;
     }
-    let number = resumes.borrow_mut().sent(&group.name, boot::now());
+    let number = resumes.borrow_mut().note_sent(&group.name, boot::now());
     let answer = checkout.run(&[upstream::Command::Resume], deadline).await;
     let open = answer.as_ref().is_err_and(|failure| failure.sent);
     if !open {
-        resumes.borrow_mut().answered(number);
+        resumes.borrow_mut().note_answered(number);
     }
     tracing::info!(instance = %pool.id(), command = ?upstream::Command::Resume, answered = answer.is_ok(),
         open, "command sent to instance");
--- a/desk/src/proof.rs
+++ b/desk/src/proof.rs
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct Prover {
     waiting: cell::RefCell<Vec<async_channel::Sender<Proof>>>,
-    busy: cell::Cell<bool>,
+    proof_running: cell::Cell<bool>,
 }
 
 impl Prover {
@@ -33,7 +33,7 @@
     pub async fn prove(&self, group: &rc::Rc<group::Group>, deadline: id::Time) -> Proof {
         let (sender, receiver) = async_channel::bounded(1);
         self.waiting.borrow_mut().push(sender);
-        if !self.busy.replace(true) {
+        if !self.proof_running.replace(true) {
             let owner = rc::Rc::clone(group);
             group
                 .executor()
@@ -47,7 +47,7 @@
         loop {
             let waiting = self.waiting.take();
             if waiting.is_empty() {
-                self.busy.set(false);
+                self.proof_running.set(false);
                 return;
             }
             let proof = self.try_prove(group).await;
@@ -104,10 +104,11 @@
         let mut queried = others;
         // The primary's own answer is needed where the other instances' answers may not suffice.
         // Its position shows in the next attempt whether a witness follows it.
-        let informed = group
+        let position_known = group
             .with_witnesses(|witnesses| witnesses.knows_primary_position(leader.term, started));
-        let gap = !group.roster().is_settled() || queried.iter().any(|pool| pool.is_closed());
-        if gap || !informed {
+        let list_incomplete =
+            !group.roster().is_settled() || queried.iter().any(|pool| pool.is_closed());
+        if list_incomplete || !position_known {
             queried.extend(group.roster().pool(&leader.id));
         }
         let reports = group.query_status(&queried, status::TIMEOUT).await;
--- a/desk/src/relay.rs
+++ b/desk/src/relay.rs
@@ -55,7 +55,7 @@
 pub type Opened = Result<Option<stamp::Stamp>, upstream::Refusal>;
 
 /// Trailing byte of a request whose sender wants heartbeats while the commands run.
-pub const WANT_HEARTBEATS: u8 = 1;
+pub const HEARTBEAT_REQUEST: u8 = 1;
 
 /// A request to run commands; the sending side is `WorkRef` in [`crate::remote`].
 #[derive(serde::Deserialize)]
@@ -414,7 +414,7 @@
                 let run = session.run(&work.commands, urgency, &work.organisation);
                 let run = pin::pin!(run);
                 match trailer {
-                    Some(WANT_HEARTBEATS) => run_with_heartbeats(run, stream).await,
+                    Some(HEARTBEAT_REQUEST) => run_with_heartbeats(run, stream).await,
                     _ => run.await,
                 }
             };
--- a/desk/src/remote.rs
+++ b/desk/src/remote.rs
@@ -42,7 +42,7 @@
     stream: TcpStream,
     /// When the connection is to be replaced, if ever.
     expires_at: Option<id::Time>,
-    pulse: upstream::Heartbeat,
+    heartbeat: upstream::Heartbeat,
 }
 
 impl upstream::Connection for Remote {
@@ -57,11 +57,11 @@
                 urgency: urgency.to_remaining(),
                 organisation,
                 commands,
-                tell: relay::WANT_HEARTBEATS,
+                tell: relay::HEARTBEAT_REQUEST,
             };
             let exchange = async {
                 message::send(&mut self.stream, &work).await?;
-                let record_heartbeat = || self.pulse.set(boot::now());
+                let record_heartbeat = || self.heartbeat.set(boot::now());
                 message::receive_after_heartbeats(&mut self.stream, record_heartbeat).await
             };
             exchange.await.unwrap_or_else(|error| {
@@ -99,7 +99,7 @@
     }
 
     fn heartbeat(&self) -> Option<upstream::Heartbeat> {
-        Some(rc::Rc::clone(&self.pulse))
+        Some(rc::Rc::clone(&self.heartbeat))
     }
 }
 
@@ -125,7 +125,7 @@
         let remote: Box<dyn upstream::Connection> = Box::new(Remote {
             stream,
             expires_at,
-            pulse: upstream::Heartbeat::default(),
+            heartbeat: upstream::Heartbeat::default(),
         });
         (remote, stamp)
     }))
--- a/desk/src/resumes.rs
+++ b/desk/src/resumes.rs
@@ -11,7 +11,7 @@
 pub const MAX_DELIVERY_DELAY: time::Duration = time::Duration::from_secs(4);
 
 /// A command that may still arrive.
-struct Sent {
+struct PendingResume {
     group: id::Group,
     at: id::Time,
 }
@@ -28,39 +28,40 @@
 /// use std::time::Duration;
 /// let group = "bookings".into();
 /// let mut resumes = resumes::Resumes::default();
-/// let first = resumes.sent(&group, Duration::from_secs(1));
-/// let second = resumes.sent(&group, Duration::from_secs(2));
-/// resumes.answered(second);
+/// let first = resumes.note_sent(&group, Duration::from_secs(1));
+/// let second = resumes.note_sent(&group, Duration::from_secs(2));
+/// resumes.note_answered(second);
 /// let until = Duration::from_secs(1) + resumes::MAX_DELIVERY_DELAY;
-/// assert_eq!(resumes.until(&group, Duration::from_secs(2)), Some(until));
-/// assert_eq!(resumes.until(&"others".into(), Duration::from_secs(2)), None);
-/// assert_eq!(resumes.until(&group, until), None);
-/// resumes.answered(first);
+/// assert_eq!(resumes.latest_arrival(&group, Duration::from_secs(2)), Some(until));
+/// assert_eq!(resumes.latest_arrival(&"others".into(), Duration::from_secs(2)), None);
+/// assert_eq!(resumes.latest_arrival(&group, until), None);
+/// resumes.note_answered(first);
 /// ```
 #[derive(Default)]
 pub struct Resumes {
-    unanswered: collections::BTreeMap<u64, Sent>,
-    count: u64,
-    promoting: collections::BTreeSet<id::Group>,
+    unanswered: collections::BTreeMap<u64, PendingResume>,
+    last_number: u64,
+    promoting_groups: collections::BTreeSet<id::Group>,
 }
 
 impl Resumes {
     /// Notes a command to a replica of this group and returns its number.
-    pub fn sent(&mut self, group: &id::Group, now: id::Time) -> u64 {
-        self.count += 1;
+    pub fn note_sent(&mut self, group: &id::Group, now: id::Time) -> u64 {
+        self.last_number += 1;
         let group = group.clone();
-        self.unanswered.insert(self.count, Sent { group, at: now });
-        self.count
+        self.unanswered
+            .insert(self.last_number, PendingResume { group, at: now });
+        self.last_number
     }
 
     /// Notes that a command has been carried out, or never will be.
-    pub fn answered(&mut self, number: u64) {
+    pub fn note_answered(&mut self, number: u64) {
         self.unanswered.remove(&number);
     }
 
     /// Until when a command to a replica of this group may arrive; `None` if all have been
     /// answered.
-    pub fn until(&mut self, group: &id::Group, now: id::Time) -> Option<id::Time> {
+    pub fn latest_arrival(&mut self, group: &id::Group, now: id::Time) -> Option<id::Time> {
         self.unanswered
             .retain(|_, sent| now < sent.at + MAX_DELIVERY_DELAY);
         let sent = self.unanswered.values().filter(|sent| sent.group == *group);
@@ -79,15 +80,15 @@
     /// ```
     pub fn set_promoting(&mut self, group: &id::Group, promotes: bool) {
         if promotes {
-            self.promoting.insert(group.clone());
+            self.promoting_groups.insert(group.clone());
         } else {
-            self.promoting.remove(group);
+            self.promoting_groups.remove(group);
         }
     }
 
     /// Whether a promotion of this group is in progress; nothing else may release its replicas.
     #[must_use]
     pub fn is_promoting(&self, group: &id::Group) -> bool {
-        self.promoting.contains(group)
+        self.promoting_groups.contains(group)
     }
 }
--- a/desk/src/roster.rs
+++ b/desk/src/roster.rs
@@ -199,9 +199,9 @@
         let pool = addresses.swap_remove(index).pool;
         let now = boot::now();
         let absence = absence::Absence {
-            since: now,
-            noticed: now,
-            announced: false,
+            unlisted_since: now,
+            noticed_at: now,
+            end_announced: false,
         };
         tracing::info!(group = %self.group, instance = %id, "unlisted successor found at the address of an ended instance");
         self.absent.borrow_mut().insert(id.clone(), absence);
@@ -378,9 +378,9 @@
         self.absent.borrow_mut().entry(id.clone()).or_insert_with(|| {
             tracing::info!(group = %self.group, instance = %id, announced, "instance is no longer listed");
             absence::Absence {
-                since: list_time,
-                noticed: boot::now(),
-                announced,
+                unlisted_since: list_time,
+                noticed_at: boot::now(),
+                end_announced: announced,
             }
         });
     }
@@ -395,7 +395,7 @@
             let absent = self.absent.borrow();
             let absence = absent.get(&pool.id());
             pool.activity().replaced
-                || absence.is_some_and(|absence| absence.is_gone(pool.activity(), now))
+                || absence.is_some_and(|absence| absence.has_ended(pool.activity(), now))
         };
         let mut pools = self.pools();
         pools.retain(ended);
@@ -417,8 +417,8 @@
         self.last_lost.set(Some(now));
         self.forgotten.borrow_mut().insert(pool.id(), now);
         self.search_successor(pool, now);
-        tracing::info!(group = %self.group, instance = %pool.id(), closed = activity.closed,
-            silent = ?now.saturating_sub(activity.answered), "instance forgotten");
+        tracing::info!(group = %self.group, instance = %pool.id(), closed = activity.connection_refused,
+            silent = ?now.saturating_sub(activity.last_answer), "instance forgotten");
     }
 
     fn remove(&self, pool: &pool::Pool) {
--- a/desk/src/upstream.rs
+++ b/desk/src/upstream.rs
@@ -237,7 +237,7 @@
     /// query the instances itself.
     fn request_floor<'a>(
         &'a self,
-        _ask: &'a delegate::Request,
+        _request: &'a delegate::Request,
     ) -> future::LocalBoxFuture<'a, Option<delegate::Response>> {
         Box::pin(future::ready(None))
     }
--- a/desk/src/witness.rs
+++ b/desk/src/witness.rs
@@ -127,7 +127,7 @@
             self.leadership
                 .trusts_restarted(pool.restarted_at(), leader.term)
         };
-        let whole = settled && silent.is_empty();
-        whole || (claims_leadership && answered.iter().all(trusted))
+        let all_answered = settled && silent.is_empty();
+        all_answered || (claims_leadership && answered.iter().all(trusted))
     }
 }
--- a/desk/tests/absence.rs
+++ b/desk/tests/absence.rs
@@ -22,7 +22,7 @@
 /// Guards against acknowledged commits that are lost because a running replica without an entry
 /// isn't held.
 #[test]
-fn a_replica_that_is_listed_no_more_is_held_as_long_as_it_lives() {
+fn an_unlisted_replica_is_held_as_long_as_it_runs() {
     for announced in [false, true] {
         let harness = start();
         harness.cluster.run_housekeeping();
@@ -44,7 +44,7 @@
 
 /// Guards against a replaced primary that is never demoted because its entry had already expired.
 #[test]
-fn a_primary_that_is_listed_no_more_is_told_of_its_successor() {
+fn an_unlisted_primary_is_demoted_after_its_replacement() {
     let harness = start();
     harness.cluster.run_housekeeping();
     harness.cluster.run(async {
@@ -61,7 +61,7 @@
 
 /// Guards against callers' work for an instance that has been missing from the list for seconds.
 #[test]
-fn callers_leave_an_instance_that_is_listed_no_more() {
+fn callers_work_avoids_an_unlisted_instance() {
     let cluster = cluster::Cluster::new();
     cluster.run_housekeeping();
     cluster.run(async {
@@ -74,7 +74,7 @@
 
 /// Guards against a group without a primary while a promotion waits for an instance that has ended.
 #[test]
-fn an_instance_that_ended_and_is_listed_no_more_holds_no_promotion_back() {
+fn an_unlisted_instance_that_has_ended_holds_no_promotion_back() {
     let harness = start();
     harness.cluster.run_housekeeping();
     harness.cluster.run(async {
@@ -128,7 +128,7 @@
 
 /// Guards against a group without a primary while a process that has ended is still listed.
 #[test]
-fn a_listed_process_whose_address_another_has_is_waited_for_no_longer() {
+fn a_listed_process_replaced_at_its_address_holds_no_promotion_back() {
     let harness = start();
     harness.cluster.run_housekeeping();
     harness.cluster.run(async {
@@ -249,7 +249,7 @@
 
 /// Guards against reads that miss commits received only by a replica without an entry.
 #[test]
-fn no_floor_is_made_without_a_replica_that_lives() {
+fn no_floor_is_derived_without_a_running_replica() {
     let cluster = cluster::Cluster::new();
     cluster.run_housekeeping();
     cluster.run(async {
@@ -278,40 +278,40 @@
 }
 
 #[test]
-fn an_instance_is_gone_where_the_list_and_its_silence_say_so() {
+fn an_instance_has_ended_if_the_list_and_its_silence_agree() {
     let seconds = time::Duration::from_secs;
     let absence = absence::Absence {
-        since: seconds(100),
-        noticed: seconds(100),
-        announced: false,
+        unlisted_since: seconds(100),
+        noticed_at: seconds(100),
+        end_announced: false,
     };
-    let activity = |answered, closed| absence::Activity {
-        answered: seconds(answered),
-        closed,
+    let activity = |last_answer, connection_refused| absence::Activity {
+        last_answer: seconds(last_answer),
+        connection_refused,
         replaced: false,
     };
     // It may be restarting.
-    assert!(!absence.is_gone(activity(99, true), seconds(104)));
-    assert!(absence.is_gone(activity(99, true), seconds(106)));
-    assert!(!absence.is_gone(activity(99, false), seconds(106)));
-    assert!(absence.is_gone(activity(99, false), seconds(109)));
+    assert!(!absence.has_ended(activity(99, true), seconds(104)));
+    assert!(absence.has_ended(activity(99, true), seconds(106)));
+    assert!(!absence.has_ended(activity(99, false), seconds(106)));
+    assert!(absence.has_ended(activity(99, false), seconds(109)));
     // One refused connection shortly after an answer is no end, however long the instance is
     // missing.
-    assert!(!absence.is_gone(activity(999, true), seconds(1000)));
+    assert!(!absence.has_ended(activity(999, true), seconds(1000)));
     // Another process has its address.
     let replaced = absence::Activity {
         replaced: true,
         ..activity(99, true)
     };
-    assert!(absence.is_gone(replaced, seconds(101)));
+    assert!(absence.has_ended(replaced, seconds(101)));
     // It is running.
-    assert!(!absence.is_gone(activity(105, false), seconds(106)));
-    assert!(!absence.is_gone(activity(998, false), seconds(1000)));
+    assert!(!absence.has_ended(activity(105, false), seconds(106)));
+    assert!(!absence.has_ended(activity(998, false), seconds(1000)));
     // It hasn't been probed yet.
     let announced = absence::Absence {
-        announced: true,
+        end_announced: true,
         ..absence
     };
-    assert!(!announced.is_gone(activity(90, false), seconds(101)));
-    assert!(announced.is_gone(activity(100, true), seconds(100)));
+    assert!(!announced.has_ended(activity(90, false), seconds(101)));
+    assert!(announced.has_ended(activity(100, true), seconds(100)));
 }
--- a/desk/tests/handover.rs
+++ b/desk/tests/handover.rs
@@ -194,7 +194,7 @@
 /// order for a successor is lost, both replicas restart without their logs, and the lease holder
 /// stops. The next holder waited without limit for an order whose candidate process has ended.
 #[test]
-fn an_order_for_a_process_that_is_gone_is_dropped() {
+fn an_order_for_a_process_that_has_ended_is_dropped() {
     let first = harness::start();
     let world = rc::Rc::clone(&first.cluster.world);
     first.cluster.run(async {
@@ -247,7 +247,7 @@
 /// Guards against a lease holder that demotes the primary in favour of a candidate that never led,
 /// while it cannot order a promotion.
 #[test]
-fn a_primary_is_dismissed_only_by_a_holder_that_can_order() {
+fn a_primary_is_demoted_only_by_a_holder_that_can_order() {
     let harness = harness::start();
     harness.cluster.run(async {
         harness.wait_for_primary(1).await;
--- a/desk/tests/holds.rs
+++ b/desk/tests/holds.rs
@@ -36,7 +36,7 @@
 }
 
 // Gives the promoter lease to another holder.
-async fn lose_seat(harness: &harness::Harness) {
+async fn lose_lease(harness: &harness::Harness) {
     {
         let mut entries = harness.store.at();
         let entry = entries.entry.as_mut().expect("the promoter lease is held");
@@ -51,11 +51,11 @@
 
 // Replaces the unreachable `a`, and makes this node lose the promoter lease before `a` can be
 // demoted. Returns the replica that is held.
-async fn lose_seat_before_cleanup(harness: &harness::Harness) -> &'static str {
+async fn lose_lease_before_cleanup(harness: &harness::Harness) -> &'static str {
     harness.wait_for_primary(1).await;
     harness.cluster.world.borrow_mut().at("a").up = false;
     harness.wait_for_primary(2).await;
-    lose_seat(harness).await;
+    lose_lease(harness).await;
     let other = if harness.leader() == ["b"] { "c" } else { "b" };
     assert_eq!(held(harness, other), 2);
     harness.cluster.world.borrow_mut().at("a").up = true;
@@ -100,7 +100,7 @@
 
 /// Guards against a node that has lost the promoter lease and releases the holds of its successor.
 #[test]
-fn a_promotion_given_up_without_the_seat_releases_no_hold() {
+fn a_promotion_given_up_without_the_lease_releases_no_hold() {
     let harness = harness::start();
     harness.cluster.run(async {
         harness.wait_for_primary(1).await;
@@ -108,7 +108,7 @@
             harness.cluster.world.borrow_mut().at(id).up = false;
         }
         cluster::until("a replica is held", || held(&harness, "b") == 2).await;
-        lose_seat(&harness).await;
+        lose_lease(&harness).await;
         wait::sleep(harness::LONG).await;
         assert_eq!(held(&harness, "b"), 2);
     });
@@ -117,10 +117,10 @@
 /// Guards against a node that has lost the promoter lease and still releases replicas in the
 /// cleanup of its promotion.
 #[test]
-fn cleanup_without_the_seat_releases_no_hold() {
+fn cleanup_without_the_lease_releases_no_hold() {
     let harness = harness::start();
     harness.cluster.run(async {
-        let other = lose_seat_before_cleanup(&harness).await;
+        let other = lose_lease_before_cleanup(&harness).await;
         wait::sleep(harness::LONG).await;
         assert_eq!(held(&harness, other), 2);
     });
@@ -129,11 +129,11 @@
 /// Guards against replicas that stay held indefinitely because only the node that lost the promoter
 /// lease would have released them.
 #[test]
-fn replicas_left_held_are_released_by_the_next_holder_of_the_seat() {
+fn replicas_left_held_are_released_by_the_next_holder_of_the_lease() {
     for same in [true, false] {
         let harness = harness::start();
         harness.cluster.run(async {
-            let other = lose_seat_before_cleanup(&harness).await;
+            let other = lose_lease_before_cleanup(&harness).await;
             wait::sleep(harness::SHORT).await;
             assert_eq!(held(&harness, other), 2);
             harness.store.at().entry = None;
--- a/desk/tests/log_loss.rs
+++ b/desk/tests/log_loss.rs
@@ -47,7 +47,7 @@
 /// Guards against a group that stays without a primary while it waits for records that no instance
 /// has.
 #[test]
-fn a_replica_that_lost_its_log_holds_nothing_back_once_the_primary_is_gone() {
+fn a_replica_that_lost_its_log_holds_nothing_back_once_the_primary_has_ended() {
     let harness = harness::start();
     harness.cluster.run(async {
         harness.wait_for_primary(1).await;
--- a/desk/tests/organisations.rs
+++ b/desk/tests/organisations.rs
@@ -125,7 +125,7 @@
 /// Guards against a relaying node that applies session values of one organisation to a statement of
 /// another.
 #[test]
-fn what_was_set_for_one_organisation_is_nothing_to_another() {
+fn session_values_of_one_organisation_never_reach_another() {
     let cluster = cluster::Cluster::new();
     let pool = cluster.pool(3, 3);
     cluster.run(async {
@@ -149,7 +149,7 @@
 
 /// Guards against a statement of one organisation that runs in another's open transaction.
 #[test]
-fn an_open_transaction_is_nobody_elses() {
+fn an_open_transaction_serves_only_its_organisation() {
     let cluster = cluster::Cluster::new();
     let pool = cluster.pool(3, 3);
     cluster.run(async {
@@ -188,7 +188,7 @@
 /// Guards against a configuration with a key of two organisations, an organisation that is defined
 /// twice, an invalid name or an invalid quota.
 #[test]
-fn organisations_that_contradict_each_other_make_no_configuration() {
+fn a_configuration_with_contradictory_organisations_is_refused() {
     let faults = [
         vec![organisation("dome", &["k"]), organisation("hall", &["k"])],
         vec![organisation("dome", &["k"]), organisation("dome", &["l"])],
@@ -210,7 +210,7 @@
 
 /// Guards against a key in the `Debug` output or error text of a type that contains it.
 #[test]
-fn a_key_is_shown_nowhere() {
+fn a_key_is_never_printed() {
     let shown = format!("{:?}", catalog(1, vec![organisation("dome", &["s3cret"])]));
     assert!(!shown.contains("s3cret"), "{shown}");
     let fault = organisations::Organisations::new(vec![
@@ -265,7 +265,7 @@
 /// Guards against a key that is accepted after its revocation, also in an open transaction: nothing
 /// of the transaction may be committed.
 #[test]
-fn a_key_that_is_taken_away_ends_its_transaction() {
+fn a_revoked_key_ends_its_transaction() {
     let cluster = cluster::Cluster::new();
     let node = node_with_bound(&cluster);
     cluster.run(async {
@@ -311,7 +311,7 @@
 /// Guards against keys that are accepted by an old configuration because the newest one could not
 /// be parsed.
 #[test]
-fn a_configuration_that_is_not_understood_confirms_no_key() {
+fn an_unreadable_configuration_confirms_no_key() {
     let cluster = cluster::Cluster::new();
     let node = node_with_bound(&cluster);
     node.note_unreadable();
@@ -325,7 +325,7 @@
 /// Guards against a proof that counts as newer than it is after it was passed on along a chain of
 /// nodes, with pauses and late answers.
 #[test]
-fn evidence_that_is_handed_on_never_looks_younger() {
+fn a_proof_that_is_passed_on_never_counts_as_newer() {
     let mut random = fastrand::Rng::with_seed(7);
     for _ in 0..2000 {
         // The time of the first node's query to the store, on one clock for all nodes.
@@ -448,7 +448,7 @@
 /// Guards against a limit that refuses operations below the quota when they come from several
 /// nodes.
 #[test]
-fn what_is_owed_is_granted_wherever_it_comes_from() {
+fn operations_below_the_quota_are_granted_from_any_node() {
     let quota = quota::Quota {
         rate: 20.0,
         burst: 20.0,
@@ -468,7 +468,7 @@
 
 /// Guards against an overload by one organisation that reduces the tokens of another.
 #[test]
-fn a_flood_of_one_organisation_takes_nothing_from_another() {
+fn an_overload_by_one_organisation_takes_no_tokens_of_another() {
     let quota = quota::Quota {
         rate: 10.0,
         burst: 10.0,
@@ -495,7 +495,7 @@
 
 /// Guards against tokens that remain in the bucket above the burst after the limit was lowered.
 #[test]
-fn a_lowered_limit_binds_what_was_saved_up() {
+fn a_lowered_limit_also_applies_to_saved_tokens() {
     let high = quota::Quota {
         rate: 100.0,
         burst: 100.0,
@@ -513,7 +513,7 @@
 /// Guards against a deputy that still grants only its reduced rate after the takeover time,
 /// although the counting node does not return.
 #[test]
-fn a_deputy_counts_in_full_once_the_counting_node_has_nobody_left() {
+fn a_deputy_grants_the_full_quota_after_the_takeover_time() {
     let quota = quota::Quota {
         rate: 20.0,
         burst: 20.0,
--- a/desk/tests/peers.rs
+++ b/desk/tests/peers.rs
@@ -106,7 +106,7 @@
 /// Guards against a healthy node that counts as silent because an idle connection to it is broken,
 /// so that token requests fail.
 #[test]
-fn a_dead_connection_is_not_taken_for_a_dead_node() {
+fn a_broken_connection_does_not_count_as_a_silent_node() {
     run_test(async |node, member, peers| {
         assert!(peers.ask(member, &token()).await.is_some());
         node.silent_up_to.set(node.connections.get());
@@ -118,7 +118,7 @@
 
 /// Guards against a timeout for each of several idle connections that broke at the same time.
 #[test]
-fn connections_as_old_as_a_dead_one_are_not_asked() {
+fn other_idle_connections_are_dropped_with_a_broken_one() {
     run_test(async |node, member, peers| {
         let (one, two) = (token(), token());
         let both = futures_util::future::join(peers.ask(member, &one), peers.ask(member, &two));
--- a/desk/tests/pending.rs
+++ b/desk/tests/pending.rs
@@ -8,7 +8,7 @@
 /// Guards against records that a held replica has reported and that the candidate ordered first
 /// lacks.
 #[test]
-fn a_candidate_that_lacks_what_a_held_replica_has_is_replaced_after_a_wait() {
+fn a_candidate_that_lacks_records_of_a_held_replica_is_replaced_after_a_wait() {
     let harness = harness::start();
     harness.cluster.run(async {
         harness.wait_for_primary(1).await;
--- a/desk/tests/pool.rs
+++ b/desk/tests/pool.rs
@@ -42,7 +42,7 @@
 /// by a session with the same values. The values were recorded as set although the commands that
 /// set them had not been sent.
 #[test]
-fn values_that_were_never_sent_are_sent_to_the_next() {
+fn values_that_were_never_sent_are_sent_by_the_next_user() {
     check_values_are_resent(false);
     check_values_are_resent(true);
 }
@@ -79,7 +79,7 @@
 /// accepts wait behind a full queue. Its fast refusals counted as fast answers and raised the
 /// concurrency limit, so that the nodes sent it more.
 #[test]
-fn a_full_instance_is_sent_less() {
+fn a_full_instance_gets_fewer_statements() {
     let cluster = cluster::Cluster::new();
     let pool = cluster.pool(5, 5);
     cluster.run(async {
--- a/desk/tests/relief.rs
+++ b/desk/tests/relief.rs
@@ -81,7 +81,7 @@
 
 /// A single answer with a long lag between two without is no reason for a change.
 #[test]
-fn the_reason_has_to_last() {
+fn the_condition_has_to_last() {
     let mut relief = relief::Relief::default();
     let stuck = vec![replica(90, 40, 9000), replica(90, 40, 9000)];
     let recovered = vec![replica(90, 40, 9000), replica(90, 89, 40)];
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -115,7 +115,7 @@
 /// Guards against a read that waits for half of its timeout on a broken connection: the other node
 /// accepts the connection and then neither answers nor sends heartbeats.
 #[test]
-fn a_read_on_a_dead_connection_is_given_up_soon() {
+fn a_read_on_a_broken_connection_is_given_up_soon() {
     let cluster = cluster::Cluster::new();
     let (listener, address) = listener();
     let unresponsive = async move {
--- a/desk/tests/session.rs
+++ b/desk/tests/session.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn equal_names_mean_each_sessions_own_shape() {
+fn equal_statement_names_are_separate_in_each_session() {
     let cluster = cluster::Cluster::new();
     cluster.run(async {
         let mut one = cluster.session("current");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_write_refused_as_not_run_is_offered_again() {
+fn a_write_refused_as_not_run_is_retried() {
     let cluster = cluster::Cluster::new();
     cluster.run(async {
         cluster.world.borrow_mut().at("a").refuse = 2;
@@ -254,7 +254,7 @@
 /// once. The primary is lost and no replica can be promoted. Each statement waited as long as right
 /// after the loss, and the refusal named no time for a retry.
 #[test]
-fn a_group_that_stays_without_a_primary_refuses_with_a_time_to_come_back() {
+fn a_group_that_stays_without_a_primary_refuses_with_a_retry_delay() {
     let cluster = cluster::Cluster::new();
     cluster.run(async {
         let group = cluster.node.group(&cluster::GROUP.into());
--- a/desk/tests/verdict.rs
+++ b/desk/tests/verdict.rs
@@ -166,7 +166,7 @@
 /// Guards against a pending candidate that is preferred although another replica answers its hold
 /// with more records.
 #[test]
-fn what_the_held_replicas_have_is_part_of_what_a_candidate_must_have() {
+fn a_candidate_must_have_all_records_of_the_held_replicas() {
     let promote = |id: &str| verdict::Verdict::Promote(id.into());
     assert_eq!(judge_pair((5, 9), 5, Some("b")), verdict::Verdict::Wait);
     // The order has timed out.
@@ -178,7 +178,7 @@
 /// Guards against two instances that lead alternately once the replaced primary has ended or become
 /// a replica.
 #[test]
-fn a_primary_that_is_gone_does_not_end_the_wait_for_an_order() {
+fn a_primary_that_has_ended_does_not_end_the_wait_for_an_order() {
     let leader = leader();
     let pending = upstream::Id::from("b");
     let reports = [held("b", 3, 5), held("c", 3, 9)];
