--- a/desk/src/absence.rs
+++ b/desk/src/absence.rs
@@ -19,7 +19,7 @@
 
 /// Silence after which an instance that hasn't announced its end counts as ended. A crashed
 /// instance is unlisted three heartbeats after its last answer and has been silent for this long
-/// [`RESTART_GRACE`] later. An instance that goes on answering without an entry is running, and may
+/// [`RESTART_GRACE`] later. An instance that still answers without an entry is running, and may
 /// only be cut off from this node.
 const UNANNOUNCED_SILENCE: time::Duration = time::Duration::from_secs(9);
 
--- a/desk/src/election.rs
+++ b/desk/src/election.rs
@@ -29,7 +29,7 @@
 const SHARED_PREFIX: &str = "mangotray/promot";
 
 /// Key of the latest era that has lasted long enough that no order of an earlier era can still take
-/// effect. It spares a holder that has just started the wait to find out. It is listed together
+/// effect. With it, a holder that has just started need not wait to find out. It is listed together
 /// with the election key and the promotions.
 pub const SETTLED_ERA_KEY: &str = "mangotray/promotion-era";
 
@@ -284,7 +284,7 @@
     /// Whether this node held the lease by its last information, even if the lease may have ended
     /// since.
     ///
-    /// Such a node goes on checking the primaries while the store is unavailable, so that failure
+    /// Such a node still checks the primaries while the store is unavailable, so that failure
     /// detection doesn't start over when it may act again.
     #[must_use]
     pub fn is_last_known_holder(&self) -> bool {
--- a/desk/src/log.rs
+++ b/desk/src/log.rs
@@ -85,7 +85,7 @@
         .map_err(|error| eyre::eyre!("cannot install the log: {error}"))
 }
 
-/// Waits until all queued lines are written, at most `FLUSH_TIMEOUT`: nobody may be reading them.
+/// Waits until all queued lines are written, at most `FLUSH_TIMEOUT`, as there may be no reader.
 pub fn flush() {
     let Some(queue) = LOG_QUEUE.get() else {
         return;
--- a/desk/src/node.rs
+++ b/desk/src/node.rs
@@ -42,7 +42,7 @@
     listed_instances: cell::RefCell<collections::BTreeSet<upstream::Id>>,
     instances_known: cell::Cell<bool>,
     validity: Option<validity::Validity>,
-    /// Whether the newest configuration could not be parsed; it may revoke keys.
+    /// Whether the newest configuration could not be parsed. It may revoke keys.
     newest_unreadable: cell::Cell<bool>,
     quotas: quotas::Quotas,
     /// Groups of listed instances that are not in the configuration; each is logged once.
--- a/desk/src/relief.rs
+++ b/desk/src/relief.rs
@@ -1,8 +1,8 @@
-//! Decides when a primary that does all the work of its group changes places with a replica.
+//! Decides when a primary that serves all reads of its group changes places with a replica.
 //!
 //! Replicas apply their records in order, so one record that takes seconds delays all behind it.
 //! Meanwhile no replica may serve a read, and the few slots of the primary get the work of all. The
-//! replicas go on receiving, however: a promoted replica leads with everything it has received
+//! replicas still receive records, however: a promoted replica leads with all received records
 //! within about 350 ms, and the old primary, whose log is fully applied, serves fresh reads as a
 //! replica from then on. The group's usable slots double at the cost of one short gap for writes.
 //!
--- a/desk/src/resumes.rs
+++ b/desk/src/resumes.rs
@@ -16,7 +16,7 @@
     at: id::Time,
 }
 
-/// Unanswered commands to release replicas, and the groups with a promotion under way.
+/// Unanswered commands to release replicas, and the groups with a promotion in progress.
 ///
 /// The command names no term, and commands on different connections arrive in any order. A late
 /// command releases a replica held for a later promotion, whose old primary may then acknowledge
@@ -59,8 +59,8 @@
         self.unanswered.remove(&number);
     }
 
-    /// Until when a command to a replica of this group may arrive; `None` if all have been
-    /// answered.
+    /// Latest time at which a command to a replica of this group may arrive; `None` if all have
+    /// been answered.
     pub fn latest_arrival(&mut self, group: &id::Group, now: id::Time) -> Option<id::Time> {
         self.unanswered
             .retain(|_, sent| now < sent.at + MAX_DELIVERY_DELAY);
--- a/desk/src/roster.rs
+++ b/desk/src/roster.rs
@@ -21,13 +21,13 @@
 const MAX_LEAVING_USE: time::Duration = time::Duration::from_millis(5500);
 
 /// Time after a node's first list, or after a reset of the store, during which instances may be
-/// missing from the list. Entries that expired while the store was away come back within two
+/// missing from the list. Entries that expired while the store was unavailable come back within two
 /// seconds of its return, and a node that starts just then doesn't know of the missing instances,
 /// while the other nodes do.
 const SETTLING_TIME: time::Duration = time::Duration::from_secs(3);
 
 /// The list counts as current for this long after it was last confirmed. A watch waits 2.2 s, and
-/// promoters go on holding an instance for at least 5.5 s after it was last listed; the difference
+/// promoters still hold an instance for at least 5.5 s after it was last listed; the difference
 /// allows for slow answers.
 const LIST_LIFETIME: time::Duration = time::Duration::from_secs(4);
 
@@ -38,7 +38,7 @@
 /// writes its entry within a second or two unless it can't reach the store.
 const SUCCESSOR_SEARCH_TIME: time::Duration = time::Duration::from_secs(30);
 
-/// A successor at an address that was reachable a moment ago answers or refuses within this time,
+/// A successor at an address that was reachable until recently answers or refuses within this time,
 /// even under load.
 const SUCCESSOR_ANSWER_TIMEOUT: time::Duration = time::Duration::from_millis(2500);
 
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Applies a list as it was at `list_time`. Its changes may date back to `since`, or to any time if
-    /// that is `None`. Returns the instances that have restarted.
+    /// Applies a list as it was at `list_time`. Its changes may date back to `since`, or to any time
+    /// if that is `None`. Returns the instances that have restarted.
     pub fn update(
         &self,
         instances: Vec<catalog::Instance>,
@@ -267,7 +267,7 @@
     }
 
     /// Whether an instance has announced its end, or has been missing from the list for so long
-    /// that callers' work will have to leave it.
+    /// that it is treated as if it had.
     #[must_use]
     pub fn is_departing(&self, pool: &pool::Pool) -> bool {
         let now = boot::now();
--- a/desk/src/uncertainty.rs
+++ b/desk/src/uncertainty.rs
@@ -1,9 +1,9 @@
 //! Whether an order may still take effect whose record the store has lost.
 //!
 //! The store may be reset to older copies several times, seconds apart, while promoters are killed
-//! and restarted. If the uncertainty ends too early, replicas of a promotion under way are
+//! and restarted. If the uncertainty ends too early, replicas of a promotion in progress are
 //! released. If each reset or restart began it anew, a group would have no primary for as long as
-//! the resets go on.
+//! the resets continue.
 
 use std::time;
 
--- a/desk/src/urgency.rs
+++ b/desk/src/urgency.rs
@@ -6,8 +6,8 @@
 
 use crate::boot;
 
-/// Urgency of a statement. Orders the more urgent statement first: by the route's priority, then by the
-/// time when the statement is due.
+/// Urgency of a statement. Orders the more urgent statement first: by the route's priority, then by
+/// the time when the statement is due.
 ///
 /// ```
 /// use mangotray_desk::urgency;
--- a/desk/tests/cluster/mod.rs
+++ b/desk/tests/cluster/mod.rs
@@ -570,8 +570,8 @@
         async_io::block_on(self.executor.run(test))
     }
 
-    /// A pool of at most `max_connections` connections to the first instance, with at most `max_statements`
-    /// statements at once.
+    /// A pool of at most `max_connections` connections to the first instance, with at most
+    /// `max_statements` statements at once.
     pub fn pool(&self, max_connections: usize, max_statements: usize) -> rc::Rc<pool::Pool> {
         let instance = self.world.borrow().list().remove(0);
         let dialer = rc::Rc::new(Dialer(rc::Rc::clone(&self.world)));
--- a/desk/tests/delegate.rs
+++ b/desk/tests/delegate.rs
@@ -27,7 +27,7 @@
 const AGE: time::Duration = time::Duration::from_millis(1500);
 const LONG: time::Duration = time::Duration::from_secs(5);
 
-/// A dialer that reaches the instances of the stage, with a delegate that answers as set by the
+/// A dialer that reaches the instances of the cluster, with a delegate that answers as set by the
 /// test.
 struct FakeDialer {
     direct: cluster::Dialer,
@@ -233,7 +233,7 @@
     });
 }
 
-/// An address with a port that was free a moment ago.
+/// An address whose port was free when it was chosen.
 fn address() -> net::SocketAddr {
     let listener = net::TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("an address")
--- a/desk/tests/election.rs
+++ b/desk/tests/election.rs
@@ -4,7 +4,7 @@
 
 use mangotray_desk::election;
 
-/// Time after which the other nodes hear of a claim.
+/// Time after which the other nodes are notified of a claim.
 const PROPAGATION_DELAY: time::Duration = time::Duration::from_millis(200);
 
 const NODES: usize = 95;
@@ -21,8 +21,8 @@
     (asking, first)
 }
 
-/// Guards against a crowd of claims when a fleet of 95 nodes restarts and all see the lease vacant
-/// at once: a fixed window suits only eight nodes.
+/// Guards against many simultaneous claims when a fleet of 95 nodes restarts and all see the lease
+/// vacant at once: a fixed window suits only eight nodes.
 #[test]
 fn few_of_many_nodes_ask_for_a_vacant_lease_and_the_first_as_early() {
     const ROUNDS: u32 = 200;
--- a/desk/tests/era.rs
+++ b/desk/tests/era.rs
@@ -36,7 +36,7 @@
     start_with(cluster::Cluster::new(), store)
 }
 
-/// Holds both replicas for the next term, as a promotion under way does.
+/// Holds both replicas for the next term, as a promotion in progress does.
 fn hold_replicas(harness: &Harness) {
     for id in ["b", "c"] {
         harness.cluster.world.borrow_mut().at(id).held = 2;
@@ -163,7 +163,7 @@
     });
 }
 
-/// Guards against a replaced primary that goes on and whose writes are lost. A promotion is
+/// Guards against a replaced primary that still acknowledges writes, which are lost. A promotion is
 /// recorded and ordered, the store is reset to a copy from before the record, and the holder fails.
 /// The next holder found no record, although every node had been notified of it.
 #[test]
@@ -237,8 +237,8 @@
 }
 
 /// Guards against a group that waits eight seconds for a primary after a reset of the store. No
-/// replica is held when the primary crashes, so no order can be under way, but every promotion was
-/// put off.
+/// replica is held when the primary crashes, so no order can be in flight, but every promotion was
+/// postponed.
 #[test]
 fn a_reset_delays_no_promotion_if_no_replica_is_held() {
     let harness = start();
@@ -256,7 +256,7 @@
 
 /// Guards against promotions that stop after a reset. The store is reset to a copy that has the
 /// holder's own key, under the rest of its lease. The holder gave up its lease and took the entry
-/// for another node's for ever.
+/// for another node's without end.
 #[test]
 fn the_holder_obtains_the_lease_again_when_its_old_one_has_expired() {
     let harness = play_with_settled_era();
--- a/desk/tests/overload.rs
+++ b/desk/tests/overload.rs
@@ -140,8 +140,8 @@
 }
 
 /// Guards against starvation of the least urgent kind for as long as a group is overloaded: the
-/// urgent kinds alone exceed the capacity of the instance, and the least urgent one got only what
-/// they left.
+/// urgent kinds alone exceed the capacity of the instance, and the least urgent one got only the
+/// remaining capacity.
 #[test]
 fn no_kind_starves() {
     for load in [auctions(), warehouse()] {
--- a/desk/tests/pool.rs
+++ b/desk/tests/pool.rs
@@ -129,7 +129,7 @@
 #[test]
 fn a_new_connection_shows_that_a_silent_instance_is_up() {
     let cluster = cluster::Cluster::new();
-    // A separate world, as the stage's node opens connections to the instances of the stage's.
+    // Separate instances, as the cluster's node opens connections to those of the cluster.
     let world = cluster::world();
     let pool = pool_of(
         &cluster,
--- a/desk/tests/queue.rs
+++ b/desk/tests/queue.rs
@@ -11,7 +11,7 @@
 use mangotray_desk::wait;
 
 const LONG: time::Duration = time::Duration::from_secs(5);
-/// Well beyond the wait after which a queue counts as standing.
+/// Far longer than the wait after which a queue counts as standing.
 const STANDING_QUEUE_AGE: time::Duration = time::Duration::from_millis(200);
 
 /// Queues requests, each with a priority and the milliseconds until it is due, lets them wait, and
@@ -62,7 +62,7 @@
 
 /// Guards against late answers for two seconds after all nodes were restarted, though the instances
 /// work at full speed. The requests of the outage arrive all at once, and later ones queue behind
-/// them. A standing queue was served in order of arrival, which made the later ones as late.
+/// them. A standing queue was served in order of arrival, so the later ones were late as well.
 #[test]
 fn in_a_standing_queue_the_newest_go_first() {
     let requests = [(2, 250), (2, 250), (1, 900), (2, 250), (2, 500)];
--- a/desk/tests/remote.rs
+++ b/desk/tests/remote.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Starts a node that relays to the primary of the stage, and returns its address.
+/// Starts a node that relays to the primary of the cluster, and returns its address.
 async fn start_relay(cluster: &cluster::Cluster) -> net::SocketAddr {
     let (listener, address) = listener();
     drop(listener);
--- a/desk/tests/uncertainty.rs
+++ b/desk/tests/uncertainty.rs
@@ -15,7 +15,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Guards against a group that stays without a primary for as long as resets of the store go on.
+/// Guards against a group that stays without a primary for as long as the store is reset again and
+/// again.
 #[test]
 fn resets_in_a_row_do_not_prolong_the_uncertainty() {
     let mut uncertainty = uncertainty::Uncertainty::default().observe(1, seconds(0));
