--- a/desk/src/attempt.rs
+++ b/desk/src/attempt.rs
@@ -192,10 +192,7 @@
                     }
                     let reason = retry::Reason::from_shortage(shortage);
                     if !delay_retry(retry_deadline(&reason, &urgency, wait_deadline)).await {
-                        return Outcome::Refused(
-                            reply::Code::Busy,
-                            "the primary cannot be reached".into(),
-                        );
+                        return Outcome::Refused(reply::Code::Busy, "primary out of reach".into());
                     }
                     continue;
                 }
--- a/desk/src/checkout.rs
+++ b/desk/src/checkout.rs
@@ -162,11 +162,11 @@
         let Some(_permit) = self.pool.acquire_permit(urgency).await else {
             return Err(upstream::Failure {
                 crowded: true,
-                ..unsent("no permit within the concurrency limit in time")
+                ..unsent("no turn in time")
             });
         };
         let Some(connection) = &mut self.connection else {
-            return Err(unsent("the connection has been returned"));
+            return Err(unsent("the connection is gone"));
         };
         let sent = boot::now();
         let (values, statements) = commands.split_at(setup_len(&*connection.link, commands));
--- a/desk/src/promoter.rs
+++ b/desk/src/promoter.rs
@@ -551,7 +551,7 @@
             .await
         else {
             tracing::warn!(%group, "no promotion ordered: the store did not confirm the promoter lease");
-            return promote::Outcome::Refused("the promoter lease is not confirmed".into());
+            return promote::Outcome::Refused("the seat is not confirmed".into());
         };
         // A restarted replica has lost its hold, and an added replica never had one.
         let outcome = if promotion.are_held().await && promotion.processes() == selection.processes
@@ -571,7 +571,7 @@
             }
             outcome
         } else {
-            promote::Outcome::Refused("a replica has restarted, been added or lost its hold".into())
+            promote::Outcome::Refused("a replica is no longer as it was held".into())
         };
         tracing::info!(%group, candidate = %selection.candidate, fence = lease.fence, ?outcome,
             "promotion ordered");
--- a/desk/src/relay.rs
+++ b/desk/src/relay.rs
@@ -119,9 +119,7 @@
             }
             Err(pool::Shortage::Full) => Err(upstream::Refusal::Full),
             Err(_) if self.pool.is_closed() => Err(upstream::Refusal::Closed),
-            Err(_) => Err(upstream::Refusal::Silent(
-                "the instance cannot be reached".into(),
-            )),
+            Err(_) => Err(upstream::Refusal::Silent("out of reach".into())),
         }
     }
 
--- a/desk/tests/retry.rs
+++ b/desk/tests/retry.rs
@@ -29,7 +29,7 @@
     let failure = |crowded| upstream::Failure {
         sent: false,
         crowded,
-        detail: "no permit within the concurrency limit in time".into(),
+        detail: "no turn in time".into(),
     };
     assert_eq!(
         retry::Reason::from_unsent(&failure(true)),
