--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -26,7 +26,7 @@
 use crate::statement;
 use crate::stats;
 
-const FRAME_LIMIT: usize = 64 << 20;
+const MAX_FRAME_BYTES: usize = 64 << 20;
 /// Server side of one connection.
 pub(crate) struct Backend {
     instance: Arc<instance::Instance>,
@@ -34,7 +34,7 @@
     prepared: prepared::Cache,
     output: output::Output,
     /// An error was sent; the rest of the batch is skipped.
-    skipping: bool,
+    skips_rest_of_batch: bool,
 }
 
 impl Backend {
@@ -43,12 +43,12 @@
         instance: Arc<instance::Instance>,
         socket: async_io::Async<net::TcpStream>,
     ) {
-        if let Err(error) = Self::converse(instance, socket).await {
+        if let Err(error) = Self::serve_session(instance, socket).await {
             tracing::debug!(%error, "session ended");
         }
     }
 
-    async fn converse(
+    async fn serve_session(
         instance: Arc<instance::Instance>,
         socket: async_io::Async<net::TcpStream>,
     ) -> eyre::Result<()> {
@@ -64,22 +64,22 @@
             instance,
             prepared: prepared::Cache::default(),
             output: output::Output::default(),
-            skipping: false,
+            skips_rest_of_batch: false,
         };
         if seat.is_none() {
-            let words = "sorry, too many clients already";
+            let message = "sorry, too many clients already";
             backend
                 .output
-                .error("FATAL", &sqlstate::Error::new("53300", words));
+                .error("FATAL", &sqlstate::Error::new("53300", message));
             return backend.flush(&mut stream).await;
         }
-        handshake::greet(&backend.instance, &mut backend.output);
+        handshake::complete(&backend.instance, &mut backend.output);
         backend.flush(&mut stream).await?;
-        let mut stream = wire::established(stream, FRAME_LIMIT);
+        let mut stream = wire::established(stream, MAX_FRAME_BYTES);
         while let Some(batch) = read_batch(&mut stream).await? {
             let _batch = stats::Batch::count(&backend.instance);
-            arrive(&backend.instance).await;
-            backend.answer(batch).await;
+            delay_request(&backend.instance).await;
+            backend.run_batch(batch).await;
             backend.flush(&mut stream).await?;
         }
         Ok(())
@@ -87,150 +87,150 @@
 
     async fn flush(&mut self, stream: &mut wire::Stream) -> eyre::Result<()> {
         let output = self.output.take();
-        leave(&self.instance).await;
+        delay_answer(&self.instance).await;
         stream.get_mut().get_mut().write_all(&output).await?;
         Ok(())
     }
 
     /// Runs a batch; work waits for the right to write first and for a slot then, so
     /// that a session that waits for the right never keeps a slot from its holder.
-    async fn answer(&mut self, batch: Vec<frame::Frame>) {
+    async fn run_batch(&mut self, batch: Vec<frame::Frame>) {
         let instance = Arc::clone(&self.instance);
-        let work = self.work(&batch);
-        self.wait_for_writer(&work).await;
-        if work.is_empty() {
-            self.run(&batch);
+        let statements = self.statements_of(&batch);
+        self.acquire_write_lock(&statements).await;
+        if statements.is_empty() {
+            self.process_frames(&batch);
             return;
         }
         let _slot = instance.slots.acquire().await;
         let _busy = stats::BusySlot::count(&instance);
         pause(instance.options.statement_cost).await;
-        instance.process.pass().await;
-        instance.stats().statements += work.len();
-        self.run(&batch);
+        instance.process_gate.wait_until_open().await;
+        instance.stats().statements += statements.len();
+        self.process_frames(&batch);
     }
 
-    async fn wait_for_writer(&self, work: &[Arc<statement::Statement>]) {
-        let writes = work.iter().any(|statement| statement.writes());
-        let leads = self.instance.state().is_primary();
-        if writes && leads && !self.database().is_writer() {
-            let right = self.instance.writer.lock_arc().await;
-            self.database().lend(&self.instance, right);
+    async fn acquire_write_lock(&self, statements: &[Arc<statement::Statement>]) {
+        let writes = statements.iter().any(|statement| statement.writes());
+        let is_primary = self.instance.state().is_primary();
+        if writes && is_primary && !self.database().holds_write_lock() {
+            let guard = self.instance.write_lock.lock_arc().await;
+            self.database().set_write_guard(&self.instance, guard);
         }
     }
 
     /// Statements that the batch will run, those of the control path excepted.
-    fn work(&self, batch: &[frame::Frame]) -> Vec<Arc<statement::Statement>> {
-        let mut named = HashMap::new();
-        let mut work = Vec::new();
+    fn statements_of(&self, batch: &[frame::Frame]) -> Vec<Arc<statement::Statement>> {
+        let mut parsed = HashMap::new();
+        let mut found = Vec::new();
         for frame in batch {
             match frame.tag {
                 simplequery::MESSAGE_TYPE_BYTE_QUERY => {
                     let query = frame.decode::<simplequery::Query>().ok();
                     let query = query.map(|query| statement::Statement::parse_all(&query.query));
                     let statements = query.and_then(Result::ok).unwrap_or_default();
-                    work.extend(statements.into_iter().map(Arc::new));
+                    found.extend(statements.into_iter().map(Arc::new));
                 }
                 extendedquery::MESSAGE_TYPE_BYTE_PARSE => {
                     if let Ok(parse) = frame.decode::<extendedquery::Parse>()
                         && let Ok(statement) = statement::Statement::parse(&parse.query)
                     {
-                        named.insert(parse.name.unwrap_or_default(), Arc::new(statement));
+                        parsed.insert(parse.name.unwrap_or_default(), Arc::new(statement));
                     }
                 }
                 extendedquery::MESSAGE_TYPE_BYTE_BIND => {
                     if let Ok(bind) = frame.decode::<extendedquery::Bind>() {
                         let name = bind.statement_name.unwrap_or_default();
-                        let kept = self.prepared.statement(&name).ok();
-                        let kept = kept.map(|kept| &kept.statement);
-                        work.extend(named.get(&name).or(kept).cloned());
+                        let prepared = self.prepared.statement(&name).ok();
+                        let prepared = prepared.map(|prepared| &prepared.statement);
+                        found.extend(parsed.get(&name).or(prepared).cloned());
                     }
                 }
                 _ => {}
             }
         }
-        work.retain(|statement| !matches!(statement.verb, statement::Verb::Control(_)));
-        work
+        found.retain(|statement| !matches!(statement.verb, statement::Verb::Control(_)));
+        found
     }
 
     fn database(&self) -> sync::MutexGuard<'_, database::Database> {
         instance::lock(&self.database)
     }
 
-    fn run(&mut self, batch: &[frame::Frame]) {
+    fn process_frames(&mut self, batch: &[frame::Frame]) {
         let refreshed = self.database().refresh(&self.instance);
         if let Err(error) = refreshed {
             self.fail(&error.into());
         }
         for frame in batch {
-            self.step(frame);
+            self.process_frame(frame);
         }
     }
 
     fn fail(&mut self, error: &sqlstate::Error) {
-        self.skipping = true;
+        self.skips_rest_of_batch = true;
         self.database().fail();
         self.output.error("ERROR", error);
     }
 
-    fn step(&mut self, frame: &frame::Frame) {
+    fn process_frame(&mut self, frame: &frame::Frame) {
         match frame.tag {
             simplequery::MESSAGE_TYPE_BYTE_QUERY => {
-                let result = if self.skipping {
+                let result = if self.skips_rest_of_batch {
                     Ok(())
                 } else {
-                    self.query(frame)
+                    self.run_simple_query(frame)
                 };
-                self.check(result);
-                self.ready();
+                self.fail_on_error(result);
+                self.end_batch();
             }
-            extendedquery::MESSAGE_TYPE_BYTE_SYNC => self.ready(),
-            _ if self.skipping => {}
+            extendedquery::MESSAGE_TYPE_BYTE_SYNC => self.end_batch(),
+            _ if self.skips_rest_of_batch => {}
             _ => {
-                let result = self.extended(frame);
-                self.check(result);
+                let result = self.run_extended_message(frame);
+                self.fail_on_error(result);
             }
         }
     }
 
-    fn check(&mut self, result: Result<(), sqlstate::Error>) {
+    fn fail_on_error(&mut self, result: Result<(), sqlstate::Error>) {
         if let Err(error) = result {
             self.fail(&error);
         }
     }
 
     /// Ends the implicit transaction and the batch.
-    fn ready(&mut self) {
-        let finished = self.database().finish(&self.instance);
-        if !self.skipping {
-            self.check(finished);
+    fn end_batch(&mut self) {
+        let finished = self.database().end_batch(&self.instance);
+        if !self.skips_rest_of_batch {
+            self.fail_on_error(finished);
         }
-        let (ended, status) = {
+        let (stamp, status) = {
             let mut database = self.database();
-            (database.take_ended(), database.status())
+            (database.take_last_stamp(), database.status())
         };
-        if let Some(stamp) = ended {
+        if let Some(stamp) = stamp {
             self.output.report("group_stamp", &stamp);
         }
         self.output.ready(status);
-        self.skipping = false;
+        self.skips_rest_of_batch = false;
     }
 
-    fn query(&mut self, frame: &frame::Frame) -> Result<(), sqlstate::Error> {
+    fn run_simple_query(&mut self, frame: &frame::Frame) -> Result<(), sqlstate::Error> {
         let query = decode::<simplequery::Query>(frame)?.query;
         let statements = statement::Statement::parse_all(&query)?;
         if statements.is_empty() {
             self.output.push(&response::EmptyQueryResponse::new());
         }
-        for (at, statement) in statements.iter().enumerate() {
-            let answer = self.execute(statement, &[])?;
+        for (index, statement) in statements.iter().enumerate() {
+            let answer = self.execute_statement(statement, &[])?;
             if !answer.columns.is_empty() {
                 self.output.columns(&answer.columns, &[]);
             }
             self.output.rows(&answer, &answer.columns, &[]);
             // An implicit transaction that cannot commit must not look complete.
-            if at + 1 == statements.len() {
-                let finished = self.database().finish(&self.instance);
+            if index + 1 == statements.len() {
+                let finished = self.database().end_batch(&self.instance);
                 finished?;
             }
             self.output.complete(answer.tag);
@@ -238,7 +238,7 @@
         Ok(())
     }
 
-    fn execute(
+    fn execute_statement(
         &self,
         statement: &statement::Statement,
         parameters: &[types::Value],
@@ -250,7 +250,7 @@
         self.database().run(&self.instance, statement, parameters)
     }
 
-    fn extended(&mut self, frame: &frame::Frame) -> Result<(), sqlstate::Error> {
+    fn run_extended_message(&mut self, frame: &frame::Frame) -> Result<(), sqlstate::Error> {
         match frame.tag {
             extendedquery::MESSAGE_TYPE_BYTE_PARSE => self.parse(decode(frame)?),
             extendedquery::MESSAGE_TYPE_BYTE_BIND => {
@@ -269,8 +269,8 @@
             }
             extendedquery::MESSAGE_TYPE_BYTE_FLUSH => Ok(()),
             tag => {
-                let words = format!("message {:?} is not supported", char::from(tag));
-                Err(sqlstate::Error::new("0A000", words))
+                let message = format!("message {:?} is not supported", char::from(tag));
+                Err(sqlstate::Error::new("0A000", message))
             }
         }
     }
@@ -297,7 +297,7 @@
     fn execute_portal(&mut self, execute: extendedquery::Execute) -> Result<(), sqlstate::Error> {
         let name = execute.name.unwrap_or_default();
         let portal = self.prepared.portal(&name)?.clone();
-        let answer = self.execute(&portal.prepared.statement, &portal.values)?;
+        let answer = self.execute_statement(&portal.prepared.statement, &portal.values)?;
         let columns = &portal.prepared.columns;
         self.output.rows(&answer, columns, &portal.formats);
         self.output.complete(answer.tag);
@@ -328,16 +328,16 @@
 }
 
 /// Waits until bytes from the caller reach the process.
-pub(crate) async fn arrive(instance: &instance::Instance) {
+pub(crate) async fn delay_request(instance: &instance::Instance) {
     pause(instance.options.delay).await;
-    instance.network.pass().await;
-    instance.process.pass().await;
+    instance.network_gate.wait_until_open().await;
+    instance.process_gate.wait_until_open().await;
 }
 
-async fn leave(instance: &instance::Instance) {
-    instance.process.pass().await;
+async fn delay_answer(instance: &instance::Instance) {
+    instance.process_gate.wait_until_open().await;
     pause(instance.options.delay).await;
-    instance.network.pass().await;
+    instance.network_gate.wait_until_open().await;
 }
 
 async fn pause(duration: time::Duration) {
--- a/lab/src/caller.rs
+++ b/lab/src/caller.rs
@@ -204,7 +204,7 @@
     async fn ask(&mut self, proxy: usize, sql: &str) -> Option<link::Answer> {
         let answer_timeout = self.plan.answer_timeout;
         let link = self.connected_link(proxy).await?;
-        let (answer, elapsed) = link.ask(sql, answer_timeout).await;
+        let (answer, elapsed) = link.query(sql, answer_timeout).await;
         self.note
             .record_duration(elapsed, self.plan.profile.deadline);
         match &answer {
--- a/lab/src/capacity/promotion.rs
+++ b/lab/src/capacity/promotion.rs
@@ -71,7 +71,7 @@
         cluster.crash(*index);
     }
     let has_new_primary = |(cluster, crashed): (&std::sync::Arc<cluster::Cluster>, &usize)| {
-        (0..cluster::SIZE)
+        (0..cluster::INSTANCE_COUNT)
             .filter(|index| index != crashed)
             .any(|index| cluster.status(index).role == role::Role::Primary)
     };
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -14,9 +14,9 @@
 use crate::storage;
 
 /// Instances of a group.
-pub const SIZE: usize = 3;
+pub const INSTANCE_COUNT: usize = 3;
 
-const DEADLINE: time::Duration = time::Duration::from_secs(2);
+const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(2);
 
 /// Size, costs and delays of a group; the same for all its instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,9 +26,9 @@
     /// Name of the database.
     pub database: String,
     /// Failure domain of each instance.
-    pub domains: [String; SIZE],
+    pub domains: [String; INSTANCE_COUNT],
     /// Port of each instance; 0 takes a free one.
-    pub ports: [u16; SIZE],
+    pub ports: [u16; INSTANCE_COUNT],
     /// Batches that one instance runs at once.
     pub slots: usize,
     /// Connections that one instance accepts.
@@ -51,7 +51,7 @@
             name: "dome-sched".to_owned(),
             database: "dome_sched".to_owned(),
             domains: ["patan-hall", "kirtipur-hall", "bhaktapur-hall"].map(str::to_owned),
-            ports: [0; SIZE],
+            ports: [0; INSTANCE_COUNT],
             slots: 3,
             connections: 20,
             connect_cost: time::Duration::from_millis(10),
@@ -98,11 +98,11 @@
             let address = listener.get_ref().local_addr()?;
             let instance = instance::Instance::new(index, address, &options, directory.path())?;
             let instance = Arc::new(instance);
-            let listening = Arc::clone(&instance).listen(listener, Arc::clone(executor));
-            tasks.push(executor.spawn(listening));
+            let accept_loop = Arc::clone(&instance).listen(listener, Arc::clone(executor));
+            tasks.push(executor.spawn(accept_loop));
             instances.push(instance);
         }
-        tasks.extend(shipments(&instances).map(|shipment| executor.spawn(shipment.run())));
+        tasks.extend(replication_links(&instances).map(|link| executor.spawn(link.run())));
         Ok(Arc::new(Self {
             options,
             instances,
@@ -134,7 +134,7 @@
             instances: instances.collect(),
             connections: self.options.connections,
             slots: self.options.slots,
-            deadline: DEADLINE,
+            deadline: REQUEST_DEADLINE,
             ages: Vec::new(),
         }
     }
@@ -162,19 +162,19 @@
 
     /// Cuts or heals replication between an instance and the others; callers still
     /// reach all of them.
-    pub fn cut(&self, index: id::Index, on: bool) {
-        self.instances[index].state().cut = on;
+    pub fn set_replication_cut(&self, index: id::Index, cut: bool) {
+        self.instances[index].state().replication_cut = cut;
         self.instances[index].notify();
     }
 
     /// Stops or restores all bytes to and from an instance, without closing sockets.
-    pub fn blackhole(&self, index: id::Index, on: bool) {
-        self.instances[index].blackhole(on);
+    pub fn set_blackhole(&self, index: id::Index, blackhole: bool) {
+        self.instances[index].set_blackhole(blackhole);
     }
 
     /// Freezes or resumes an instance's process.
-    pub fn pause(&self, index: id::Index, on: bool) {
-        self.instances[index].pause(on);
+    pub fn set_paused(&self, index: id::Index, paused: bool) {
+        self.instances[index].set_paused(paused);
     }
 
     /// Sets the delay of replication to an instance.
@@ -192,7 +192,11 @@
     ///
     /// # Errors
     /// When the instance is already fenced at a higher term.
-    pub fn lead(&self, index: id::Index, term: id::Term) -> eyre::Result<status::Status> {
+    pub fn fence_and_promote(
+        &self,
+        index: id::Index,
+        term: id::Term,
+    ) -> eyre::Result<status::Status> {
         for instance in &self.instances {
             instance.fence(term);
         }
@@ -240,7 +244,7 @@
         index: id::Index,
         queries: &[&str],
     ) -> eyre::Result<Vec<Vec<Vec<Option<String>>>>> {
-        let (path, _) = self.instances[index].file();
+        let (path, _) = self.instances[index].data_file();
         Ok(storage::audit(&path, queries)?)
     }
 
@@ -258,7 +262,7 @@
 }
 
 /// One for each ordered pair of instances.
-fn shipments(
+fn replication_links(
     instances: &[Arc<instance::Instance>],
 ) -> impl Iterator<Item = journal::Replication> + '_ {
     let pairs = instances
--- a/lab/src/column.rs
+++ b/lab/src/column.rs
@@ -16,21 +16,22 @@
 
 impl Column {
     /// Columns of a prepared statement, without running it.
-    pub(crate) fn all(
+    pub(crate) fn of_statement(
         connection: &rusqlite::Connection,
         statement: &statement::Statement,
         prepared: &rusqlite::Statement<'_>,
     ) -> Vec<Self> {
-        let mut known = None;
+        let mut declared = None;
         prepared
             .columns()
             .map(|column| {
                 let name = column.name().to_owned();
                 let alias = statement.aliases.iter().find(|(alias, _)| *alias == name);
-                let kind = column.decl_type().map(value::Kind::named);
+                let kind = column.decl_type().map(value::Kind::from_name);
                 let kind = kind.or(alias.map(|(_, kind)| *kind)).or_else(|| {
-                    let known = known.get_or_insert_with(|| declared(connection, statement));
-                    known.get(&name).copied()
+                    let declared =
+                        declared.get_or_insert_with(|| declared_kinds(connection, statement));
+                    declared.get(&name).copied()
                 });
                 Self { name, kind }
             })
@@ -43,20 +44,23 @@
         statement: &statement::Statement,
         oids: &[u32],
     ) -> Result<(Vec<u32>, Vec<Self>), sqlstate::Error> {
-        let runs = matches!(
+        let uses_tables = matches!(
             statement.verb,
             statement::Verb::Read | statement::Verb::Write
         );
-        if !runs {
+        if !uses_tables {
             return Ok((Vec::new(), Vec::new()));
         }
         let mut prepared = connection.prepare_cached(&statement.text)?;
-        let declared = declared(connection, statement);
-        let given = |at: usize| oids.get(at).copied().filter(|oid| *oid != 0);
+        let declared_kinds = declared_kinds(connection, statement);
+        let given_oid = |index: usize| oids.get(index).copied().filter(|oid| *oid != 0);
         let parameters: Vec<u32> = (0..statement.parameters)
-            .map(|at| given(at).unwrap_or_else(|| statement.infer(at + 1, &declared).oid()))
+            .map(|index| {
+                given_oid(index)
+                    .unwrap_or_else(|| statement.infer(index + 1, &declared_kinds).oid())
+            })
             .collect();
-        let mut columns = Self::all(connection, statement, &prepared);
+        let mut columns = Self::of_statement(connection, statement, &prepared);
         if columns.iter().any(|column| column.kind.is_none()) && prepared.readonly() {
             let samples = parameters
                 .iter()
@@ -64,9 +68,9 @@
             storage::bind(&mut prepared, &samples.collect::<Vec<_>>())?;
             let mut cursor = prepared.raw_query();
             let row = cursor.next()?;
-            for (at, column) in columns.iter_mut().enumerate() {
-                let value = row.and_then(|row| row.get(at).ok());
-                let value = value.as_ref().and_then(value::Kind::of);
+            for (index, column) in columns.iter_mut().enumerate() {
+                let value = row.and_then(|row| row.get(index).ok());
+                let value = value.as_ref().and_then(value::Kind::of_value);
                 column.kind = column.kind.or(value);
             }
         }
@@ -75,7 +79,7 @@
 }
 
 /// Declared types of the columns of all tables that the statement names.
-fn declared(
+fn declared_kinds(
     connection: &rusqlite::Connection,
     statement: &statement::Statement,
 ) -> HashMap<String, value::Kind> {
@@ -93,6 +97,6 @@
         .expect("readable schema");
     rows.filter_map(Result::ok)
         .filter(|(_, _, table)| statement.tokens.contains(table))
-        .map(|(column, kind, _): (String, _, _)| (column, value::Kind::named(&kind)))
+        .map(|(column, kind, _): (String, _, _)| (column, value::Kind::from_name(&kind)))
         .collect()
 }
--- a/lab/src/database.rs
+++ b/lab/src/database.rs
@@ -24,7 +24,7 @@
 }
 
 impl Answer {
-    fn tagged(tag: &str) -> Self {
+    fn with_tag(tag: &str) -> Self {
         let tag = tag.to_owned();
         Self {
             tag,
@@ -44,8 +44,8 @@
 
 /// What became of the transaction before its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Health {
-    Sound,
+enum Condition {
+    Active,
     /// One of its statements failed.
     Failed,
     /// It was rolled back from outside.
@@ -57,15 +57,15 @@
     connection: rusqlite::Connection,
     generation: u64,
     phase: Phase,
-    health: Health,
+    condition: Condition,
     /// Reign of the primary that a write transaction began under.
-    reign: Option<u64>,
+    write_epoch: Option<u64>,
     /// Right to be the instance's one writer.
-    writer: Option<async_lock::MutexGuardArc<()>>,
+    write_guard: Option<async_lock::MutexGuardArc<()>>,
     writes: Vec<journal::Write>,
     savepoints: Vec<(String, usize)>,
     /// Stamp of the last transaction that ended.
-    ended: Option<stamp::Stamp>,
+    last_stamp: Option<stamp::Stamp>,
 }
 
 impl Database {
@@ -74,19 +74,19 @@
             connection: storage::connect(path)?,
             generation,
             phase: Phase::Idle,
-            health: Health::Sound,
-            reign: None,
-            writer: None,
+            condition: Condition::Active,
+            write_epoch: None,
+            write_guard: None,
             writes: Vec::new(),
             savepoints: Vec::new(),
-            ended: None,
+            last_stamp: None,
         })
     }
 
     /// Follows the instance to a rebuilt file, between transactions.
     pub(crate) fn refresh(&mut self, instance: &instance::Instance) -> rusqlite::Result<()> {
-        let (path, generation) = instance.file();
-        if !self.is_open() && self.generation != generation {
+        let (path, generation) = instance.data_file();
+        if !self.in_transaction() && self.generation != generation {
             self.connection = storage::connect(&path)?;
             self.generation = generation;
         }
@@ -94,31 +94,31 @@
     }
 
     /// A transaction has begun and not yet ended, though it may have been rolled back.
-    fn is_open(&self) -> bool {
+    fn in_transaction(&self) -> bool {
         self.phase != Phase::Idle
     }
 
-    pub(crate) fn is_writer(&self) -> bool {
-        self.writer.is_some()
+    pub(crate) fn holds_write_lock(&self) -> bool {
+        self.write_guard.is_some()
     }
 
     /// Takes the right to write, unless the instance has lost its lead meanwhile.
-    pub(crate) fn lend(
+    pub(crate) fn set_write_guard(
         &mut self,
         instance: &instance::Instance,
-        writer: async_lock::MutexGuardArc<()>,
+        write_guard: async_lock::MutexGuardArc<()>,
     ) {
-        self.writer = instance.state().is_primary().then_some(writer);
+        self.write_guard = instance.state().is_primary().then_some(write_guard);
     }
 
-    pub(crate) fn take_ended(&mut self) -> Option<stamp::Stamp> {
-        self.ended.take()
+    pub(crate) fn take_last_stamp(&mut self) -> Option<stamp::Stamp> {
+        self.last_stamp.take()
     }
 
     pub(crate) fn status(&self) -> response::TransactionStatus {
-        match (self.phase, self.health) {
+        match (self.phase, self.condition) {
             (Phase::Idle, _) => response::TransactionStatus::Idle,
-            (_, Health::Sound) => response::TransactionStatus::Transaction,
+            (_, Condition::Active) => response::TransactionStatus::Transaction,
             _ => response::TransactionStatus::Error,
         }
     }
@@ -148,26 +148,30 @@
             statement::Verb::Commit => return self.commit(instance),
             statement::Verb::Rollback => {
                 self.rollback(instance);
-                return Ok(Answer::tagged("ROLLBACK"));
+                return Ok(Answer::with_tag("ROLLBACK"));
+            }
+            _ if self.condition == Condition::Revoked => {
+                return Err(sqlstate::Error::transaction_revoked());
             }
-            _ if self.health == Health::Revoked => return Err(sqlstate::Error::revoked()),
             statement::Verb::RollbackTo(name) => return self.rollback_to(name),
-            _ if self.health == Health::Failed => return Err(sqlstate::Error::failed()),
+            _ if self.condition == Condition::Failed => {
+                return Err(sqlstate::Error::transaction_failed());
+            }
             _ => {}
         }
         match &statement.verb {
             statement::Verb::Begin { read_only } => {
-                if !self.is_open() {
+                if !self.in_transaction() {
                     self.begin(instance, *read_only)?;
                 }
                 self.phase = Phase::Explicit;
-                Ok(Answer::tagged("BEGIN"))
+                Ok(Answer::with_tag("BEGIN"))
             }
             statement::Verb::Savepoint(name) => self.savepoint(name),
             statement::Verb::Release(name) => self.release(name),
-            statement::Verb::Setting => Ok(Answer::tagged(&statement.tag)),
+            statement::Verb::Setting => Ok(Answer::with_tag(&statement.tag)),
             _ => {
-                if !self.is_open() {
+                if !self.in_transaction() {
                     self.begin(instance, false)?;
                 }
                 self.execute(statement, parameters)
@@ -180,10 +184,10 @@
         instance: &instance::Instance,
         read_only: bool,
     ) -> Result<(), sqlstate::Error> {
-        if self.writer.is_some() && !read_only {
-            self.reign = instance.begin(&self.connection)?;
+        if self.write_guard.is_some() && !read_only {
+            self.write_epoch = instance.begin(&self.connection)?;
         }
-        if self.reign.is_none() {
+        if self.write_epoch.is_none() {
             self.connection.execute_batch("BEGIN DEFERRED")?;
         }
         self.phase = Phase::Implicit;
@@ -195,17 +199,19 @@
         statement: &statement::Statement,
         parameters: &[types::Value],
     ) -> Result<Answer, sqlstate::Error> {
-        if statement.writes() && self.reign.is_none() {
+        if statement.writes() && self.write_epoch.is_none() {
             return Err(sqlstate::Error::read_only(&statement.tag));
         }
         if statement.writes() && statement.volatile {
-            let words = "a write must give the same result on each instance";
-            return Err(sqlstate::Error::new("0A000", words));
+            let message = "a write must give the same result on each instance";
+            return Err(sqlstate::Error::new("0A000", message));
         }
-        let before = self.connection.total_changes();
+        let changes_before = self.connection.total_changes();
         let mut answer = self.fetch(statement, parameters)?;
         let is_definition = statement.tag.contains(' ');
-        if statement.writes() && (is_definition || self.connection.total_changes() != before) {
+        if statement.writes()
+            && (is_definition || self.connection.total_changes() != changes_before)
+        {
             self.writes.push(journal::Write {
                 sql: statement.text.clone(),
                 parameters: parameters.to_vec(),
@@ -227,16 +233,18 @@
     ) -> Result<Answer, sqlstate::Error> {
         let mut prepared = self.connection.prepare_cached(&statement.text)?;
         storage::bind(&mut prepared, parameters)?;
-        let mut columns = column::Column::all(&self.connection, statement, &prepared);
+        let mut columns = column::Column::of_statement(&self.connection, statement, &prepared);
         let mut rows = Vec::new();
         let mut cursor = prepared.raw_query();
         while let Some(row) = cursor.next()? {
-            let cells = (0..columns.len()).map(|at| row.get::<_, types::Value>(at));
+            let cells = (0..columns.len()).map(|index| row.get::<_, types::Value>(index));
             rows.push(cells.collect::<Result<Vec<_>, _>>()?);
         }
-        for (at, column) in columns.iter_mut().enumerate() {
-            let value = rows.iter().find_map(|row| value::Kind::of(&row[at]));
-            column.kind = column.kind.or(value);
+        for (index, column) in columns.iter_mut().enumerate() {
+            let kind = rows
+                .iter()
+                .find_map(|row| value::Kind::of_value(&row[index]));
+            column.kind = column.kind.or(kind);
         }
         Ok(Answer {
             columns,
@@ -255,32 +263,32 @@
     }
 
     fn savepoint(&mut self, name: &str) -> Result<Answer, sqlstate::Error> {
-        self.require_block()?;
+        self.require_explicit_transaction()?;
         self.connection
             .execute_batch(&format!("SAVEPOINT {name}"))?;
         self.savepoints.push((name.to_owned(), self.writes.len()));
-        Ok(Answer::tagged("SAVEPOINT"))
+        Ok(Answer::with_tag("SAVEPOINT"))
     }
 
     fn release(&mut self, name: &str) -> Result<Answer, sqlstate::Error> {
-        let at = self.find_savepoint(name)?;
+        let index = self.find_savepoint(name)?;
         self.connection.execute_batch(&format!("RELEASE {name}"))?;
-        self.savepoints.truncate(at);
-        Ok(Answer::tagged("RELEASE"))
+        self.savepoints.truncate(index);
+        Ok(Answer::with_tag("RELEASE"))
     }
 
     fn rollback_to(&mut self, name: &str) -> Result<Answer, sqlstate::Error> {
-        let at = self.find_savepoint(name)?;
+        let index = self.find_savepoint(name)?;
         self.connection
             .execute_batch(&format!("ROLLBACK TO {name}"))?;
-        self.savepoints.truncate(at + 1);
-        self.writes.truncate(self.savepoints[at].1);
-        self.health = Health::Sound;
-        Ok(Answer::tagged("ROLLBACK"))
+        self.savepoints.truncate(index + 1);
+        self.writes.truncate(self.savepoints[index].1);
+        self.condition = Condition::Active;
+        Ok(Answer::with_tag("ROLLBACK"))
     }
 
     fn find_savepoint(&self, name: &str) -> Result<usize, sqlstate::Error> {
-        self.require_block()?;
+        self.require_explicit_transaction()?;
         self.savepoints
             .iter()
             .rposition(|(other, _)| other == name)
@@ -289,39 +297,44 @@
             })
     }
 
-    fn require_block(&self) -> Result<(), sqlstate::Error> {
+    fn require_explicit_transaction(&self) -> Result<(), sqlstate::Error> {
         if self.phase == Phase::Explicit {
             return Ok(());
         }
-        let words = "savepoints can only be used in transaction blocks";
-        Err(sqlstate::Error::new("25P01", words))
+        let message = "savepoints can only be used in transaction blocks";
+        Err(sqlstate::Error::new("25P01", message))
     }
 
     fn commit(&mut self, instance: &instance::Instance) -> Result<Answer, sqlstate::Error> {
-        if self.health == Health::Revoked {
+        if self.condition == Condition::Revoked {
             self.rollback(instance);
-            return Err(sqlstate::Error::revoked());
+            return Err(sqlstate::Error::transaction_revoked());
         }
-        if self.health == Health::Failed {
+        if self.condition == Condition::Failed {
             self.rollback(instance);
-            return Ok(Answer::tagged("ROLLBACK"));
+            return Ok(Answer::with_tag("ROLLBACK"));
         }
-        if self.is_open() {
-            self.finish_commit(instance)?;
+        if self.in_transaction() {
+            self.commit_open_transaction(instance)?;
         }
-        Ok(Answer::tagged("COMMIT"))
+        Ok(Answer::with_tag("COMMIT"))
     }
 
-    fn finish_commit(&mut self, instance: &instance::Instance) -> Result<(), sqlstate::Error> {
+    fn commit_open_transaction(
+        &mut self,
+        instance: &instance::Instance,
+    ) -> Result<(), sqlstate::Error> {
         let writes = std::mem::take(&mut self.writes);
-        let result = match self.reign {
-            Some(reign) if !writes.is_empty() => instance.commit(&self.connection, reign, writes),
-            _ => self.end_reading().map_err(sqlstate::Error::from),
+        let result = match self.write_epoch {
+            Some(write_epoch) if !writes.is_empty() => {
+                instance.commit(&self.connection, write_epoch, writes)
+            }
+            _ => self.commit_read().map_err(sqlstate::Error::from),
         };
         match result {
             Ok(stamp) => {
-                self.reset();
-                self.ended = Some(stamp);
+                self.clear_transaction();
+                self.last_stamp = Some(stamp);
                 Ok(())
             }
             Err(error) => {
@@ -332,21 +345,21 @@
     }
 
     /// Gives the stamp of the snapshot that the transaction saw.
-    fn end_reading(&self) -> rusqlite::Result<stamp::Stamp> {
+    fn commit_read(&self) -> rusqlite::Result<stamp::Stamp> {
         let stamp = storage::read_stamp(&self.connection)?;
         self.connection.execute_batch("COMMIT")?;
         Ok(stamp)
     }
 
     fn rollback(&mut self, instance: &instance::Instance) {
-        if self.is_open() {
-            self.undo();
-            self.reset();
-            self.ended = Some(instance.status().stamp);
+        if self.in_transaction() {
+            self.roll_back_connection();
+            self.clear_transaction();
+            self.last_stamp = Some(instance.status().stamp);
         }
     }
 
-    fn undo(&mut self) {
+    fn roll_back_connection(&mut self) {
         if !self.connection.is_autocommit() {
             self.connection
                 .execute_batch("ROLLBACK")
@@ -354,43 +367,46 @@
         }
     }
 
-    fn reset(&mut self) {
+    fn clear_transaction(&mut self) {
         self.phase = Phase::Idle;
-        self.health = Health::Sound;
-        self.reign = None;
-        self.writer = None;
+        self.condition = Condition::Active;
+        self.write_epoch = None;
+        self.write_guard = None;
         self.writes.clear();
         self.savepoints.clear();
     }
 
     /// Ends the implicit transaction of a batch.
-    pub(crate) fn finish(&mut self, instance: &instance::Instance) -> Result<(), sqlstate::Error> {
+    pub(crate) fn end_batch(
+        &mut self,
+        instance: &instance::Instance,
+    ) -> Result<(), sqlstate::Error> {
         if self.phase == Phase::Explicit {
-            self.writer.take_if(|_| self.reign.is_none());
+            self.write_guard.take_if(|_| self.write_epoch.is_none());
             return Ok(());
         }
-        if self.health == Health::Failed {
+        if self.condition == Condition::Failed {
             self.rollback(instance);
         }
         let result = self.commit(instance).map(drop);
-        self.writer = None;
+        self.write_guard = None;
         result
     }
 
     /// Fails the transaction for an error outside its statements.
     pub(crate) fn fail(&mut self) {
-        if self.is_open() && self.health == Health::Sound {
-            self.health = Health::Failed;
+        if self.in_transaction() && self.condition == Condition::Active {
+            self.condition = Condition::Failed;
         }
     }
 
     /// Rolls back from outside, because the instance changed its role or its data.
-    pub(crate) fn revoke(&mut self, readers_too: bool) {
-        if self.is_open() && (readers_too || self.reign.is_some()) {
-            self.undo();
-            self.health = Health::Revoked;
-            self.reign = None;
+    pub(crate) fn revoke(&mut self, include_readers: bool) {
+        if self.in_transaction() && (include_readers || self.write_epoch.is_some()) {
+            self.roll_back_connection();
+            self.condition = Condition::Revoked;
+            self.write_epoch = None;
         }
-        self.writer = None;
+        self.write_guard = None;
     }
 }
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -5,7 +5,7 @@
 use std::time;
 
 /// How long a fault lasts when the command line does not say.
-const DEFAULT_LASTS: time::Duration = time::Duration::from_secs(8);
+const DEFAULT_DURATION: time::Duration = time::Duration::from_secs(8);
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -90,8 +90,8 @@
 /// use mangotray_lab::fault::{Fault, Kind};
 /// let fault: Fault = "primary-pause@2.5+4/1".parse().unwrap();
 /// assert_eq!(fault.kind, Kind::PrimaryPause);
-/// assert_eq!(fault.at, Duration::from_millis(2500));
-/// assert_eq!(fault.lasts, Duration::from_secs(4));
+/// assert_eq!(fault.start, Duration::from_millis(2500));
+/// assert_eq!(fault.duration, Duration::from_secs(4));
 /// assert_eq!(fault.group, 1);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,9 +99,9 @@
     /// What goes wrong.
     pub kind: Kind,
     /// When, counted from the start of the workload.
-    pub at: time::Duration,
+    pub start: time::Duration,
     /// How long; a drained or crashed proxy stays away.
-    pub lasts: time::Duration,
+    pub duration: time::Duration,
     /// Group that it hits, counted from 0; of no meaning for proxies and platform.
     pub group: usize,
 }
@@ -117,14 +117,14 @@
             Some((times, group)) => (times, group.parse()?),
             None => (times, 0),
         };
-        let (at, lasts) = match times.split_once('+') {
-            Some((at, lasts)) => (at, seconds(lasts)?),
-            None => (times, DEFAULT_LASTS),
+        let (start, duration) = match times.split_once('+') {
+            Some((start, duration)) => (start, seconds(duration)?),
+            None => (times, DEFAULT_DURATION),
         };
         Ok(Self {
             kind: name.parse()?,
-            at: seconds(at)?,
-            lasts,
+            start: seconds(start)?,
+            duration,
             group,
         })
     }
@@ -132,8 +132,8 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (at, lasts) = (self.at.as_secs_f64(), self.lasts.as_secs_f64());
-        write!(f, "{}@{at}+{lasts}/{}", self.kind, self.group)
+        let (start, duration) = (self.start.as_secs_f64(), self.duration.as_secs_f64());
+        write!(f, "{}@{start}+{duration}/{}", self.kind, self.group)
     }
 }
 
--- a/lab/src/fault/tests.rs
+++ b/lab/src/fault/tests.rs
@@ -1,6 +1,6 @@
 use std::time;
 
-use crate::fault::{DEFAULT_LASTS, Fault, KINDS, Kind};
+use crate::fault::{DEFAULT_DURATION, Fault, KINDS, Kind};
 
 #[test]
 fn names_are_parsed_as_displayed() {
@@ -13,8 +13,8 @@
 #[test]
 fn faults_last_a_default_time() {
     let fault: Fault = "replica-lag@3".parse().unwrap();
-    assert_eq!(fault.at, time::Duration::from_secs(3));
-    assert_eq!(fault.lasts, DEFAULT_LASTS);
+    assert_eq!(fault.start, time::Duration::from_secs(3));
+    assert_eq!(fault.duration, DEFAULT_DURATION);
     assert_eq!(fault.to_string(), "replica-lag@3+8/0");
 }
 
--- a/lab/src/gate.rs
+++ b/lab/src/gate.rs
@@ -6,24 +6,24 @@
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     closed: atomic::AtomicBool,
-    opened: event_listener::Event,
+    changed: event_listener::Event,
 }
 
 impl Gate {
-    pub(crate) fn set(&self, closed: bool) {
+    pub(crate) fn set_closed(&self, closed: bool) {
         self.closed.store(closed, atomic::Ordering::SeqCst);
-        self.opened.notify(usize::MAX);
+        self.changed.notify(usize::MAX);
     }
 
     pub(crate) fn is_closed(&self) -> bool {
         self.closed.load(atomic::Ordering::SeqCst)
     }
 
-    pub(crate) async fn pass(&self) {
+    pub(crate) async fn wait_until_open(&self) {
         while self.is_closed() {
-            let opened = self.opened.listen();
+            let changed = self.changed.listen();
             if self.is_closed() {
-                opened.await;
+                changed.await;
             }
         }
     }
--- a/lab/src/handshake.rs
+++ b/lab/src/handshake.rs
@@ -10,10 +10,10 @@
 use crate::instance;
 use crate::output;
 
-const CANCEL_CODE: i32 = 80_877_102;
-const SSL_CODE: i32 = 80_877_103;
-const GSS_CODE: i32 = 80_877_104;
-const PARAMETERS: [(&str, &str); 6] = [
+const CANCEL_REQUEST_CODE: i32 = 80_877_102;
+const SSL_REQUEST_CODE: i32 = 80_877_103;
+const GSS_ENCRYPTION_REQUEST_CODE: i32 = 80_877_104;
+const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
@@ -29,14 +29,14 @@
 ) -> eyre::Result<bool> {
     while let Some(packet) = stream.next().await {
         let packet = packet?;
-        backend::arrive(instance).await;
+        backend::delay_request(instance).await;
         let code = packet.body.get(..4).map(<[u8; 4]>::try_from);
         match code.transpose()?.map(i32::from_be_bytes) {
-            Some(SSL_CODE | GSS_CODE) => {
+            Some(SSL_REQUEST_CODE | GSS_ENCRYPTION_REQUEST_CODE) => {
                 let refusal = [response::SslResponse::BYTE_REFUSE];
                 stream.get_mut().get_mut().write_all(&refusal).await?;
             }
-            Some(CANCEL_CODE) | None => return Ok(false),
+            Some(CANCEL_REQUEST_CODE) | None => return Ok(false),
             Some(_) => return Ok(true),
         }
     }
@@ -44,9 +44,9 @@
 }
 
 /// Completes the handshake.
-pub(crate) fn greet(instance: &instance::Instance, output: &mut output::Output) {
+pub(crate) fn complete(instance: &instance::Instance, output: &mut output::Output) {
     output.push(&startup::Authentication::Ok);
-    for (name, value) in PARAMETERS {
+    for (name, value) in SERVER_PARAMETERS {
         output.report(name, &value);
     }
     let incarnation = instance.status().incarnation;
--- a/lab/src/inspect.rs
+++ b/lab/src/inspect.rs
@@ -31,7 +31,7 @@
         bookings: bookings.iter().map(row).collect::<Result<_, _>>()?,
         entries: entries.iter().map(row).collect::<Result<_, _>>()?,
         counters: counters.iter().map(counter).collect::<Result<_, _>>()?,
-        logs: (0..cluster::SIZE)
+        logs: (0..cluster::INSTANCE_COUNT)
             .map(|index| log(cluster, index))
             .collect(),
     })
--- a/lab/src/instance.rs
+++ b/lab/src/instance.rs
@@ -21,7 +21,7 @@
 use crate::storage;
 
 /// Incarnations never repeat within a process of the lab.
-static INCARNATIONS: atomic::AtomicU64 = atomic::AtomicU64::new(1);
+static NEXT_INCARNATION: atomic::AtomicU64 = atomic::AtomicU64::new(1);
 
 /// One instance of a group.
 pub(crate) struct Instance {
@@ -31,23 +31,23 @@
     /// Notified when replication may have something to do.
     pub(crate) changed: event_listener::Event,
     /// Closed while no byte flows to or from callers.
-    pub(crate) network: gate::Gate,
+    pub(crate) network_gate: gate::Gate,
     /// Closed while the process is frozen.
-    pub(crate) process: gate::Gate,
+    pub(crate) process_gate: gate::Gate,
     pub(crate) slots: async_lock::Semaphore,
     /// Held by the one session that writes.
-    pub(crate) writer: Arc<async_lock::Mutex<()>>,
+    pub(crate) write_lock: Arc<async_lock::Mutex<()>>,
     pub(crate) stats: sync::Mutex<stats::Stats>,
     directory: path::PathBuf,
     /// Number of the next data file; two repairs at once must not share one.
-    next_file: atomic::AtomicU64,
+    next_generation: atomic::AtomicU64,
     /// Held while the role or the data changes, until the open transactions that
     /// must not go on are rolled back. Without it, a record could be applied while a
     /// demoted session still holds the file's write lock and waits for the state's.
     transition: sync::Mutex<()>,
     state: sync::Mutex<state::State>,
     sessions: sync::Mutex<Vec<sync::Weak<sync::Mutex<database::Database>>>>,
-    tasks: sync::Mutex<Vec<async_executor::Task<()>>>,
+    session_tasks: sync::Mutex<Vec<async_executor::Task<()>>>,
 }
 
 impl Instance {
@@ -57,17 +57,17 @@
         options: &Arc<cluster::Options>,
         directory: &path::Path,
     ) -> eyre::Result<Self> {
-        let applier = storage::create(&file(directory, index, 0), &options.schema)?;
+        let applier = storage::create(&data_file_path(directory, index, 0), &options.schema)?;
         let state = state::State {
             journal: journal::Journal::default(),
             fence: 0,
             lag: options.lag,
-            cut: false,
+            replication_cut: false,
             running: true,
             role: role::Role::Replica,
-            barrier: None,
+            required_log_term: None,
             incarnation: incarnation(),
-            reign: 0,
+            write_epoch: 0,
             generation: 0,
             applier,
         };
@@ -76,17 +76,17 @@
             address,
             options: Arc::clone(options),
             changed: event_listener::Event::new(),
-            network: gate::Gate::default(),
-            process: gate::Gate::default(),
+            network_gate: gate::Gate::default(),
+            process_gate: gate::Gate::default(),
             slots: async_lock::Semaphore::new(options.slots),
-            writer: Arc::default(),
+            write_lock: Arc::default(),
             stats: sync::Mutex::default(),
             directory: directory.to_owned(),
-            next_file: atomic::AtomicU64::new(1),
+            next_generation: atomic::AtomicU64::new(1),
             transition: sync::Mutex::default(),
             state: sync::Mutex::new(state),
             sessions: sync::Mutex::default(),
-            tasks: sync::Mutex::default(),
+            session_tasks: sync::Mutex::default(),
         })
     }
 
@@ -101,11 +101,11 @@
             let Ok((socket, _)) = listener.accept().await else {
                 continue;
             };
-            let mut tasks = lock(&self.tasks);
+            let mut tasks = lock(&self.session_tasks);
             if self.state().running {
-                let session = backend::Backend::serve(Arc::clone(&self), socket);
+                let serving = backend::Backend::serve(Arc::clone(&self), socket);
                 tasks.retain(|task| !task.is_finished());
-                tasks.push(executor.spawn(session));
+                tasks.push(executor.spawn(serving));
             }
         }
     }
@@ -115,9 +115,9 @@
     }
 
     /// Whether replication reaches the instance.
-    pub(crate) fn replicates(&self, state: &state::State) -> bool {
-        let silent = self.network.is_closed() || self.process.is_closed();
-        state.running && !state.cut && !silent
+    pub(crate) fn can_replicate(&self, state: &state::State) -> bool {
+        let isolated = self.network_gate.is_closed() || self.process_gate.is_closed();
+        state.running && !state.replication_cut && !isolated
     }
 
     pub(crate) fn status(&self) -> status::Status {
@@ -129,18 +129,24 @@
     }
 
     /// Data file and its generation.
-    pub(crate) fn file(&self) -> (path::PathBuf, u64) {
+    pub(crate) fn data_file(&self) -> (path::PathBuf, u64) {
         let generation = self.state().generation;
-        (file(&self.directory, self.index, generation), generation)
+        (
+            data_file_path(&self.directory, self.index, generation),
+            generation,
+        )
     }
 
-    fn new_file(&self) -> (path::PathBuf, u64) {
-        let next = self.next_file.fetch_add(1, atomic::Ordering::Relaxed);
-        (file(&self.directory, self.index, next), next)
+    fn new_data_file(&self) -> (path::PathBuf, u64) {
+        let next_generation = self.next_generation.fetch_add(1, atomic::Ordering::Relaxed);
+        (
+            data_file_path(&self.directory, self.index, next_generation),
+            next_generation,
+        )
     }
 
     pub(crate) fn connect(&self) -> rusqlite::Result<Arc<sync::Mutex<database::Database>>> {
-        let (path, generation) = self.file();
+        let (path, generation) = self.data_file();
         let database = database::Database::open(&path, generation)?;
         let database = Arc::new(sync::Mutex::new(database));
         let mut sessions = lock(&self.sessions);
@@ -149,14 +155,14 @@
         Ok(database)
     }
 
-    /// Begins a write transaction if the instance leads; gives its reign.
+    /// Begins a write transaction if the instance leads; gives its write epoch.
     pub(crate) fn begin(&self, connection: &rusqlite::Connection) -> rusqlite::Result<Option<u64>> {
         let state = self.state();
         if !state.is_primary() {
             return Ok(None);
         }
         connection.execute_batch("BEGIN IMMEDIATE")?;
-        Ok(Some(state.reign))
+        Ok(Some(state.write_epoch))
     }
 
     /// Commits the connection's transaction and appends its record, unless the
@@ -164,11 +170,11 @@
     pub(crate) fn commit(
         &self,
         connection: &rusqlite::Connection,
-        reign: u64,
+        write_epoch: u64,
         writes: Vec<journal::Write>,
     ) -> Result<mangotray::stamp::Stamp, sqlstate::Error> {
         let mut state = self.state();
-        if !state.is_primary() || state.reign != reign {
+        if !state.is_primary() || state.write_epoch != write_epoch {
             return Err(sqlstate::Error::read_only("COMMIT"));
         }
         let record = state.journal.next_record(state.fence, writes);
@@ -204,12 +210,12 @@
         let _transition = lock(&self.transition);
         let mut state = self.state();
         if state.fence != term {
-            let words = format!("fenced at {}, not at {term}", state.fence);
-            return Err(sqlstate::Error::new("55000", words));
+            let message = format!("fenced at {}, not at {term}", state.fence);
+            return Err(sqlstate::Error::new("55000", message));
         }
-        if state.barrier.is_some() {
-            let words = "lost its log and is no voter";
-            return Err(sqlstate::Error::new("55000", words));
+        if state.required_log_term.is_some() {
+            let message = "lost its log and is no voter";
+            return Err(sqlstate::Error::new("55000", message));
         }
         if state.role == role::Role::Replica {
             let record = Arc::new(state.journal.next_record(term, Vec::new()));
@@ -227,11 +233,11 @@
     pub(crate) fn append(&self, term: id::Term, records: &[Arc<journal::Record>]) {
         let _transition = lock(&self.transition);
         let mut state = self.state();
-        let next = state.journal.records().len() as id::Position + 1;
-        let fits = records
+        let next_position = state.journal.records().len() as id::Position + 1;
+        let is_next = records
             .first()
-            .is_some_and(|record| record.position == next);
-        if !self.replicates(&state) || !state.follows(term) || !fits {
+            .is_some_and(|record| record.position == next_position);
+        if !self.can_replicate(&state) || !state.accepts_log_of(term) || !is_next {
             return;
         }
         storage::replay(&state.applier, records).expect("records apply as on the primary");
@@ -245,8 +251,8 @@
     /// Replaces the data by a replay of `prefix`, which the log begins with, and cuts
     /// the log there. Works on a second file; readers see one or the other.
     pub(crate) async fn rebuild(&self, term: id::Term, prefix: Vec<Arc<journal::Record>>) {
-        let (_, generation) = self.file();
-        let (path, next) = self.new_file();
+        let (_, generation) = self.data_file();
+        let (path, next_generation) = self.new_data_file();
         let applier = storage::create(&path, &self.options.schema).expect("schema applies");
         for records in prefix.chunks(journal::MAX_RECORDS_PER_LOCK) {
             storage::replay(&applier, records).expect("records apply again");
@@ -254,13 +260,13 @@
         }
         let _transition = lock(&self.transition);
         let mut state = self.state();
-        let same = state.generation == generation && state.journal.starts_with(&prefix);
-        if !self.replicates(&state) || !state.follows(term) || !same {
+        let unchanged = state.generation == generation && state.journal.starts_with(&prefix);
+        if !self.can_replicate(&state) || !state.accepts_log_of(term) || !unchanged {
             return;
         }
         state.applier = applier;
-        state.generation = next;
-        state.reign += 1;
+        state.generation = next_generation;
+        state.write_epoch += 1;
         state.journal.truncate(prefix.len());
         drop(state);
         self.revoke(true);
@@ -268,8 +274,8 @@
     }
 
     /// Counts an instance that lost its log again, once it holds `length` records.
-    pub(crate) fn readmit(&self, term: id::Term, length: usize) {
-        self.state().readmit(term, length);
+    pub(crate) fn restore_vote(&self, term: id::Term, length: usize) {
+        self.state().restore_vote(term, length);
     }
 
     pub(crate) fn notify(&self) {
@@ -277,10 +283,10 @@
     }
 
     /// Ends transactions that must not go on.
-    fn revoke(&self, readers_too: bool) {
+    fn revoke(&self, include_readers: bool) {
         let sessions = lock(&self.sessions).clone();
         for session in sessions.iter().filter_map(sync::Weak::upgrade) {
-            lock(&session).revoke(readers_too);
+            lock(&session).revoke(include_readers);
         }
     }
 
@@ -291,7 +297,7 @@
         state.running = false;
         state.demote();
         drop(state);
-        lock(&self.tasks).clear();
+        lock(&self.session_tasks).clear();
         self.revoke(true);
         self.notify();
     }
@@ -311,26 +317,26 @@
     /// Stops the process, loses log, fence and data, and starts it again as no voter.
     pub(crate) fn wipe(&self) -> eyre::Result<()> {
         self.crash();
-        let (path, next) = self.new_file();
+        let (path, next_generation) = self.new_data_file();
         let applier = storage::create(&path, &self.options.schema)?;
         let mut state = self.state();
         state.applier = applier;
-        state.generation = next;
-        state.forget();
+        state.generation = next_generation;
+        state.lose_log();
         drop(state);
         self.restart();
         Ok(())
     }
 
     /// Stops all bytes to and from callers, and replication.
-    pub(crate) fn blackhole(&self, on: bool) {
-        self.network.set(on);
+    pub(crate) fn set_blackhole(&self, blackhole: bool) {
+        self.network_gate.set_closed(blackhole);
         self.notify();
     }
 
     /// Freezes the process.
-    pub(crate) fn pause(&self, on: bool) {
-        self.process.set(on);
+    pub(crate) fn set_paused(&self, paused: bool) {
+        self.process_gate.set_closed(paused);
         self.notify();
     }
 }
@@ -341,9 +347,9 @@
 }
 
 fn incarnation() -> id::Incarnation {
-    INCARNATIONS.fetch_add(1, atomic::Ordering::Relaxed)
+    NEXT_INCARNATION.fetch_add(1, atomic::Ordering::Relaxed)
 }
 
-fn file(directory: &path::Path, index: id::Index, generation: u64) -> path::PathBuf {
+fn data_file_path(directory: &path::Path, index: id::Index, generation: u64) -> path::PathBuf {
     directory.join(format!("{index}-{generation}.db"))
 }
--- a/lab/src/journal.rs
+++ b/lab/src/journal.rs
@@ -154,7 +154,7 @@
             }
             Offer::WaitUntil(due) => Step::WaitUntil(due),
             Offer::Complete(length) => {
-                self.target.readmit(term, length);
+                self.target.restore_vote(term, length);
                 Step::Idle
             }
         }
@@ -171,7 +171,7 @@
             target = self.target.state();
             source = self.source.state();
         }
-        let reachable = self.source.replicates(&source) && self.target.replicates(&target);
+        let reachable = self.source.can_replicate(&source) && self.target.can_replicate(&target);
         if !reachable || !source.is_primary() || target.fence > source.fence {
             return None;
         }
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -8,7 +8,7 @@
 use crate::ledger;
 
 /// Longest time to wait for a connection.
-const CONNECT_PATIENCE: time::Duration = time::Duration::from_secs(1);
+const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Answer to one request.
 #[derive(Debug)]
@@ -43,18 +43,18 @@
 #[derive(Debug)]
 pub struct Link {
     client: tokio_postgres::Client,
-    reach: time::Duration,
+    one_way_delay: time::Duration,
 }
 
 impl Link {
-    /// Connects to a proxy; `reach` is the one-way delay added to each request and answer.
+    /// Connects to a proxy; `one_way_delay` is the one-way delay added to each request and answer.
     ///
     /// # Errors
     /// When the proxy does not accept the connection in time.
     pub async fn open(
         proxy: net::SocketAddr,
         database: &str,
-        reach: time::Duration,
+        one_way_delay: time::Duration,
     ) -> eyre::Result<Self> {
         let mut config = tokio_postgres::Config::new();
         config
@@ -62,10 +62,14 @@
             .port(proxy.port())
             .user("desk")
             .dbname(database);
-        let opened = tokio::time::timeout(CONNECT_PATIENCE, config.connect(tokio_postgres::NoTls));
-        let (client, connection) = opened.await??;
+        let connecting =
+            tokio::time::timeout(CONNECT_TIMEOUT, config.connect(tokio_postgres::NoTls));
+        let (client, connection) = connecting.await??;
         tokio::spawn(connection);
-        Ok(Self { client, reach })
+        Ok(Self {
+            client,
+            one_way_delay,
+        })
     }
 
     /// False once the other side has closed the connection.
@@ -76,13 +80,13 @@
 
     /// Sends a request and waits for its answer; also gives the time that passed
     /// without the added delays.
-    pub async fn ask(&self, sql: &str, patience: time::Duration) -> (Answer, time::Duration) {
-        tokio::time::sleep(self.reach).await;
+    pub async fn query(&self, sql: &str, timeout: time::Duration) -> (Answer, time::Duration) {
+        tokio::time::sleep(self.one_way_delay).await;
         let sent = time::Instant::now();
-        let answered = tokio::time::timeout(patience, self.client.simple_query(sql)).await;
+        let result = tokio::time::timeout(timeout, self.client.simple_query(sql)).await;
         let elapsed = sent.elapsed();
-        tokio::time::sleep(self.reach).await;
-        let answer = match answered {
+        tokio::time::sleep(self.one_way_delay).await;
+        let answer = match result {
             Err(_) => Answer::Lost,
             Ok(Err(error)) => failure(&error),
             Ok(Ok(messages)) => Answer::Rows(messages.into_iter().filter_map(row).collect()),
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -16,7 +16,7 @@
     pub peak_connections: usize,
     /// Greatest number of slots of one instance in use at once.
     pub peak_busy: usize,
-    previous_statements: Vec<[usize; cluster::SIZE]>,
+    previous_statements: Vec<[usize; cluster::INSTANCE_COUNT]>,
     calls_before: u64,
 }
 
--- a/lab/src/ready.rs
+++ b/lab/src/ready.rs
@@ -42,6 +42,6 @@
     let Ok(link) = opened else {
         return false;
     };
-    let (answer, _) = link.ask(&profile.touch(), profile.deadline * 2).await;
+    let (answer, _) = link.query(&profile.touch(), profile.deadline * 2).await;
     matches!(answer, link::Answer::Rows(_))
 }
--- a/lab/src/remote.rs
+++ b/lab/src/remote.rs
@@ -66,12 +66,12 @@
             "sql" => return self.query(self.index(target)?, rest),
             "crash" => cluster.crash(self.index(target)?),
             "restart" => cluster.restart(self.index(target)?),
-            "cut" => cluster.cut(self.index(target)?, true),
-            "heal" => cluster.cut(self.index(target)?, false),
-            "blackhole" => cluster.blackhole(self.index(target)?, true),
-            "unblackhole" => cluster.blackhole(self.index(target)?, false),
-            "pause" => cluster.pause(self.index(target)?, true),
-            "resume" => cluster.pause(self.index(target)?, false),
+            "cut" => cluster.set_replication_cut(self.index(target)?, true),
+            "heal" => cluster.set_replication_cut(self.index(target)?, false),
+            "blackhole" => cluster.set_blackhole(self.index(target)?, true),
+            "unblackhole" => cluster.set_blackhole(self.index(target)?, false),
+            "pause" => cluster.set_paused(self.index(target)?, true),
+            "resume" => cluster.set_paused(self.index(target)?, false),
             "lag" => cluster.set_lag(self.index(target)?, duration(rest)?),
             _ => eyre::bail!("no command {verb:?}; there are {GROUP_HELP}"),
         }
@@ -83,7 +83,7 @@
             return primary(&self.0).ok_or_else(|| eyre::eyre!("the group has no primary"));
         }
         let index: id::Index = text.parse()?;
-        eyre::ensure!(index < cluster::SIZE, "no instance {index}");
+        eyre::ensure!(index < cluster::INSTANCE_COUNT, "no instance {index}");
         Ok(index)
     }
 
@@ -97,7 +97,7 @@
     }
 
     fn status(&self) -> String {
-        let lines = (0..cluster::SIZE).map(|index| {
+        let lines = (0..cluster::INSTANCE_COUNT).map(|index| {
             let status = self.0.status(index);
             let (role, stamp, fence) = (status.role, status.stamp, status.fence);
             format!("{index} {role:?} stamp {stamp} fence {fence}")
@@ -126,7 +126,7 @@
 /// Instance that leads a group at the highest term, if any does.
 #[must_use]
 pub fn primary(cluster: &cluster::Cluster) -> Option<id::Index> {
-    (0..cluster::SIZE)
+    (0..cluster::INSTANCE_COUNT)
         .filter(|index| cluster.status(*index).role == role::Role::Primary)
         .max_by_key(|index| cluster.status(*index).fence)
 }
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -100,13 +100,13 @@
         start: time::Instant,
     ) -> Vec<trouble::Trouble> {
         let mut pending = self.faults.clone();
-        pending.sort_by_key(|fault| std::cmp::Reverse(fault.at));
+        pending.sort_by_key(|fault| std::cmp::Reverse(fault.start));
         let mut active = Vec::new();
         let mut past = Vec::new();
         while start.elapsed() < self.duration {
             thread::sleep(POLL_INTERVAL);
             load.sample(stage);
-            while let Some(fault) = pending.pop_if(|fault| fault.at <= start.elapsed()) {
+            while let Some(fault) = pending.pop_if(|fault| fault.start <= start.elapsed()) {
                 active.push(trouble::Trouble::begin(fault, stage, self.seed));
             }
             let ended = active.extract_if(.., |trouble| trouble.is_over());
--- a/lab/src/sqlstate.rs
+++ b/lab/src/sqlstate.rs
@@ -14,19 +14,19 @@
     }
 
     pub(crate) fn read_only(tag: &str) -> Self {
-        let words = format!("cannot execute {tag} in a read-only transaction");
-        Self::new("25006", words)
+        let message = format!("cannot execute {tag} in a read-only transaction");
+        Self::new("25006", message)
     }
 
-    pub(crate) fn revoked() -> Self {
-        let words = "transaction rolled back: the instance is no longer the primary";
-        Self::new("25006", words)
+    pub(crate) fn transaction_revoked() -> Self {
+        let message = "transaction rolled back: the instance is no longer the primary";
+        Self::new("25006", message)
     }
 
-    pub(crate) fn failed() -> Self {
-        let words =
+    pub(crate) fn transaction_failed() -> Self {
+        let message =
             "current transaction is aborted, commands ignored until end of transaction block";
-        Self::new("25P02", words)
+        Self::new("25P02", message)
     }
 }
 
--- a/lab/src/stage.rs
+++ b/lab/src/stage.rs
@@ -132,7 +132,7 @@
     #[must_use]
     pub fn replica(&self, group: usize) -> id::Index {
         let primary = self.primary(group);
-        (0..cluster::SIZE)
+        (0..cluster::INSTANCE_COUNT)
             .find(|index| Some(*index) != primary)
             .unwrap_or_default()
     }
@@ -250,7 +250,7 @@
     }
 
     fn is_idle(&self, group: usize) -> bool {
-        (0..cluster::SIZE).all(|index| self.clusters[group].stats(index).batches == 0)
+        (0..cluster::INSTANCE_COUNT).all(|index| self.clusters[group].stats(index).batches == 0)
     }
 
     fn end_proxies(&mut self) {
@@ -259,7 +259,7 @@
     }
 
     fn is_settled(&self, group: usize) -> bool {
-        let states = (0..cluster::SIZE).map(|index| self.clusters[group].status(index));
+        let states = (0..cluster::INSTANCE_COUNT).map(|index| self.clusters[group].status(index));
         let states: Vec<_> = states.collect();
         let same = |state: &mangotray::status::Status| {
             (state.stamp, state.fence) == (states[0].stamp, states[0].fence)
--- a/lab/src/state.rs
+++ b/lab/src/state.rs
@@ -15,15 +15,15 @@
     /// Delay of replication to this instance.
     pub(crate) lag: time::Duration,
     /// Replication to and from this instance is cut.
-    pub(crate) cut: bool,
+    pub(crate) replication_cut: bool,
     pub(crate) running: bool,
     pub(crate) role: role::Role,
     /// `None` for a voter. An instance that lost its log keeps the highest fence it ever
     /// had, and votes again once it holds a whole log of that term or a later one.
-    pub(crate) barrier: Option<id::Term>,
+    pub(crate) required_log_term: Option<id::Term>,
     pub(crate) incarnation: id::Incarnation,
     /// Grows whenever open write transactions lose their right to commit.
-    pub(crate) reign: u64,
+    pub(crate) write_epoch: u64,
     /// Number of the data file.
     pub(crate) generation: u64,
     pub(crate) applier: rusqlite::Connection,
@@ -39,37 +39,37 @@
             stamp: self.journal.stamp(),
             fence: self.fence,
             role: self.role,
-            voter: self.barrier.is_none(),
+            voter: self.required_log_term.is_none(),
             incarnation: self.incarnation,
         }
     }
 
     /// Whether the primary of `term` may change the log.
-    pub(crate) fn follows(&self, term: id::Term) -> bool {
+    pub(crate) fn accepts_log_of(&self, term: id::Term) -> bool {
         self.fence == term && self.role == role::Role::Replica
     }
 
-    /// Loses log and fence, but not what it has promised: without the barrier, a copy of
+    /// Loses log and fence, but not what it has promised: without this, a copy of
     /// a replaced primary's log would make it confirm that primary's commits again.
-    pub(crate) fn forget(&mut self) {
-        self.barrier = self.barrier.max(Some(self.fence));
+    pub(crate) fn lose_log(&mut self) {
+        self.required_log_term = self.required_log_term.max(Some(self.fence));
         self.journal.truncate(0);
         self.fence = 0;
     }
 
     /// Votes again if the whole log of `length` records that it copied is late enough.
-    pub(crate) fn readmit(&mut self, term: id::Term, length: usize) {
-        let whole = self.follows(term) && self.journal.records().len() >= length;
-        let late = self
-            .barrier
-            .is_some_and(|barrier| self.journal.stamp().term >= barrier);
-        if whole && late {
-            self.barrier = None;
+    pub(crate) fn restore_vote(&mut self, term: id::Term, length: usize) {
+        let has_whole_log = self.accepts_log_of(term) && self.journal.records().len() >= length;
+        let has_required_term = self
+            .required_log_term
+            .is_some_and(|required_log_term| self.journal.stamp().term >= required_log_term);
+        if has_whole_log && has_required_term {
+            self.required_log_term = None;
         }
     }
 
     pub(crate) fn demote(&mut self) {
         self.role = role::Role::Replica;
-        self.reign += 1;
+        self.write_epoch += 1;
     }
 }
--- a/lab/src/statement.rs
+++ b/lab/src/statement.rs
@@ -119,7 +119,7 @@
 
     fn cast(&mut self, tokens: &[token::Token], index: usize) -> usize {
         let name = tokens.get(index + 1).map_or("", |token| &token.text);
-        let kind = value::Kind::named(name);
+        let kind = value::Kind::from_name(name);
         if let Some(number) = index
             .checked_sub(1)
             .and_then(|at| token::parameter(&self.tokens[at]))
--- a/lab/src/trouble.rs
+++ b/lab/src/trouble.rs
@@ -40,8 +40,8 @@
         let cluster = &stage.clusters[fault.group];
         match fault.kind {
             fault::Kind::PrimaryCrash | fault::Kind::ReplicaCrash => cluster.crash(instance),
-            fault::Kind::PrimaryPartition => cluster.cut(instance, true),
-            fault::Kind::PrimaryPause => cluster.pause(instance, true),
+            fault::Kind::PrimaryPartition => cluster.set_replication_cut(instance, true),
+            fault::Kind::PrimaryPause => cluster.set_paused(instance, true),
             fault::Kind::ReplicaLag => cluster.set_lag(instance, REPLICA_LAG),
             fault::Kind::ProxyCrash => stage.crash_proxy(),
             fault::Kind::ProxyDrain => stage.drain_proxy(),
@@ -64,8 +64,8 @@
         let cluster = &stage.clusters[self.fault.group];
         match self.fault.kind {
             fault::Kind::PrimaryCrash | fault::Kind::ReplicaCrash => cluster.restart(self.instance),
-            fault::Kind::PrimaryPartition => cluster.cut(self.instance, false),
-            fault::Kind::PrimaryPause => cluster.pause(self.instance, false),
+            fault::Kind::PrimaryPartition => cluster.set_replication_cut(self.instance, false),
+            fault::Kind::PrimaryPause => cluster.set_paused(self.instance, false),
             fault::Kind::ReplicaLag => cluster.restore_lag(self.instance),
             fault::Kind::ProxyCrash | fault::Kind::ProxyDrain => {}
             fault::Kind::PlatformOutage => stage.platform.set_outage(false),
@@ -78,6 +78,6 @@
     /// True once the duration of the fault has passed.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.started_at.elapsed() >= self.fault.lasts
+        self.started_at.elapsed() >= self.fault.duration
     }
 }
--- a/lab/src/value.rs
+++ b/lab/src/value.rs
@@ -53,7 +53,7 @@
     }
 
     /// Type named in a cast or a column declaration.
-    pub(crate) fn named(name: &str) -> Self {
+    pub(crate) fn from_name(name: &str) -> Self {
         let lower = name.to_ascii_lowercase();
         let word = lower.split(['(', ' ']).next().unwrap_or_default();
         match word {
@@ -69,7 +69,7 @@
     }
 
     /// Type of an expression that has no declared type, by its value.
-    pub(crate) fn of(value: &types::Value) -> Option<Self> {
+    pub(crate) fn of_value(value: &types::Value) -> Option<Self> {
         match value {
             types::Value::Integer(_) => Some(Self::Int8),
             types::Value::Real(_) => Some(Self::Float8),
--- a/lab/tests/cluster.rs
+++ b/lab/tests/cluster.rs
@@ -56,7 +56,7 @@
     /// Starts a group with a table, whose primary is instance 0 at term 1.
     fn with_primary() -> Self {
         let bench = Self::start(options());
-        bench.cluster.lead(0, 1).unwrap();
+        bench.cluster.fence_and_promote(0, 1).unwrap();
         bench
     }
 
@@ -103,7 +103,7 @@
             let records = self.cluster.log(index).len();
             format!("instance {index}: {status:?}, {records} records")
         };
-        let instances: Vec<_> = (0..cluster::SIZE).map(of).collect();
+        let instances: Vec<_> = (0..cluster::INSTANCE_COUNT).map(of).collect();
         format!(
             "{}; threads of the executor ended: {ended}",
             instances.join("; ")
@@ -244,7 +244,7 @@
         (0..3).all(|index| cluster.status(index).stamp == stamp::Stamp::new(1, 1))
     });
     let mut old = bench.open(0);
-    bench.cluster.cut(0, true);
+    bench.cluster.set_replication_cut(0, true);
     let reply = run(&mut old, &insert("lost")).unwrap();
     assert_eq!(reply.stamp, Some(stamp::Stamp::new(1, 2)));
     for index in 1..3 {
@@ -259,7 +259,7 @@
     run(&mut old, &insert("open")).unwrap();
     assert_eq!(bench.seats(0), ["lost"]);
 
-    bench.cluster.cut(0, false);
+    bench.cluster.set_replication_cut(0, false);
     bench.eventually("repaired", |cluster| cluster.status(0).stamp == stamp);
     assert_eq!(bench.seats(0), ["kept"]);
     assert_eq!(bench.cluster.log(0), bench.cluster.log(1));
@@ -314,7 +314,7 @@
         std::thread::sleep(time::Duration::from_millis(100));
         assert!(!bench.cluster.status(1).voter);
     }
-    bench.cluster.lead(0, 3).unwrap();
+    bench.cluster.fence_and_promote(0, 3).unwrap();
     bench.eventually("voter again", |cluster| cluster.status(1).voter);
 }
 
@@ -324,7 +324,7 @@
 #[test]
 fn refuses_to_promote_a_wiped_instance() {
     let bench = Bench::with_primary();
-    bench.cluster.cut(1, true);
+    bench.cluster.set_replication_cut(1, true);
     bench.cluster.wipe(1).unwrap();
     let control = bench.control(1);
     future::block_on(control.fence(2)).unwrap();
@@ -386,7 +386,7 @@
         statement_cost: TIMEOUT * 10,
         ..options()
     });
-    bench.cluster.lead(0, 1).unwrap();
+    bench.cluster.fence_and_promote(0, 1).unwrap();
     let mut link = bench.open(0);
     let frames = query(&insert("A1"));
     let crash = async {
@@ -437,7 +437,10 @@
         ..control::Options::default()
     };
     let control = control::Control::new(address, "dome_sched", short);
-    for fault in [cluster::Cluster::blackhole, cluster::Cluster::pause] {
+    for fault in [
+        cluster::Cluster::set_blackhole,
+        cluster::Cluster::set_paused,
+    ] {
         fault(&bench.cluster, 2, true);
         assert_matches!(
             future::block_on(control.status()),
@@ -571,7 +574,7 @@
             timeout: limit,
             ..link::Options::default()
         };
-        let address = bench.cluster.addresses()[random.usize(..cluster::SIZE)];
+        let address = bench.cluster.addresses()[random.usize(..cluster::INSTANCE_COUNT)];
         let name = format!("{clerk}-{number}");
         let booking = async {
             let mut link = link::Link::open(address, "dome_sched", &options)
@@ -615,18 +618,18 @@
 
 /// Indexes of the instances that are voters.
 fn voters(bench: &Bench) -> impl Iterator<Item = usize> {
-    (0..cluster::SIZE).filter(|index| bench.cluster.status(*index).voter)
+    (0..cluster::INSTANCE_COUNT).filter(|index| bench.cluster.status(*index).voter)
 }
 
 /// Begins or ends a random fault, wipes an instance, or promotes one at a new term.
 fn change_at_random(bench: &Bench, random: &mut fastrand::Rng, term: &mut u64) {
-    let index = random.usize(..cluster::SIZE);
+    let index = random.usize(..cluster::INSTANCE_COUNT);
     match random.u8(..8) {
         0 => bench.cluster.crash(index),
         1 => bench.cluster.restart(index),
-        2 => bench.cluster.cut(index, random.bool()),
-        3 => bench.cluster.pause(index, random.bool()),
-        4 => bench.cluster.blackhole(index, random.bool()),
+        2 => bench.cluster.set_replication_cut(index, random.bool()),
+        3 => bench.cluster.set_paused(index, random.bool()),
+        4 => bench.cluster.set_blackhole(index, random.bool()),
         5 => {
             let lag = time::Duration::from_millis(random.u64(..20));
             bench.cluster.set_lag(index, lag);
@@ -638,17 +641,17 @@
         }
         _ => {
             *term += 1;
-            let _ = bench.cluster.lead(index, *term);
+            let _ = bench.cluster.fence_and_promote(index, *term);
         }
     }
 }
 
 fn end_faults(bench: &Bench) {
-    for index in 0..cluster::SIZE {
+    for index in 0..cluster::INSTANCE_COUNT {
         bench.cluster.restart(index);
-        bench.cluster.cut(index, false);
-        bench.cluster.pause(index, false);
-        bench.cluster.blackhole(index, false);
+        bench.cluster.set_replication_cut(index, false);
+        bench.cluster.set_paused(index, false);
+        bench.cluster.set_blackhole(index, false);
         bench.cluster.set_lag(index, time::Duration::ZERO);
     }
 }
@@ -677,7 +680,7 @@
             }
             end_faults(&bench);
             let voter = voters(&bench).next().unwrap();
-            bench.cluster.lead(voter, term + 1).unwrap();
+            bench.cluster.fence_and_promote(voter, term + 1).unwrap();
             std::thread::sleep(POLL_INTERVAL * 50);
             let faults_ended = time::Instant::now();
             while count.load(atomic::Ordering::SeqCst) == 0 && faults_ended.elapsed() < TIMEOUT {
--- a/lab/tests/direct.rs
+++ b/lab/tests/direct.rs
@@ -33,7 +33,7 @@
         ..profile.cluster(0)
     };
     let cluster = cluster::Cluster::start(options, &executor).unwrap();
-    cluster.lead(0, 1).unwrap();
+    cluster.fence_and_promote(0, 1).unwrap();
     let (stop, stopped) = async_channel::bounded::<()>(1);
     thread::spawn(move || async_io::block_on(executor.run(stopped.recv())));
     Group {
@@ -119,10 +119,10 @@
     // majority has the records, crashes, and a replica without them is promoted.
     let profile = profile();
     let group = group(&profile);
-    group.cluster.cut(0, true);
+    group.cluster.set_replication_cut(0, true);
     let note = run_workload(&group.cluster.addresses()[..1]);
     group.cluster.crash(0);
-    group.cluster.lead(1, 2).unwrap();
+    group.cluster.fence_and_promote(1, 2).unwrap();
     let contents = inspect::contents(&group.cluster, 1, &profile).unwrap();
     let audit = ledger::Audit::of(&note.attempts, &contents);
     let confirmed = note.count_writes(ledger::Outcome::Confirmed) + note.probes.len();
--- a/lab/tests/roaming.rs
+++ b/lab/tests/roaming.rs
@@ -62,7 +62,7 @@
 }
 
 async fn rows(link: &link::Link, sql: &str) -> Vec<tokio_postgres::SimpleQueryRow> {
-    match link.ask(sql, TIMEOUT).await.0 {
+    match link.query(sql, TIMEOUT).await.0 {
         link::Answer::Rows(rows) => rows,
         other => panic!("{sql}: {other:?}"),
     }
@@ -100,7 +100,7 @@
     // probes is not thereby able to confirm writes.
     let stage = stage();
     let old = stage.primary(0).unwrap();
-    stage.clusters[0].cut(old, true);
+    stage.clusters[0].set_replication_cut(old, true);
     let confirmed = takes_writes(&stage);
     let new = stage.primary(0);
     stage.stop();
@@ -117,7 +117,7 @@
         let link = open(&stage, 1).await;
         rows(&link, "SELECT booking FROM ledger").await;
         stage.crash_proxy();
-        let (answer, _) = link.ask("SELECT booking FROM ledger", TIMEOUT).await;
+        let (answer, _) = link.query("SELECT booking FROM ledger", TIMEOUT).await;
         matches!(answer, link::Answer::Lost) && !link.is_open()
     });
     stage.stop();
