--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -1,4 +1,4 @@
-//! One caller's session at an instance.
+//! Server side of a connection to a stand-in instance.
 
 use std::collections::HashMap;
 use std::net;
@@ -27,13 +27,14 @@
 use crate::stats;
 
 const MAX_FRAME_BYTES: usize = 64 << 20;
-/// Server side of one connection.
+
+/// One caller's session at an instance.
 pub(crate) struct Backend {
     instance: Arc<instance::Instance>,
     database: Arc<sync::Mutex<database::Database>>,
     prepared: prepared::Cache,
     output: output::Output,
-    /// An error was sent; the rest of the batch is skipped.
+    /// Set after an error, until the end of the batch.
     skips_rest_of_batch: bool,
 }
 
@@ -92,8 +93,9 @@
         Ok(())
     }
 
-    /// Runs a batch; work waits for the right to write first and for a slot then, so
-    /// that a session that waits for the right never keeps a slot from its holder.
+    /// Runs a batch. A batch with statements acquires the write lock first and a slot
+    /// second, so that a session that waits for the lock never occupies a slot that the
+    /// holder of the lock needs.
     async fn run_batch(&mut self, batch: Vec<frame::Frame>) {
         let instance = Arc::clone(&self.instance);
         let statements = self.statements_of(&batch);
@@ -110,6 +112,7 @@
         self.process_frames(&batch);
     }
 
+    /// Acquires the write lock if a statement writes and the instance is the primary.
     async fn acquire_write_lock(&self, statements: &[Arc<statement::Statement>]) {
         let writes = statements.iter().any(|statement| statement.writes());
         let is_primary = self.instance.state().is_primary();
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Statements that the batch will run, those of the control path excepted.
+    /// Statements that the batch will run, without control commands.
     fn statements_of(&self, batch: &[frame::Frame]) -> Vec<Arc<statement::Statement>> {
         let mut parsed = HashMap::new();
         let mut found = Vec::new();
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Ends the implicit transaction and the batch.
+    /// Ends the implicit transaction, reports the stamp and sends `ReadyForQuery`.
     fn end_batch(&mut self) {
         let finished = self.database().end_batch(&self.instance);
         if !self.skips_rest_of_batch {
@@ -228,7 +231,7 @@
                 self.output.columns(&answer.columns, &[]);
             }
             self.output.rows(&answer, &answer.columns, &[]);
-            // An implicit transaction that cannot commit must not look complete.
+            // CommandComplete must not be sent before the implicit transaction has committed.
             if index + 1 == statements.len() {
                 let finished = self.database().end_batch(&self.instance);
                 finished?;
@@ -243,7 +246,7 @@
         statement: &statement::Statement,
         parameters: &[types::Value],
     ) -> Result<database::Answer, sqlstate::Error> {
-        // Fencing rolls back other sessions, so it must not hold this session's lock.
+        // A fence locks each session to roll it back, so this session must not be locked here.
         if let statement::Verb::Control(command) = statement.verb {
             return command.run(&self.instance);
         }
@@ -305,7 +308,7 @@
     }
 }
 
-/// Reads frames up to a Query, Sync or Flush; nothing when the caller is gone.
+/// Reads frames up to a Query, Sync or Flush; `None` when the caller has disconnected.
 async fn read_batch(stream: &mut wire::Stream) -> eyre::Result<Option<Vec<frame::Frame>>> {
     let mut batch = Vec::new();
     while let Some(frame) = stream.next().await {
@@ -327,13 +330,14 @@
     Ok(None)
 }
 
-/// Waits until bytes from the caller reach the process.
+/// Delays a request by the network delay, and while the network or process is stopped.
 pub(crate) async fn delay_request(instance: &instance::Instance) {
     pause(instance.options.delay).await;
     instance.network_gate.wait_until_open().await;
     instance.process_gate.wait_until_open().await;
 }
 
+/// Delays an answer by the network delay, and while the network or process is stopped.
 async fn delay_answer(instance: &instance::Instance) {
     instance.process_gate.wait_until_open().await;
     pause(instance.options.delay).await;
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A database group of stand-in instances, with faults.
+//! A database group of stand-in instances, with fault injection.
 
 use std::net;
 use std::sync::Arc;
@@ -13,12 +13,13 @@
 use crate::stats;
 use crate::storage;
 
-/// Instances of a group.
+/// Number of instances in a group.
 pub const INSTANCE_COUNT: usize = 3;
 
+/// Default deadline of a request in the group's declaration.
 const REQUEST_DEADLINE: time::Duration = time::Duration::from_secs(2);
 
-/// Size, costs and delays of a group; the same for all its instances.
+/// Settings of a group and its instances.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
     /// Name of the group.
@@ -27,13 +28,13 @@
     pub database: String,
     /// Failure domain of each instance.
     pub domains: [String; INSTANCE_COUNT],
-    /// Port of each instance; 0 takes a free one.
+    /// Port of each instance; 0 lets the system choose one.
     pub ports: [u16; INSTANCE_COUNT],
-    /// Batches that one instance runs at once.
+    /// Number of batches that one instance runs at once.
     pub slots: usize,
-    /// Connections that one instance accepts.
+    /// Number of connections that one instance accepts.
     pub connections: usize,
-    /// Time that a new connection takes.
+    /// Delay of an instance before it answers a new connection.
     pub connect_cost: time::Duration,
     /// Time that a batch occupies its slot.
     pub statement_cost: time::Duration,
@@ -41,7 +42,7 @@
     pub lag: time::Duration,
     /// Network delay of each request and of each answer.
     pub delay: time::Duration,
-    /// SQL that all instances run at their creation.
+    /// SQL statements that each instance runs when it is created.
     pub schema: Vec<String>,
 }
 
@@ -63,17 +64,17 @@
     }
 }
 
-/// A running group. It starts without a primary, each instance fenced at term 0.
+/// A running group. It starts without a primary, with each instance fenced at term 0.
 pub struct Cluster {
     options: Arc<Options>,
     instances: Vec<Arc<instance::Instance>>,
-    /// Listeners and replication; they end with the cluster.
+    /// Listeners and replication; dropping the cluster cancels them.
     _tasks: Vec<async_executor::Task<()>>,
     _directory: tempfile::TempDir,
 }
 
 impl Cluster {
-    /// Starts the instances on the executor, which others have to run.
+    /// Starts the instances on the executor, which the caller has to run.
     ///
     /// ```
     /// use mangotray_lab::cluster;
@@ -83,7 +84,7 @@
     /// ```
     ///
     /// # Errors
-    /// When no listener or file can be opened, or the schema is wrong.
+    /// When a listener or file cannot be opened, or the schema is invalid.
     pub fn start(
         options: Options,
         executor: &Arc<async_executor::Executor<'static>>,
@@ -111,14 +112,14 @@
         }))
     }
 
-    /// Where the instances listen.
+    /// Addresses that the instances listen on.
     #[must_use]
     pub fn addresses(&self) -> Vec<net::SocketAddr> {
         let instances = self.instances.iter();
         instances.map(|instance| instance.address).collect()
     }
 
-    /// The group as operators would declare it.
+    /// The group as an operator would declare it in the configuration.
     #[must_use]
     pub fn declaration(&self) -> database::Group {
         let instances = self.instances.iter().zip(&self.options.domains);
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Stops an instance: sockets drop, new connections are closed at once, open
-    /// transactions are lost; the log and the fence stay.
+    /// Stops an instance: its sockets are closed, new connections are closed at once and
+    /// open transactions are rolled back. It keeps its log and its fence.
     pub fn crash(&self, index: id::Index) {
         self.instances[index].crash();
     }
@@ -150,24 +151,24 @@
         self.instances[index].restart();
     }
 
-    /// Stops an instance, loses its log, fence and data, and starts it as a replica
-    /// that is no voter until it has copied the whole log of a primary whose term is
-    /// not below any fence that it had.
+    /// Stops an instance, deletes its log, fence and data, and starts it as a replica. It
+    /// is no voter until it has copied the whole log of a primary, and that log's last
+    /// term is at least the highest fence that the instance had.
     ///
     /// # Errors
-    /// When no new data file can be created.
+    /// When the new data file cannot be created.
     pub fn wipe(&self, index: id::Index) -> eyre::Result<()> {
         self.instances[index].wipe()
     }
 
-    /// Cuts or heals replication between an instance and the others; callers still
-    /// reach all of them.
+    /// Cuts or restores replication between an instance and the others. Callers can still
+    /// connect to all of them.
     pub fn set_replication_cut(&self, index: id::Index, cut: bool) {
         self.instances[index].state().replication_cut = cut;
         self.instances[index].notify();
     }
 
-    /// Stops or restores all bytes to and from an instance, without closing sockets.
+    /// Stops or resumes all traffic to and from an instance, without closing sockets.
     pub fn set_blackhole(&self, index: id::Index, blackhole: bool) {
         self.instances[index].set_blackhole(blackhole);
     }
@@ -183,15 +184,15 @@
         self.instances[index].notify();
     }
 
-    /// Gives an instance its usual replication delay again.
+    /// Sets the delay of replication to an instance back to that of the options.
     pub fn restore_lag(&self, index: id::Index) {
         self.set_lag(index, self.options.lag);
     }
 
-    /// Fences all instances at `term` and promotes one, for tests that need no proxy.
+    /// Fences all instances at `term` and promotes one, for tests without a proxy.
     ///
     /// # Errors
-    /// When the instance is already fenced at a higher term.
+    /// When the instance is already fenced at a higher term, or is no voter.
     pub fn fence_and_promote(
         &self,
         index: id::Index,
@@ -211,23 +212,23 @@
         *self.instances[index].stats()
     }
 
-    /// State of an instance, read directly.
+    /// Status of an instance, read without a connection.
     #[must_use]
     pub fn status(&self, index: id::Index) -> status::Status {
         self.instances[index].status()
     }
 
-    /// Runs a query on an instance's data directly; `None` stands for NULL.
+    /// Runs a query on an instance's data without a connection; `None` stands for NULL.
     ///
     /// # Errors
-    /// When the query is wrong.
+    /// When the data file cannot be read or the query is invalid.
     pub fn query(&self, index: id::Index, sql: &str) -> eyre::Result<Vec<Vec<Option<String>>>> {
         let mut results = self.queries(index, &[sql])?;
         Ok(results.pop().unwrap_or_default())
     }
 
-    /// Runs queries on one snapshot of an instance's data. Late writes may still
-    /// commit, so results of separate calls need not fit together.
+    /// Runs queries on one snapshot of an instance's data. Requests that callers have
+    /// abandoned may still commit, so results of separate calls can be inconsistent.
     ///
     /// ```
     /// use mangotray_lab::cluster;
@@ -238,7 +239,7 @@
     /// ```
     ///
     /// # Errors
-    /// When a query is wrong.
+    /// When the data file cannot be read or a query is invalid.
     pub fn queries(
         &self,
         index: id::Index,
@@ -248,7 +249,7 @@
         Ok(storage::audit(&path, queries)?)
     }
 
-    /// Log of an instance.
+    /// All records in the log of an instance.
     #[must_use]
     pub fn log(&self, index: id::Index) -> Vec<Arc<journal::Record>> {
         self.instances[index].state().journal.records().to_vec()
@@ -261,7 +262,7 @@
     }
 }
 
-/// One for each ordered pair of instances.
+/// Replication for each ordered pair of instances.
 fn replication_links(
     instances: &[Arc<instance::Instance>],
 ) -> impl Iterator<Item = journal::Replication> + '_ {
--- a/lab/src/column.rs
+++ b/lab/src/column.rs
@@ -7,7 +7,7 @@
 use crate::storage;
 use crate::value;
 
-/// Result column; the type is unknown for some expressions without a row.
+/// Result column; the type of some expressions is unknown until a row has been read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Column {
     pub(crate) name: String,
@@ -38,7 +38,8 @@
             .collect()
     }
 
-    /// Types of a statement's parameters and columns, before it has run.
+    /// Type OIDs of a statement's parameters, and its columns, before it runs. `oids` are
+    /// the parameter types that the caller gave; 0 stands for an unspecified type.
     pub(crate) fn describe(
         connection: &rusqlite::Connection,
         statement: &statement::Statement,
--- a/lab/src/database.rs
+++ b/lab/src/database.rs
@@ -1,4 +1,4 @@
-//! SQL execution of an instance by an embedded library.
+//! Executes SQL of an instance's sessions with an embedded library.
 
 use std::path;
 
@@ -33,38 +33,42 @@
     }
 }
 
-/// Kind of the session's transaction.
+/// Whether the session has a transaction, and how it was begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Idle,
-    /// Ends with its batch.
+    /// Begun by a statement without BEGIN; ends with its batch.
     Implicit,
+    /// Begun by BEGIN.
     Explicit,
 }
 
-/// What became of the transaction before its end.
+/// Whether the transaction can still run statements and commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Condition {
     Active,
     /// One of its statements failed.
     Failed,
-    /// It was rolled back from outside.
+    /// The instance rolled it back, because its role or its data changed.
     Revoked,
 }
 
-/// One session's handle on the instance's data, with its transaction.
+/// One session's connection to the instance's data, with its transaction.
 pub(crate) struct Database {
     connection: rusqlite::Connection,
+    /// Number of the data file that the connection has open.
     generation: u64,
     phase: Phase,
     condition: Condition,
-    /// Reign of the primary that a write transaction began under.
+    /// The instance's write epoch when the write transaction began; `None` otherwise.
     write_epoch: Option<u64>,
-    /// Right to be the instance's one writer.
+    /// Guard of the instance's write lock.
     write_guard: Option<async_lock::MutexGuardArc<()>>,
+    /// Writes of the transaction, for its record in the log.
     writes: Vec<journal::Write>,
+    /// Name of each savepoint and the number of writes before it.
     savepoints: Vec<(String, usize)>,
-    /// Stamp of the last transaction that ended.
+    /// Stamp of the last transaction that ended, until it is reported.
     last_stamp: Option<stamp::Stamp>,
 }
 
@@ -83,7 +87,7 @@
         })
     }
 
-    /// Follows the instance to a rebuilt file, between transactions.
+    /// Between transactions, opens the instance's new data file if there is one.
     pub(crate) fn refresh(&mut self, instance: &instance::Instance) -> rusqlite::Result<()> {
         let (path, generation) = instance.data_file();
         if !self.in_transaction() && self.generation != generation {
@@ -93,7 +97,8 @@
         Ok(())
     }
 
-    /// A transaction has begun and not yet ended, though it may have been rolled back.
+    /// Whether a transaction has begun and not ended; also true for one that the instance
+    /// has rolled back.
     fn in_transaction(&self) -> bool {
         self.phase != Phase::Idle
     }
@@ -102,7 +107,8 @@
         self.write_guard.is_some()
     }
 
-    /// Takes the right to write, unless the instance has lost its lead meanwhile.
+    /// Stores the guard of the write lock, or releases it if the instance is no longer
+    /// the primary.
     pub(crate) fn set_write_guard(
         &mut self,
         instance: &instance::Instance,
@@ -253,7 +259,7 @@
         })
     }
 
-    /// Types of a statement's parameters and columns, before it has run.
+    /// Type OIDs of a statement's parameters, and its columns, before it runs.
     pub(crate) fn describe(
         &self,
         statement: &statement::Statement,
@@ -344,7 +350,7 @@
         }
     }
 
-    /// Gives the stamp of the snapshot that the transaction saw.
+    /// Commits a transaction without writes; returns the stamp of its snapshot.
     fn commit_read(&self) -> rusqlite::Result<stamp::Stamp> {
         let stamp = storage::read_stamp(&self.connection)?;
         self.connection.execute_batch("COMMIT")?;
@@ -363,7 +369,7 @@
         if !self.connection.is_autocommit() {
             self.connection
                 .execute_batch("ROLLBACK")
-                .expect("an open transaction rolls back");
+                .expect("an open transaction can be rolled back");
         }
     }
 
@@ -376,7 +382,7 @@
         self.savepoints.clear();
     }
 
-    /// Ends the implicit transaction of a batch.
+    /// Ends the implicit transaction of a batch; an explicit one stays open.
     pub(crate) fn end_batch(
         &mut self,
         instance: &instance::Instance,
@@ -393,14 +399,15 @@
         result
     }
 
-    /// Fails the transaction for an error outside its statements.
+    /// Fails the transaction after an error that was not raised by one of its statements.
     pub(crate) fn fail(&mut self) {
         if self.in_transaction() && self.condition == Condition::Active {
             self.condition = Condition::Failed;
         }
     }
 
-    /// Rolls back from outside, because the instance changed its role or its data.
+    /// Rolls back a write transaction, or any transaction with `include_readers`, because
+    /// the instance changed its role or its data.
     pub(crate) fn revoke(&mut self, include_readers: bool) {
         if self.in_transaction() && (include_readers || self.write_epoch.is_some()) {
             self.roll_back_connection();
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,34 +1,34 @@
-//! Faults by name and time.
+//! Faults that a run injects, and their form on the command line.
 
 use std::fmt;
 use std::str;
 use std::time;
 
-/// How long a fault lasts when the command line does not say.
+/// Duration of a fault when the command line gives none.
 const DEFAULT_DURATION: time::Duration = time::Duration::from_secs(8);
 
-/// What goes wrong.
+/// Kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// The primary's process ends; it starts again when the fault is over.
+    /// The primary's process crashes, and restarts at the end of the fault.
     PrimaryCrash,
-    /// The primary is cut off from the rest of its group and still answers callers.
+    /// The primary is partitioned from the rest of its group but still answers callers.
     PrimaryPartition,
-    /// The primary's process stands still, and goes on unaware.
+    /// The primary's process is frozen, and resumes without noticing.
     PrimaryPause,
-    /// A replica applies the log late.
+    /// Replication to a replica is delayed.
     ReplicaLag,
-    /// A replica's process ends; it starts again when the fault is over.
+    /// A replica's process crashes, and restarts at the end of the fault.
     ReplicaCrash,
-    /// A proxy ends abruptly.
+    /// A proxy crashes and does not restart.
     ProxyCrash,
-    /// A proxy shuts down gracefully.
+    /// A proxy shuts down gracefully and does not restart.
     ProxyDrain,
-    /// The platform's service answers nobody.
+    /// The platform's service is unavailable.
     PlatformOutage,
-    /// The platform's service answers late.
+    /// The platform's service answers slowly.
     PlatformSlow,
-    /// The platform's service loses answers after the change has taken effect.
+    /// The platform's service carries out changes but loses some of the answers.
     PlatformLostAnswers,
 }
 
@@ -47,7 +47,7 @@
 ];
 
 impl Kind {
-    /// True for faults after which another instance has to lead.
+    /// True for faults of a primary, after which another instance must be promoted.
     ///
     /// ```
     /// use mangotray_lab::fault::Kind;
@@ -77,13 +77,13 @@
         let found = KINDS.iter().find(|(name, _)| *name == text);
         found.map(|(_, kind)| *kind).ok_or_else(|| {
             let known: Vec<_> = KINDS.iter().map(|(name, _)| *name).collect();
-            eyre::eyre!("no fault {text:?}; there are {}", known.join(", "))
+            eyre::eyre!("unknown fault {text:?}; known are {}", known.join(", "))
         })
     }
 }
 
-/// One fault of a run, written `NAME@SECONDS`, with `+SECONDS` for how long it lasts
-/// and `/N` for the group it hits.
+/// One fault of a run, written `NAME@SECONDS[+SECONDS][/N]`: kind, start, duration and
+/// the affected group.
 ///
 /// ```
 /// use std::time::Duration;
@@ -96,13 +96,13 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: Kind,
-    /// When, counted from the start of the workload.
+    /// Start, counted from the start of the workload.
     pub start: time::Duration,
-    /// How long; a drained or crashed proxy stays away.
+    /// Duration; ignored for a proxy, which does not restart.
     pub duration: time::Duration,
-    /// Group that it hits, counted from 0; of no meaning for proxies and platform.
+    /// Index of the affected group, from 0; ignored for faults of a proxy or the platform.
     pub group: usize,
 }
 
--- a/lab/src/gate.rs
+++ b/lab/src/gate.rs
@@ -1,11 +1,12 @@
-//! A barrier that faults close and open.
+//! A barrier that stops tasks while a fault lasts.
 
 use std::sync::atomic;
 
-/// Tasks wait at it while it is closed.
+/// Barrier that tasks wait at while it is closed.
 #[derive(Debug, Default)]
 pub(crate) struct Gate {
     closed: atomic::AtomicBool,
+    /// Notified at each change of `closed`.
     changed: event_listener::Event,
 }
 
--- a/lab/src/handshake.rs
+++ b/lab/src/handshake.rs
@@ -1,4 +1,4 @@
-//! Start of a connection to an instance.
+//! Startup of a connection to a stand-in instance.
 
 use futures_lite::AsyncWriteExt;
 use futures_lite::StreamExt;
@@ -10,9 +10,11 @@
 use crate::instance;
 use crate::output;
 
+/// Codes in the first four bytes of a packet, in place of a protocol version.
 const CANCEL_REQUEST_CODE: i32 = 80_877_102;
 const SSL_REQUEST_CODE: i32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST_CODE: i32 = 80_877_104;
+/// Parameters that the server reports to each caller at startup.
 const SERVER_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -22,7 +24,8 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Answers encryption requests and reads the startup packet; false to hang up.
+/// Refuses encryption requests and reads the startup packet; false when the connection
+/// must be closed.
 pub(crate) async fn negotiate(
     instance: &instance::Instance,
     stream: &mut wire::Stream,
@@ -43,7 +46,7 @@
     Ok(false)
 }
 
-/// Completes the handshake.
+/// Sends the answer to the startup packet, up to `ReadyForQuery`.
 pub(crate) fn complete(instance: &instance::Instance, output: &mut output::Output) {
     output.push(&startup::Authentication::Ok);
     for (name, value) in SERVER_PARAMETERS {
--- a/lab/src/instance.rs
+++ b/lab/src/instance.rs
@@ -20,7 +20,7 @@
 use crate::stats;
 use crate::storage;
 
-/// Incarnations never repeat within a process of the lab.
+/// Counted for all instances of the process, so that no incarnation repeats.
 static NEXT_INCARNATION: atomic::AtomicU64 = atomic::AtomicU64::new(1);
 
 /// One instance of a group.
@@ -28,22 +28,22 @@
     pub(crate) index: id::Index,
     pub(crate) address: net::SocketAddr,
     pub(crate) options: Arc<cluster::Options>,
-    /// Notified when replication may have something to do.
+    /// Notified when replication may have work to do.
     pub(crate) changed: event_listener::Event,
-    /// Closed while no byte flows to or from callers.
+    /// Closed while traffic to and from callers is stopped.
     pub(crate) network_gate: gate::Gate,
     /// Closed while the process is frozen.
     pub(crate) process_gate: gate::Gate,
     pub(crate) slots: async_lock::Semaphore,
-    /// Held by the one session that writes.
+    /// Held by the session that runs a write transaction.
     pub(crate) write_lock: Arc<async_lock::Mutex<()>>,
     pub(crate) stats: sync::Mutex<stats::Stats>,
     directory: path::PathBuf,
-    /// Number of the next data file; two repairs at once must not share one.
+    /// Number of the next data file; two concurrent rebuilds must not share one.
     next_generation: atomic::AtomicU64,
-    /// Held while the role or the data changes, until the open transactions that
-    /// must not go on are rolled back. Without it, a record could be applied while a
-    /// demoted session still holds the file's write lock and waits for the state's.
+    /// Held while the role or the data changes, until the transactions that this revokes
+    /// are rolled back. Without it, a record could be applied while a session of the
+    /// demoted primary still holds the file's write lock and waits for the state's lock.
     transition: sync::Mutex<()>,
     state: sync::Mutex<state::State>,
     sessions: sync::Mutex<Vec<sync::Weak<sync::Mutex<database::Database>>>>,
@@ -90,8 +90,9 @@
         })
     }
 
-    /// Accepts connections for ever. While the instance is down the listener stays
-    /// bound, so that nothing else takes its port, and closes what it accepts.
+    /// Accepts connections until its task is dropped. While the instance is stopped, the
+    /// listener stays bound, so that no other process takes its port, and closes each
+    /// connection that it accepts.
     pub(crate) async fn listen(
         self: Arc<Self>,
         listener: async_io::Async<net::TcpListener>,
@@ -114,7 +115,7 @@
         lock(&self.state)
     }
 
-    /// Whether replication reaches the instance.
+    /// Whether replication to and from the instance is possible.
     pub(crate) fn can_replicate(&self, state: &state::State) -> bool {
         let isolated = self.network_gate.is_closed() || self.process_gate.is_closed();
         state.running && !state.replication_cut && !isolated
@@ -128,7 +129,7 @@
         lock(&self.stats)
     }
 
-    /// Data file and its generation.
+    /// Path of the data file and its number.
     pub(crate) fn data_file(&self) -> (path::PathBuf, u64) {
         let generation = self.state().generation;
         (
@@ -137,6 +138,7 @@
         )
     }
 
+    /// Path and number for a new data file.
     fn new_data_file(&self) -> (path::PathBuf, u64) {
         let next_generation = self.next_generation.fetch_add(1, atomic::Ordering::Relaxed);
         (
@@ -145,6 +147,7 @@
         )
     }
 
+    /// Opens a session on the data file, which later changes of the role can revoke.
     pub(crate) fn connect(&self) -> rusqlite::Result<Arc<sync::Mutex<database::Database>>> {
         let (path, generation) = self.data_file();
         let database = database::Database::open(&path, generation)?;
@@ -165,8 +168,8 @@
         Ok(Some(state.write_epoch))
     }
 
-    /// Commits the connection's transaction and appends its record, unless the
-    /// instance was fenced since the transaction began.
+    /// Commits the connection's transaction and appends its record to the log; refused if
+    /// the write epoch has changed since the transaction began.
     pub(crate) fn commit(
         &self,
         connection: &rusqlite::Connection,
@@ -187,7 +190,7 @@
         Ok(stamp)
     }
 
-    /// Raises the fence; a primary of a lower term becomes a replica.
+    /// Raises the fence to `term`; a primary of a lower term becomes a replica.
     pub(crate) fn fence(&self, term: id::Term) -> status::Status {
         let _transition = lock(&self.transition);
         let mut state = self.state();
@@ -205,7 +208,7 @@
         status
     }
 
-    /// Becomes the primary of `term` if it is a voter fenced at exactly this term.
+    /// Becomes the primary of `term`; refused unless it is a voter fenced at this term.
     pub(crate) fn promote(&self, term: id::Term) -> Result<status::Status, sqlstate::Error> {
         let _transition = lock(&self.transition);
         let mut state = self.state();
@@ -229,7 +232,8 @@
         Ok(status)
     }
 
-    /// Appends records of the primary of `term`; ignored if no longer in place.
+    /// Appends records of the primary of `term`; ignores them if they no longer follow the
+    /// end of the log, or the instance no longer follows that primary.
     pub(crate) fn append(&self, term: id::Term, records: &[Arc<journal::Record>]) {
         let _transition = lock(&self.transition);
         let mut state = self.state();
@@ -240,7 +244,7 @@
         if !self.can_replicate(&state) || !state.accepts_log_of(term) || !is_next {
             return;
         }
-        storage::replay(&state.applier, records).expect("records apply as on the primary");
+        storage::replay(&state.applier, records).expect("records can be applied as on the primary");
         for record in records {
             state.journal.append(Arc::clone(record));
         }
@@ -248,14 +252,15 @@
         self.notify();
     }
 
-    /// Replaces the data by a replay of `prefix`, which the log begins with, and cuts
-    /// the log there. Works on a second file; readers see one or the other.
+    /// Truncates the log to its first records, `prefix`, and replaces the data by a replay
+    /// of them. Writes a second data file; readers see either the old or the new one.
     pub(crate) async fn rebuild(&self, term: id::Term, prefix: Vec<Arc<journal::Record>>) {
         let (_, generation) = self.data_file();
         let (path, next_generation) = self.new_data_file();
-        let applier = storage::create(&path, &self.options.schema).expect("schema applies");
+        let applier =
+            storage::create(&path, &self.options.schema).expect("the schema can be applied");
         for records in prefix.chunks(journal::MAX_RECORDS_PER_LOCK) {
-            storage::replay(&applier, records).expect("records apply again");
+            storage::replay(&applier, records).expect("records can be applied again");
             futures_lite::future::yield_now().await;
         }
         let _transition = lock(&self.transition);
@@ -273,7 +278,8 @@
         self.notify();
     }
 
-    /// Counts an instance that lost its log again, once it holds `length` records.
+    /// Makes an instance that lost its log a voter again, if it has copied the whole log of
+    /// `length` records of the primary of `term`.
     pub(crate) fn restore_vote(&self, term: id::Term, length: usize) {
         self.state().restore_vote(term, length);
     }
@@ -282,7 +288,8 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Ends transactions that must not go on.
+    /// Rolls back the write transactions of all sessions, or with `include_readers` all
+    /// their transactions.
     fn revoke(&self, include_readers: bool) {
         let sessions = lock(&self.sessions).clone();
         for session in sessions.iter().filter_map(sync::Weak::upgrade) {
@@ -290,7 +297,8 @@
         }
     }
 
-    /// Stops the process: sockets close, open transactions are lost, log and fence stay.
+    /// Stops the process: closes sockets and rolls back open transactions. The log and the
+    /// fence are kept.
     pub(crate) fn crash(&self) {
         let _transition = lock(&self.transition);
         let mut state = self.state();
@@ -314,7 +322,8 @@
         self.notify();
     }
 
-    /// Stops the process, loses log, fence and data, and starts it again as no voter.
+    /// Stops the process, deletes log, fence and data, and starts it again as a replica
+    /// that is no voter.
     pub(crate) fn wipe(&self) -> eyre::Result<()> {
         self.crash();
         let (path, next_generation) = self.new_data_file();
@@ -328,20 +337,21 @@
         Ok(())
     }
 
-    /// Stops all bytes to and from callers, and replication.
+    /// Stops or resumes traffic to and from callers, and replication.
     pub(crate) fn set_blackhole(&self, blackhole: bool) {
         self.network_gate.set_closed(blackhole);
         self.notify();
     }
 
-    /// Freezes the process.
+    /// Freezes or resumes the process.
     pub(crate) fn set_paused(&self, paused: bool) {
         self.process_gate.set_closed(paused);
         self.notify();
     }
 }
 
-/// Locks a mutex; a panic elsewhere has already failed the run.
+/// Locks a mutex. A poisoned one means that another task has panicked, which has already
+/// failed the run.
 pub(crate) fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().expect("no panic while locked")
 }
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -1,4 +1,4 @@
-//! A caller's connection to one proxy, by way of a well-known client library.
+//! A caller's connection to one proxy, through the `tokio-postgres` client library.
 
 use std::net;
 use std::time;
@@ -7,7 +7,7 @@
 
 use crate::ledger;
 
-/// Longest time to wait for a connection.
+/// Longest wait for a new connection.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Answer to one request.
@@ -15,15 +15,15 @@
 pub enum Answer {
     /// Rows of the last statement; empty for statements without rows.
     Rows(Vec<tokio_postgres::SimpleQueryRow>),
-    /// An error report that arrived whole: what it says about a commit, and its
-    /// SQLSTATE and detail.
+    /// A complete error report: the outcome of a commit that it states, and its SQLSTATE
+    /// with its detail, or its message if it has none.
     Refused(ledger::Outcome, CompactString),
-    /// The connection ended, or the caller gave up waiting.
+    /// The connection ended, or the answer timed out.
     Lost,
 }
 
 impl Answer {
-    /// What the answer says about a commit.
+    /// Outcome of a commit, as far as the answer states it.
     ///
     /// ```
     /// use mangotray_lab::{ledger::Outcome, link::Answer};
@@ -47,10 +47,10 @@
 }
 
 impl Link {
-    /// Connects to a proxy; `one_way_delay` is the one-way delay added to each request and answer.
+    /// Connects to a proxy; `one_way_delay` is added to each request and each answer.
     ///
     /// # Errors
-    /// When the proxy does not accept the connection in time.
+    /// When the proxy refuses the connection, or does not accept it in time.
     pub async fn open(
         proxy: net::SocketAddr,
         database: &str,
@@ -78,7 +78,7 @@
         !self.client.is_closed()
     }
 
-    /// Sends a request and waits for its answer; also gives the time that passed
+    /// Sends a request and waits for its answer; also returns the time that this took,
     /// without the added delays.
     pub async fn query(&self, sql: &str, timeout: time::Duration) -> (Answer, time::Duration) {
         tokio::time::sleep(self.one_way_delay).await;
