--- a/lab/src/caller.rs
+++ b/lab/src/caller.rs
@@ -119,7 +119,7 @@
         unbatched: bool,
     ) -> ledger::Outcome {
         let booking = self.new_booking(item);
-        let statements = self.plan.profile.book(&booking);
+        let statements = self.plan.profile.write_statements(&booking);
         let batches = if unbatched {
             statements.to_vec()
         } else {
@@ -234,7 +234,10 @@
     async fn read_own_rows(&mut self, proxy: usize) {
         let request = self.new_marker();
         let after = self.sequence.saturating_sub(OWN_ROWS_LIMIT);
-        let sql = self.plan.profile.own(&request, &self.plan.name, after);
+        let sql = self
+            .plan
+            .profile
+            .own_rows_query(&request, &self.plan.name, after);
         let Some(rows) = self.read(proxy, &sql).await else {
             return;
         };
@@ -247,7 +250,7 @@
     async fn read_item(&mut self, proxy: usize) {
         let request = self.new_marker();
         let item = self.random.u32(1..=profile::ITEMS);
-        let sql = self.plan.profile.detail(&request, item);
+        let sql = self.plan.profile.item_query(&request, item);
         let Some(rows) = self.read(proxy, &sql).await else {
             return;
         };
@@ -259,7 +262,7 @@
 
     async fn read_listing(&mut self, proxy: usize) {
         let request = self.new_marker();
-        let sql = self.plan.profile.list(&request);
+        let sql = self.plan.profile.list_query(&request);
         let oldest = time::Instant::now().checked_sub(profile::MAX_LISTING_AGE);
         let Some(rows) = self.read(proxy, &sql).await else {
             return;
--- a/lab/src/capacity/bench.rs
+++ b/lab/src/capacity/bench.rs
@@ -19,9 +19,9 @@
 use crate::capacity::usage;
 use crate::cluster;
 use crate::declare;
+use crate::environment;
 use crate::platform;
 use crate::profile;
-use crate::stage;
 
 const STAND_IN_THREADS: usize = 3;
 const START_TIMEOUT: time::Duration = time::Duration::from_mins(1);
@@ -166,7 +166,7 @@
     fn wait_until_served(&self) -> eyre::Result<()> {
         let configured = || self.daemons.iter().all(|daemon| daemon.revision() > 0);
         eyre::ensure!(
-            stage::wait_until(START_TIMEOUT, configured),
+            environment::wait_until(START_TIMEOUT, configured),
             "a proxy has not received the configuration in time"
         );
         for proxy in &self.callers {
@@ -176,7 +176,7 @@
                     let client = client::Client::connect(*proxy, &database);
                     client.is_ok_and(|mut client| client.run("SELECT 1").is_ok())
                 };
-                let answered = stage::wait_until(START_TIMEOUT, answers);
+                let answered = environment::wait_until(START_TIMEOUT, answers);
                 eyre::ensure!(
                     answered,
                     "proxy {proxy} does not answer for {database} in time"
--- a/lab/src/capacity/promotion.rs
+++ b/lab/src/capacity/promotion.rs
@@ -11,8 +11,8 @@
 use crate::capacity::fit;
 use crate::capacity::usage;
 use crate::cluster;
+use crate::environment;
 use crate::remote;
-use crate::stage;
 
 const GROUP_COUNTS: [usize; 4] = [1, 4, 8, 16];
 const PROXIES: usize = 3;
@@ -77,7 +77,7 @@
     };
     let all_replaced = || bench.clusters.iter().zip(&crashed).all(has_new_primary);
     eyre::ensure!(
-        stage::wait_until(PROMOTION_TIMEOUT, all_replaced),
+        environment::wait_until(PROMOTION_TIMEOUT, all_replaced),
         "a group has no new primary in time"
     );
     Ok(())
--- a/lab/src/cluster.rs
+++ b/lab/src/cluster.rs
@@ -246,7 +246,7 @@
         queries: &[&str],
     ) -> eyre::Result<Vec<Vec<Vec<Option<String>>>>> {
         let (path, _) = self.instances[index].data_file();
-        Ok(storage::audit(&path, queries)?)
+        Ok(storage::query_snapshot(&path, queries)?)
     }
 
     /// All records in the log of an instance.
--- a/lab/src/column.rs
+++ b/lab/src/column.rs
@@ -58,7 +58,7 @@
         let parameters: Vec<u32> = (0..statement.parameters)
             .map(|index| {
                 given_oid(index)
-                    .unwrap_or_else(|| statement.infer(index + 1, &declared_kinds).oid())
+                    .unwrap_or_else(|| statement.infer_kind(index + 1, &declared_kinds).oid())
             })
             .collect();
         let mut columns = Self::of_statement(connection, statement, &prepared);
--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -7,10 +7,10 @@
 use mangotray::policy;
 
 use crate::control;
+use crate::environment;
 use crate::profile;
 use crate::ready;
 use crate::remote;
-use crate::stage;
 
 /// Proxies of the demonstration.
 const PROXIES: u16 = 2;
@@ -29,27 +29,32 @@
     })?;
     let control = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, control_port));
     let listener = async_io::block_on(async_net::TcpListener::bind(control))?;
-    let stage = stage::Stage::start(&stage::Options {
+    let environment = environment::Environment::start(&environment::Options {
         program: std::env::current_exe()?,
         profile: profile.clone(),
         groups: 1,
-        callers: (port..control_port)
+        caller_addresses: (port..control_port)
             .map(|port| net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, port)))
             .collect(),
         policy: policy::Policy::Default,
     })?;
-    ready::wait(&profile, &[profile.group(0)], &stage.callers, READY_TIMEOUT)?;
+    ready::wait(
+        &profile,
+        &[profile.group(0)],
+        &environment.caller_addresses,
+        READY_TIMEOUT,
+    )?;
     println!("ready");
     println!("{}", usage_text(port, control));
-    let handler = remote::Both(
-        remote::Group(sync::Arc::clone(&stage.clusters[0])),
-        remote::Platform(sync::Arc::clone(&stage.platform)),
+    let handler = remote::Router(
+        remote::Group(sync::Arc::clone(&environment.clusters[0])),
+        remote::Platform(sync::Arc::clone(&environment.platform)),
     );
     async_io::block_on(async {
         let serving = control::serve(listener, &handler);
         futures_lite::future::or(serving, wait_for_end(lasts)).await
     })?;
-    stage.stop();
+    environment.stop();
     Ok(())
 }
 
--- a/lab/src/stage.rs
+++ b/lab/src/environment.rs
@@ -23,20 +23,20 @@
 use crate::remote;
 
 /// Threads that run the stand-ins.
-const THREADS: usize = 3;
+const STAND_IN_THREADS: usize = 3;
 
 /// Longest wait of a proxy for one call to the platform.
 const PLATFORM_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Age of the platform's list of VMs.
-const LIST_LAG: time::Duration = time::Duration::from_secs(3);
+const VM_LIST_LAG: time::Duration = time::Duration::from_secs(3);
 
 /// Pause between two looks at a state that is waited for.
-const LOOK_INTERVAL: time::Duration = time::Duration::from_millis(20);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 type Executor = sync::Arc<async_executor::Executor<'static>>;
 
-/// Settings of a stage.
+/// Settings of an environment.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The lab's binary, which also runs the proxies.
@@ -46,13 +46,13 @@
     /// Groups to start, at most those of the profile.
     pub groups: usize,
     /// Where each proxy listens for callers; port 0 takes a free one.
-    pub callers: Vec<net::SocketAddr>,
+    pub caller_addresses: Vec<net::SocketAddr>,
     /// Rules of the proxies.
     pub policy: policy::Policy,
 }
 
 /// Platform, groups and proxies.
-pub struct Stage {
+pub struct Environment {
     /// The platform's stand-in.
     pub platform: sync::Arc<platform::Platform>,
     /// The stand-in groups, in the order of the profile.
@@ -60,15 +60,15 @@
     /// Running proxies; `None` once one has crashed or drained.
     pub proxies: Vec<Option<proxy::Proxy>>,
     /// Where the proxies listen for callers, also of those that are gone.
-    pub callers: Vec<net::SocketAddr>,
+    pub caller_addresses: Vec<net::SocketAddr>,
     profile: profile::Profile,
     /// Setups of the proxies.
-    directory: tempfile::TempDir,
+    setup_directory: tempfile::TempDir,
     stop: async_channel::Sender<()>,
     threads: Vec<thread::JoinHandle<()>>,
 }
 
-impl Stage {
+impl Environment {
     /// Starts everything and applies the groups' declaration.
     ///
     /// # Errors
@@ -76,30 +76,30 @@
     pub fn start(options: &Options) -> eyre::Result<Self> {
         let executor = sync::Arc::new(async_executor::Executor::new());
         let (stop, stopped) = async_channel::bounded(1);
-        let threads = (0..THREADS)
-            .map(|index| drive(index, &executor, &stopped))
+        let threads = (0..STAND_IN_THREADS)
+            .map(|index| spawn_stand_in_thread(index, &executor, &stopped))
             .collect::<Result<_, _>>()?;
         let platform = platform::Platform::start(platform::Options::default(), &executor)?;
         let clusters = (0..options.groups)
             .map(|index| cluster::Cluster::start(options.profile.cluster(index), &executor))
             .collect::<Result<Vec<_>, _>>()?;
-        let mut stage = Self {
+        let mut environment = Self {
             platform,
             clusters,
             proxies: Vec::new(),
-            callers: Vec::new(),
+            caller_addresses: Vec::new(),
             profile: options.profile.clone(),
-            directory: tempfile::tempdir()?,
+            setup_directory: tempfile::tempdir()?,
             stop,
             threads,
         };
-        stage.platform.set_lag(LIST_LAG);
-        stage.list_vms(options.callers.len());
-        async_io::block_on(stage.apply(&executor))?;
-        for (index, callers) in options.callers.iter().enumerate() {
-            stage.add_proxy(index, *callers, options)?;
+        environment.platform.set_lag(VM_LIST_LAG);
+        environment.list_vms(options.caller_addresses.len());
+        async_io::block_on(environment.apply(&executor))?;
+        for (index, callers) in options.caller_addresses.iter().enumerate() {
+            environment.add_proxy(index, *callers, options)?;
         }
-        Ok(stage)
+        Ok(environment)
     }
 
     /// What the operators declare about the groups.
@@ -107,7 +107,9 @@
     pub fn catalog(&self) -> catalog::Catalog {
         let groups = self.clusters.iter();
         catalog::Catalog {
-            groups: groups.map(|it| self.profile.declare(it)).collect(),
+            groups: groups
+                .map(|cluster| self.profile.declare(cluster))
+                .collect(),
             vms: Vec::new(),
         }
     }
@@ -162,15 +164,16 @@
     }
 
     /// Takes the last proxy that still runs, but never the only one.
-    fn take_proxy(&mut self, announced: bool) -> Option<proxy::Proxy> {
+    fn take_proxy(&mut self, leaving: bool) -> Option<proxy::Proxy> {
         let index = self.proxies.iter().rposition(Option::is_some)?;
         if index == 0 {
             return None;
         }
         let proxy = self.proxies[index].take();
         let listings = (0..self.proxies.len()).filter_map(|vm| {
-            let leaving = vm == index && announced;
-            (leaving || self.proxies[vm].is_some()).then(|| self.listing(vm, leaving))
+            let listed_as_leaving = vm == index && leaving;
+            (listed_as_leaving || self.proxies[vm].is_some())
+                .then(|| self.listing(vm, listed_as_leaving))
         });
         self.platform.set_vms(listings.collect());
         proxy
@@ -200,7 +203,7 @@
         callers: net::SocketAddr,
         options: &Options,
     ) -> eyre::Result<()> {
-        let free = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
+        let any_port = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
         let settings = settings::Settings {
             vm: settings::Vm {
                 name: vm_name(index),
@@ -209,8 +212,8 @@
             },
             listen: settings::Listen {
                 callers,
-                peers: free,
-                admin: free,
+                peers: any_port,
+                admin: any_port,
             },
             platform: settings::Platform {
                 address: self.platform.address(),
@@ -224,17 +227,17 @@
             settings,
             policy: options.policy,
         };
-        let file = self.directory.path().join(format!("{index}.json"));
+        let file = self.setup_directory.path().join(format!("{index}.json"));
         let proxy = proxy::Proxy::start(&options.program, &file, &setup)?;
-        self.callers.push(proxy.callers());
+        self.caller_addresses.push(proxy.caller_address());
         self.proxies.push(Some(proxy));
         Ok(())
     }
 
     /// Waits until all instances of each group hold the same log under one primary.
     #[must_use]
-    pub fn settle(&self, patience: time::Duration) -> bool {
-        wait_until(patience, || {
+    pub fn wait_until_settled(&self, timeout: time::Duration) -> bool {
+        wait_until(timeout, || {
             (0..self.clusters.len()).all(|group| self.is_settled(group))
         })
     }
@@ -242,9 +245,9 @@
     /// Ends the proxies and waits until the instances are idle and agree. Requests that
     /// callers have given up may commit until then, between two reads of an audit.
     #[must_use]
-    pub fn quiesce(&mut self, patience: time::Duration) -> bool {
+    pub fn quiesce(&mut self, timeout: time::Duration) -> bool {
         self.end_proxies();
-        wait_until(patience, || {
+        wait_until(timeout, || {
             (0..self.clusters.len()).all(|group| self.is_idle(group) && self.is_settled(group))
         })
     }
@@ -259,15 +262,15 @@
     }
 
     fn is_settled(&self, group: usize) -> bool {
-        let states = (0..cluster::INSTANCE_COUNT).map(|index| self.clusters[group].status(index));
-        let states: Vec<_> = states.collect();
-        let same = |state: &mangotray::status::Status| {
-            (state.stamp, state.fence) == (states[0].stamp, states[0].fence)
+        let statuses = (0..cluster::INSTANCE_COUNT).map(|index| self.clusters[group].status(index));
+        let statuses: Vec<_> = statuses.collect();
+        let agrees = |status: &mangotray::status::Status| {
+            (status.stamp, status.fence) == (statuses[0].stamp, statuses[0].fence)
         };
-        let primaries = states
+        let primaries = statuses
             .iter()
-            .filter(|state| state.role == role::Role::Primary);
-        states.iter().all(same) && primaries.count() == 1
+            .filter(|status| status.role == role::Role::Primary);
+        statuses.iter().all(agrees) && primaries.count() == 1
     }
 
     /// Ends the proxies and the stand-ins.
@@ -280,14 +283,14 @@
     }
 }
 
-/// Polls `done` until it holds; false when `patience` ends first.
-pub fn wait_until(patience: time::Duration, done: impl Fn() -> bool) -> bool {
-    let end = time::Instant::now() + patience;
-    while !done() {
-        if time::Instant::now() >= end {
+/// Polls `condition` until it holds; false when `timeout` ends first.
+pub fn wait_until(timeout: time::Duration, condition: impl Fn() -> bool) -> bool {
+    let deadline = time::Instant::now() + timeout;
+    while !condition() {
+        if time::Instant::now() >= deadline {
             return false;
         }
-        thread::sleep(LOOK_INTERVAL);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
@@ -296,7 +299,7 @@
     compact_str::format_compact!("entry-{}", index + 1)
 }
 
-fn drive(
+fn spawn_stand_in_thread(
     index: usize,
     executor: &Executor,
     stopped: &async_channel::Receiver<()>,
--- a/lab/src/inspect.rs
+++ b/lab/src/inspect.rs
@@ -17,9 +17,9 @@
     profile: &profile::Profile,
 ) -> eyre::Result<ledger::Contents> {
     let sql = [
-        &profile.all_bookings(),
-        profile.all_entries(),
-        &profile.all_counters(),
+        &profile.all_bookings_query(),
+        profile.all_entries_query(),
+        &profile.all_counters_query(),
     ];
     // One snapshot for all tables: with one for each, a write that commits between two of
     // them would be counted as doubled or mixed.
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -3,7 +3,7 @@
 use mangotray::role;
 
 use crate::cluster;
-use crate::stage;
+use crate::environment;
 
 /// Counts of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,10 +21,10 @@
 }
 
 impl Load {
-    /// Starts counting from the present counters of a stage.
+    /// Starts counting from the present counters of an environment.
     #[must_use]
-    pub fn start(stage: &stage::Stage) -> Self {
-        let previous_statements = stage
+    pub fn start(environment: &environment::Environment) -> Self {
+        let previous_statements = environment
             .clusters
             .iter()
             .map(|cluster| std::array::from_fn(|index| cluster.stats(index).statements));
@@ -34,17 +34,19 @@
             peak_connections: 0,
             peak_busy: 0,
             previous_statements: previous_statements.collect(),
-            calls_before: stage.platform.calls(),
+            calls_before: environment.platform.calls(),
         }
     }
 
     /// Adds the counts since the last sample. All statements since then are attributed to
     /// the present role of the instance, so they are inexact for an interval in which the
     /// primary changes.
-    pub fn sample(&mut self, stage: &stage::Stage) {
-        self.platform_calls = stage.platform.calls() - self.calls_before;
-        for (cluster, previous_statements) in
-            stage.clusters.iter().zip(&mut self.previous_statements)
+    pub fn sample(&mut self, environment: &environment::Environment) {
+        self.platform_calls = environment.platform.calls() - self.calls_before;
+        for (cluster, previous_statements) in environment
+            .clusters
+            .iter()
+            .zip(&mut self.previous_statements)
         {
             for (index, previous) in previous_statements.iter_mut().enumerate() {
                 let stats = cluster.stats(index);
--- a/lab/src/platform.rs
+++ b/lab/src/platform.rs
@@ -21,10 +21,10 @@
 use crate::space;
 
 /// How often ended leases are looked for.
-const EXPIRY_INTERVAL: time::Duration = time::Duration::from_millis(20);
+const LEASE_EXPIRY_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 /// Longest time that a watch waits.
-const WAIT_LIMIT: time::Duration = time::Duration::from_mins(10);
+const MAX_WATCH_WAIT: time::Duration = time::Duration::from_mins(10);
 
 type Executor = sync::Arc<async_executor::Executor<'static>>;
 
@@ -57,7 +57,7 @@
     executor: Executor,
     outage: atomic::AtomicBool,
     changed: event_listener::Event,
-    failed: event_listener::Event,
+    outage_started: event_listener::Event,
     state: sync::Mutex<State>,
 }
 
@@ -65,14 +65,14 @@
 struct State {
     space: space::Space,
     delay: time::Duration,
-    lag: time::Duration,
-    listings: Vec<(id::Time, Vec<store::Listing>)>,
-    lose: Option<Lose>,
+    list_lag: time::Duration,
+    listing_history: Vec<(id::Time, Vec<store::Listing>)>,
+    answer_loss: Option<AnswerLoss>,
     limits: Option<Limits>,
     calls: collections::HashMap<call::Kind, u64>,
 }
 
-struct Lose {
+struct AnswerLoss {
     fraction: f64,
     random: fastrand::Rng,
 }
@@ -105,7 +105,7 @@
             executor: sync::Arc::clone(executor),
             outage: atomic::AtomicBool::new(false),
             changed: event_listener::Event::new(),
-            failed: event_listener::Event::new(),
+            outage_started: event_listener::Event::new(),
             state: sync::Mutex::default(),
         });
         platform.set_delay(options.delay);
@@ -129,7 +129,7 @@
     pub fn set_outage(&self, outage: bool) {
         self.outage.store(outage, atomic::Ordering::SeqCst);
         if outage {
-            self.failed.notify(usize::MAX);
+            self.outage_started.notify(usize::MAX);
         }
     }
 
@@ -143,7 +143,7 @@
     /// Carries out a fraction of the changes and cuts the connection without an answer.
     pub fn lose_answers(&self, fraction: f64, seed: u64) {
         let random = fastrand::Rng::with_seed(seed);
-        self.lock().lose = (fraction > 0.0).then_some(Lose { fraction, random });
+        self.lock().answer_loss = (fraction > 0.0).then_some(AnswerLoss { fraction, random });
     }
 
     /// Admits so many calls a second, answering 429 above; `None` admits all.
@@ -158,12 +158,12 @@
     /// Sets the VM list, handed out once the lag has passed.
     pub fn set_vms(&self, listings: Vec<store::Listing>) {
         let now = self.clock.now();
-        self.lock().listings.push((now, listings));
+        self.lock().listing_history.push((now, listings));
     }
 
     /// Sets the age of the VM list that is handed out.
     pub fn set_lag(&self, lag: time::Duration) {
-        self.lock().lag = lag;
+        self.lock().list_lag = lag;
     }
 
     /// Calls that arrived, refused ones too.
@@ -188,22 +188,22 @@
         self.state.lock().expect("state of the stand-in")
     }
 
-    fn failing(&self) -> bool {
+    fn in_outage(&self) -> bool {
         self.outage.load(atomic::Ordering::SeqCst)
     }
 
     /// Admits, delays, carries out and answers one call.
     async fn serve(self: sync::Arc<Self>, call: call::Call) -> eyre::Result<call::Response> {
         let kind = call.kind;
-        let (admitted, delay) = self.arrive(kind);
-        if self.failing() {
+        let (admitted, delay) = self.admit(kind);
+        if self.in_outage() {
             return call::plain(503, "outage");
         }
         if !admitted {
             return call::plain(429, "too many calls");
         }
         async_io::Timer::after(delay).await;
-        if self.failing() {
+        if self.in_outage() {
             eyre::bail!("cut by an outage");
         }
         let response = match kind {
@@ -212,12 +212,12 @@
         };
         if kind.changes() {
             self.changed.notify(usize::MAX);
-            eyre::ensure!(!self.lock().loses(), "answer lost");
+            eyre::ensure!(!self.lock().loses_answer(), "answer lost");
         }
         Ok(response)
     }
 
-    fn arrive(&self, kind: call::Kind) -> (bool, time::Duration) {
+    fn admit(&self, kind: call::Kind) -> (bool, time::Duration) {
         let now = self.clock.now();
         let mut state = self.lock();
         *state.calls.entry(kind).or_default() += 1;
@@ -232,23 +232,23 @@
     }
 
     async fn watch(&self, call: &call::Call) -> eyre::Result<call::Response> {
-        let seen: store::Version = call.number("index")?;
-        let wait = call.duration("wait")?.min(WAIT_LIMIT);
+        let known_index: store::Version = call.number("index")?;
+        let wait = call.duration("wait")?.min(MAX_WATCH_WAIT);
         let deadline = time::Instant::now() + wait;
         loop {
             let changed = self.changed.listen();
-            if self.lock().space.index(&call.key) != seen {
+            if self.lock().space.index(&call.key) != known_index {
                 break;
             }
             let timer = async {
                 async_io::Timer::at(deadline).await;
                 false
             };
-            let woken = async {
+            let woken_by_change = async {
                 changed.await;
                 true
             };
-            if !woken.or(timer).await {
+            if !woken_by_change.or(timer).await {
                 break;
             }
         }
@@ -285,34 +285,37 @@
                 self.space.revoke(&call.key);
                 call::plain(200, "true")
             }
-            call::Kind::Vms => call::json(200, &serde_json::to_value(self.listed(now))?),
+            call::Kind::Vms => call::json(200, &serde_json::to_value(self.visible_listings(now))?),
         }
     }
 
     fn swap(&mut self, call: &call::Call) -> eyre::Result<call::Response> {
-        let expect = call.number("cas")?;
+        let expected_version = call.number("cas")?;
         let lease = call.query.get("acquire").map(String::as_str);
-        match self.space.put(&call.key, call.body.clone(), expect, lease) {
-            space::Put::Stored => call::plain(200, "true"),
-            space::Put::Conflict => call::plain(200, "false"),
-            space::Put::NoLease => call::plain(400, "invalid session"),
-            space::Put::TooLarge => call::plain(413, "value is too large"),
+        match self
+            .space
+            .put(&call.key, call.body.clone(), expected_version, lease)
+        {
+            space::Outcome::Stored => call::plain(200, "true"),
+            space::Outcome::Conflict => call::plain(200, "false"),
+            space::Outcome::NoLease => call::plain(400, "invalid session"),
+            space::Outcome::TooLarge => call::plain(413, "value is too large"),
         }
     }
 
     /// The newest list that is older than the lag; the first one before that.
-    fn listed(&self, now: id::Time) -> &[store::Listing] {
-        let old = |entry: &&(id::Time, Vec<store::Listing>)| entry.0 + self.lag <= now;
-        let newest = self.listings.iter().rev().find(old);
+    fn visible_listings(&self, now: id::Time) -> &[store::Listing] {
+        let is_visible = |entry: &&(id::Time, Vec<store::Listing>)| entry.0 + self.list_lag <= now;
+        let newest = self.listing_history.iter().rev().find(is_visible);
         newest
-            .or(self.listings.first())
+            .or(self.listing_history.first())
             .map_or(&[], |entry| &entry.1)
     }
 
-    fn loses(&mut self) -> bool {
-        self.lose
+    fn loses_answer(&mut self) -> bool {
+        self.answer_loss
             .as_mut()
-            .is_some_and(|lose| lose.random.f64() < lose.fraction)
+            .is_some_and(|loss| loss.random.f64() < loss.fraction)
     }
 }
 
@@ -320,7 +323,7 @@
     loop {
         let accepted = async { Some(listener.accept().await) };
         let timer = async {
-            async_io::Timer::after(EXPIRY_INTERVAL).await;
+            async_io::Timer::after(LEASE_EXPIRY_INTERVAL).await;
             None
         };
         let accepted = accepted.or(timer).await;
@@ -336,12 +339,12 @@
 
 async fn expire(weak: sync::Weak<Platform>) {
     while let Some(platform) = weak.upgrade() {
-        let ended = platform.lock().space.expire(platform.clock.now());
-        if ended > 0 {
+        let ended_leases = platform.lock().space.expire(platform.clock.now());
+        if ended_leases > 0 {
             platform.changed.notify(usize::MAX);
         }
         drop(platform);
-        async_io::Timer::after(EXPIRY_INTERVAL).await;
+        async_io::Timer::after(LEASE_EXPIRY_INTERVAL).await;
     }
 }
 
@@ -349,7 +352,7 @@
     let Some(platform) = weak.upgrade() else {
         return;
     };
-    let failed = platform.failed.listen();
+    let outage_started = platform.outage_started.listen();
     drop(platform);
     let service = hyper::service::service_fn(move |request| respond(request, weak.clone()));
     let serve = async move {
@@ -361,7 +364,7 @@
             tracing::debug!(%error, "connection ended");
         }
     };
-    serve.or(failed).await;
+    serve.or(outage_started).await;
 }
 
 /// Answers one request; an error cuts the connection.
--- a/lab/src/platform/tests.rs
+++ b/lab/src/platform/tests.rs
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn the_list_lags() {
+fn the_vm_list_is_delayed_by_the_lag() {
     let second = time::Duration::from_secs(1);
     let state = platform::State {
-        lag: second * 5,
-        listings: vec![(second, listing("old")), (second * 10, listing("new"))],
+        list_lag: second * 5,
+        listing_history: vec![(second, listing("old")), (second * 10, listing("new"))],
         ..platform::State::default()
     };
-    assert_eq!(state.listed(second * 2), listing("old"));
-    assert_eq!(state.listed(second * 14), listing("old"));
-    assert_eq!(state.listed(second * 15), listing("new"));
+    assert_eq!(state.visible_listings(second * 2), listing("old"));
+    assert_eq!(state.visible_listings(second * 14), listing("old"));
+    assert_eq!(state.visible_listings(second * 15), listing("new"));
 }
--- a/lab/src/prepared.rs
+++ b/lab/src/prepared.rs
@@ -43,15 +43,15 @@
 
     pub(crate) fn statement(&self, name: &str) -> Result<&Prepared, sqlstate::Error> {
         self.statements.get(name).ok_or_else(|| {
-            let words = format!("prepared statement \"{name}\" does not exist");
-            sqlstate::Error::new("26000", words)
+            let message = format!("prepared statement \"{name}\" does not exist");
+            sqlstate::Error::new("26000", message)
         })
     }
 
     pub(crate) fn portal(&self, name: &str) -> Result<&Portal, sqlstate::Error> {
         self.portals.get(name).ok_or_else(|| {
-            let words = format!("portal \"{name}\" does not exist");
-            sqlstate::Error::new("34000", words)
+            let message = format!("portal \"{name}\" does not exist");
+            sqlstate::Error::new("34000", message)
         })
     }
 
@@ -59,15 +59,19 @@
         let name = bind.statement_name.unwrap_or_default();
         let prepared = self.statement(&name)?.clone();
         if bind.parameters.len() != prepared.parameters.len() {
-            let words = "bind message has the wrong number of parameters";
-            return Err(sqlstate::Error::new("08P01", words));
+            let message = "bind message has the wrong number of parameters";
+            return Err(sqlstate::Error::new("08P01", message));
         }
-        let decoded = bind.parameters.iter().enumerate().map(|(at, parameter)| {
-            let kind = value::Kind::from_oid(prepared.parameters[at]);
-            let format = output::format(&bind.parameter_format_codes, at);
-            let bytes = parameter.as_ref();
-            bytes.map_or(Ok(types::Value::Null), |bytes| kind.decode(bytes, format))
-        });
+        let decoded = bind
+            .parameters
+            .iter()
+            .enumerate()
+            .map(|(index, parameter)| {
+                let kind = value::Kind::from_oid(prepared.parameters[index]);
+                let format = output::format(&bind.parameter_format_codes, index);
+                let bytes = parameter.as_ref();
+                bytes.map_or(Ok(types::Value::Null), |bytes| kind.decode(bytes, format))
+            });
         let portal = Portal {
             values: decoded.collect::<Result<_, _>>()?,
             prepared,
--- a/lab/src/profile/tests.rs
+++ b/lab/src/profile/tests.rs
@@ -31,7 +31,7 @@
     for profile in [Profile::tarapath(), Profile::hoasen()] {
         let database = rusqlite::Connection::open_in_memory().unwrap();
         database.execute_batch(&profile.schema().join(";")).unwrap();
-        let mut counters = database.prepare(&profile.all_counters()).unwrap();
+        let mut counters = database.prepare(&profile.all_counters_query()).unwrap();
         let counts: Vec<i64> = counters
             .query_map([], |row| row.get(1))
             .unwrap()
--- a/lab/src/proxy.rs
+++ b/lab/src/proxy.rs
@@ -13,7 +13,7 @@
 use mangotray::settings;
 
 /// Line on its standard input that tells a proxy to shut down gracefully.
-const DRAIN: &str = "drain";
+const DRAIN_COMMAND: &str = "drain";
 
 /// What a proxy process is started with; the lab passes it in a file of JSON.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -27,22 +27,26 @@
 /// A running proxy process; it ends abruptly when dropped.
 #[derive(Debug)]
 pub struct Proxy {
-    callers: net::SocketAddr,
-    admin: net::SocketAddr,
+    caller_address: net::SocketAddr,
+    admin_address: net::SocketAddr,
     child: process::Child,
 }
 
 impl Proxy {
-    /// Starts `program`, the lab's binary, and returns once the proxy listens; `file`
+    /// Starts `program`, the lab's binary, and returns once the proxy listens; `setup_file`
     /// is written for it.
     ///
     /// # Errors
     /// When the file cannot be written, or the process does not start to listen.
-    pub fn start(program: &path::Path, file: &path::Path, setup: &Setup) -> eyre::Result<Self> {
-        fs::write(file, serde_json::to_vec(setup)?)?;
+    pub fn start(
+        program: &path::Path,
+        setup_file: &path::Path,
+        setup: &Setup,
+    ) -> eyre::Result<Self> {
+        fs::write(setup_file, serde_json::to_vec(setup)?)?;
         let mut child = process::Command::new(program)
             .args(["proxy", "--setup"])
-            .arg(file)
+            .arg(setup_file)
             .stdin(process::Stdio::piped())
             .stdout(process::Stdio::piped())
             .spawn()?;
@@ -50,27 +54,27 @@
         if let Some(output) = child.stdout.take() {
             io::BufReader::new(output).read_line(&mut line)?;
         }
-        let (callers, admin) = line
+        let (caller_address, admin_address) = line
             .trim()
             .split_once(' ')
             .ok_or_else(|| eyre::eyre!("proxy does not listen"))?;
         Ok(Self {
-            callers: callers.parse()?,
-            admin: admin.parse()?,
+            caller_address: caller_address.parse()?,
+            admin_address: admin_address.parse()?,
             child,
         })
     }
 
     /// Where it listens for callers.
     #[must_use]
-    pub const fn callers(&self) -> net::SocketAddr {
-        self.callers
+    pub const fn caller_address(&self) -> net::SocketAddr {
+        self.caller_address
     }
 
     /// Where operators ask it for status and metrics.
     #[must_use]
-    pub const fn admin(&self) -> net::SocketAddr {
-        self.admin
+    pub const fn admin_address(&self) -> net::SocketAddr {
+        self.admin_address
     }
 
     /// Ends the process at once.
@@ -84,7 +88,7 @@
     /// When the process is gone already.
     pub fn drain(mut self) -> eyre::Result<()> {
         if let Some(input) = self.child.stdin.as_mut() {
-            writeln!(input, "{DRAIN}")?;
+            writeln!(input, "{DRAIN_COMMAND}")?;
         }
         self.child.wait()?;
         Ok(())
@@ -103,13 +107,13 @@
 ///
 /// # Errors
 /// When the file is wrong or an address cannot be bound.
-pub fn serve(file: &path::Path) -> eyre::Result<()> {
-    let setup: Setup = serde_json::from_slice(&fs::read(file)?)?;
+pub fn serve(setup_file: &path::Path) -> eyre::Result<()> {
+    let setup: Setup = serde_json::from_slice(&fs::read(setup_file)?)?;
     let proxy = daemon::Daemon::start(&setup.settings, setup.policy)?;
     println!("{} {}", proxy.caller_address(), proxy.admin_address());
     let mut line = String::new();
     io::stdin().read_line(&mut line)?;
-    if line.trim() == DRAIN {
+    if line.trim() == DRAIN_COMMAND {
         async_io::block_on(proxy.drain());
     }
     Ok(())
--- a/lab/src/query.rs
+++ b/lab/src/query.rs
@@ -59,12 +59,12 @@
     ///     marker: "m".into(),
     ///     item: 3,
     /// };
-    /// let statements = profile::Profile::tarapath().book(&booking);
+    /// let statements = profile::Profile::tarapath().write_statements(&booking);
     /// assert_eq!(statements[0], "BEGIN");
     /// assert_eq!(statements[4], "COMMIT");
     /// ```
     #[must_use]
-    pub fn book(&self, booking: &Booking) -> [String; 5] {
+    pub fn write_statements(&self, booking: &Booking) -> [String; 5] {
         let profile::Tables { listing, rows } = self.tables;
         let Booking {
             key,
@@ -90,11 +90,11 @@
     /// A write that changes nothing.
     ///
     /// ```
-    /// let sql = mangotray_lab::profile::Profile::tarapath().touch();
+    /// let sql = mangotray_lab::profile::Profile::tarapath().no_op_write();
     /// assert!(sql.starts_with("UPDATE calendar"));
     /// ```
     #[must_use]
-    pub fn touch(&self) -> String {
+    pub fn no_op_write(&self) -> String {
         let listing = self.tables.listing;
         format!("UPDATE {listing} SET taken = taken WHERE item = 0")
     }
@@ -102,11 +102,11 @@
     /// Query for a caller's own rows after a sequence number; each row echoes `request`.
     ///
     /// ```
-    /// let sql = mangotray_lab::profile::Profile::tarapath().own("r1", "a", 5);
+    /// let sql = mangotray_lab::profile::Profile::tarapath().own_rows_query("r1", "a", 5);
     /// assert!(sql.starts_with("SELECT 'r1' AS echo, caller, sequence"));
     /// ```
     #[must_use]
-    pub fn own(&self, request: &str, caller: &str, after: u32) -> String {
+    pub fn own_rows_query(&self, request: &str, caller: &str, after: u32) -> String {
         let rows = self.tables.rows;
         format!(
             "SELECT '{request}' AS echo, caller, sequence FROM {rows} \
@@ -117,11 +117,11 @@
     /// Query for the number of rows of one item; the row echoes `request`.
     ///
     /// ```
-    /// let sql = mangotray_lab::profile::Profile::hoasen().detail("r1", 7);
+    /// let sql = mangotray_lab::profile::Profile::hoasen().item_query("r1", 7);
     /// assert!(sql.contains("FROM payouts WHERE item = 7"));
     /// ```
     #[must_use]
-    pub fn detail(&self, request: &str, item: ledger::Item) -> String {
+    pub fn item_query(&self, request: &str, item: ledger::Item) -> String {
         let rows = self.tables.rows;
         format!(
             "SELECT '{request}' AS echo, {item} AS item, count(*) AS taken FROM {rows} \
@@ -132,30 +132,30 @@
     /// Query for all items with their counters; each row echoes `request`.
     ///
     /// ```
-    /// let sql = mangotray_lab::profile::Profile::tarapath().list("r1");
+    /// let sql = mangotray_lab::profile::Profile::tarapath().list_query("r1");
     /// assert!(sql.contains("FROM calendar"));
     /// ```
     #[must_use]
-    pub fn list(&self, request: &str) -> String {
+    pub fn list_query(&self, request: &str) -> String {
         let listing = self.tables.listing;
         format!("SELECT '{request}' AS echo, item, taken FROM {listing} ORDER BY item")
     }
 
     /// Query for all rows of writes, for the audit.
     #[must_use]
-    pub fn all_bookings(&self) -> String {
+    pub fn all_bookings_query(&self) -> String {
         format!("SELECT booking, marker, item FROM {}", self.tables.rows)
     }
 
     /// Query for all second rows of writes, for the audit.
     #[must_use]
-    pub fn all_entries(&self) -> &'static str {
+    pub fn all_entries_query(&self) -> &'static str {
         "SELECT booking, marker, item FROM ledger"
     }
 
     /// Query for all counters, for the audit.
     #[must_use]
-    pub fn all_counters(&self) -> String {
+    pub fn all_counters_query(&self) -> String {
         format!("SELECT item, taken FROM {}", self.tables.listing)
     }
 }
--- a/lab/src/rate.rs
+++ b/lab/src/rate.rs
@@ -7,7 +7,7 @@
 pub struct Limit {
     rate: f64,
     tokens: f64,
-    filled: id::Time,
+    refilled_at: id::Time,
 }
 
 impl Limit {
@@ -25,15 +25,15 @@
         Self {
             rate: f64::from(rate),
             tokens: f64::from(rate),
-            filled: now,
+            refilled_at: now,
         }
     }
 
     /// Takes one call out of the bucket; false when it is empty.
     pub fn admit(&mut self, now: id::Time) -> bool {
-        let earned = now.saturating_sub(self.filled).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + earned).min(self.rate);
-        self.filled = now;
+        let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + refill).min(self.rate);
+        self.refilled_at = now;
         let admitted = self.tokens >= 1.0;
         if admitted {
             self.tokens -= 1.0;
--- a/lab/src/ready.rs
+++ b/lab/src/ready.rs
@@ -7,29 +7,29 @@
 use crate::profile;
 
 /// Pause between two attempts.
-const INTERVAL: time::Duration = time::Duration::from_millis(50);
+const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
 /// Waits for one write to each group through each proxy. The write changes nothing.
 ///
 /// # Errors
-/// When that takes longer than `patience`; says which proxy and group are missing.
+/// When that takes longer than `timeout`; says which proxy and group are missing.
 pub fn wait(
     profile: &profile::Profile,
     databases: &[compact_str::CompactString],
     proxies: &[net::SocketAddr],
-    patience: time::Duration,
+    timeout: time::Duration,
 ) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let end = time::Instant::now() + patience;
+    let deadline = time::Instant::now() + timeout;
     runtime.block_on(async {
         for proxy in proxies {
             for database in databases {
-                while !takes_write(profile, *proxy, database).await {
-                    let left = end.saturating_duration_since(time::Instant::now());
-                    eyre::ensure!(!left.is_zero(), "{proxy} takes no write to {database}");
-                    tokio::time::sleep(INTERVAL).await;
+                while !accepts_write(profile, *proxy, database).await {
+                    let remaining = deadline.saturating_duration_since(time::Instant::now());
+                    eyre::ensure!(!remaining.is_zero(), "{proxy} takes no write to {database}");
+                    tokio::time::sleep(RETRY_INTERVAL).await;
                 }
             }
         }
@@ -37,11 +37,13 @@
     })
 }
 
-async fn takes_write(profile: &profile::Profile, proxy: net::SocketAddr, database: &str) -> bool {
+async fn accepts_write(profile: &profile::Profile, proxy: net::SocketAddr, database: &str) -> bool {
     let opened = link::Link::open(proxy, database, time::Duration::ZERO).await;
     let Ok(link) = opened else {
         return false;
     };
-    let (answer, _) = link.query(&profile.touch(), profile.deadline * 2).await;
+    let (answer, _) = link
+        .query(&profile.no_op_write(), profile.deadline * 2)
+        .await;
     matches!(answer, link::Answer::Rows(_))
 }
--- a/lab/src/remote.rs
+++ b/lab/src/remote.rs
@@ -22,7 +22,7 @@
     "outage on|off | delay TIME | lose FRACTION | vms NAME@DOMAIN[@leaving]... | calls";
 
 /// Seed of lost answers.
-const SEED: u64 = 1;
+const LOST_ANSWER_SEED: u64 = 1;
 
 /// Takes commands for a group.
 pub struct Group(pub sync::Arc<cluster::Cluster>);
@@ -31,7 +31,7 @@
 pub struct Platform(pub sync::Arc<platform::Platform>);
 
 /// Takes commands for the platform after the word `platform`, others for a group.
-pub struct Both(pub Group, pub Platform);
+pub struct Router(pub Group, pub Platform);
 
 impl control::Handler for Group {
     fn handle<'a>(&'a self, line: &'a str) -> future::BoxFuture<'a, eyre::Result<String>> {
@@ -45,7 +45,7 @@
     }
 }
 
-impl control::Handler for Both {
+impl control::Handler for Router {
     fn handle<'a>(&'a self, line: &'a str) -> future::BoxFuture<'a, eyre::Result<String>> {
         match line.strip_prefix("platform ") {
             Some(line) => self.1.handle(line),
@@ -63,22 +63,22 @@
         match verb {
             "status" => return Ok(self.status()),
             "help" => return Ok(GROUP_HELP.to_owned()),
-            "sql" => return self.query(self.index(target)?, rest),
-            "crash" => cluster.crash(self.index(target)?),
-            "restart" => cluster.restart(self.index(target)?),
-            "cut" => cluster.set_replication_cut(self.index(target)?, true),
-            "heal" => cluster.set_replication_cut(self.index(target)?, false),
-            "blackhole" => cluster.set_blackhole(self.index(target)?, true),
-            "unblackhole" => cluster.set_blackhole(self.index(target)?, false),
-            "pause" => cluster.set_paused(self.index(target)?, true),
-            "resume" => cluster.set_paused(self.index(target)?, false),
-            "lag" => cluster.set_lag(self.index(target)?, duration(rest)?),
+            "sql" => return self.query(self.parse_index(target)?, rest),
+            "crash" => cluster.crash(self.parse_index(target)?),
+            "restart" => cluster.restart(self.parse_index(target)?),
+            "cut" => cluster.set_replication_cut(self.parse_index(target)?, true),
+            "heal" => cluster.set_replication_cut(self.parse_index(target)?, false),
+            "blackhole" => cluster.set_blackhole(self.parse_index(target)?, true),
+            "unblackhole" => cluster.set_blackhole(self.parse_index(target)?, false),
+            "pause" => cluster.set_paused(self.parse_index(target)?, true),
+            "resume" => cluster.set_paused(self.parse_index(target)?, false),
+            "lag" => cluster.set_lag(self.parse_index(target)?, parse_duration(rest)?),
             _ => eyre::bail!("no command {verb:?}; there are {GROUP_HELP}"),
         }
         Ok("done".to_owned())
     }
 
-    fn index(&self, text: &str) -> eyre::Result<id::Index> {
+    fn parse_index(&self, text: &str) -> eyre::Result<id::Index> {
         if text == "primary" {
             return primary(&self.0).ok_or_else(|| eyre::eyre!("the group has no primary"));
         }
@@ -113,9 +113,9 @@
         match verb {
             "calls" => return Ok(self.0.calls().to_string()),
             "help" => return Ok(PLATFORM_HELP.to_owned()),
-            "outage" => self.0.set_outage(switch(rest)?),
-            "delay" => self.0.set_delay(duration(rest)?),
-            "lose" => self.0.lose_answers(rest.parse()?, SEED),
+            "outage" => self.0.set_outage(parse_switch(rest)?),
+            "delay" => self.0.set_delay(parse_duration(rest)?),
+            "lose" => self.0.lose_answers(rest.parse()?, LOST_ANSWER_SEED),
             "vms" => self.0.set_vms(listings(rest.split_whitespace())?),
             _ => eyre::bail!("no command {verb:?}; there are {PLATFORM_HELP}"),
         }
@@ -141,10 +141,10 @@
 /// # Errors
 /// When a line is written otherwise.
 pub fn listings<'a>(words: impl IntoIterator<Item = &'a str>) -> eyre::Result<Vec<store::Listing>> {
-    words.into_iter().map(listing).collect()
+    words.into_iter().map(parse_listing).collect()
 }
 
-fn listing(word: &str) -> eyre::Result<store::Listing> {
+fn parse_listing(word: &str) -> eyre::Result<store::Listing> {
     let mut parts = word.split('@');
     let (Some(vm), Some(domain), leaving, None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
@@ -162,7 +162,7 @@
     })
 }
 
-fn switch(text: &str) -> eyre::Result<bool> {
+fn parse_switch(text: &str) -> eyre::Result<bool> {
     match text {
         "on" => Ok(true),
         "off" => Ok(false),
@@ -170,7 +170,7 @@
     }
 }
 
-fn duration(text: &str) -> eyre::Result<time::Duration> {
+fn parse_duration(text: &str) -> eyre::Result<time::Duration> {
     Ok(humantime::parse_duration(text)?)
 }
 
--- a/lab/src/remote/tests.rs
+++ b/lab/src/remote/tests.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn listings_know_leaving_vms() {
+fn listings_mark_leaving_vms() {
     let all = listings(["a@x", "b@y@leaving"]).unwrap();
     let leaving: Vec<_> = all.iter().map(|listing| listing.leaving).collect();
     assert_eq!(leaving, [false, true]);
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -8,6 +8,7 @@
 
 use mangotray::policy;
 
+use crate::environment;
 use crate::fault;
 use crate::inspect;
 use crate::ledger;
@@ -16,7 +17,6 @@
 use crate::profile;
 use crate::ready;
 use crate::report;
-use crate::stage;
 use crate::trouble;
 use crate::workload;
 
@@ -53,40 +53,46 @@
     /// Runs the workload and the faults, audits the result and returns the report.
     ///
     /// # Errors
-    /// When the stage cannot be started, or is not ready in time.
+    /// When the environment cannot be started, or is not ready in time.
     pub fn execute(&self) -> eyre::Result<report::Report> {
-        let mut stage = stage::Stage::start(&self.stage_options())?;
+        let mut environment = environment::Environment::start(&self.environment_options())?;
         let databases: Vec<_> = (0..self.profile.groups)
             .map(|group| self.profile.group(group))
             .collect();
-        ready::wait(&self.profile, &databases, &stage.callers, READY_TIMEOUT)?;
-        let callers = sync::Arc::from(stage.callers.as_slice());
+        ready::wait(
+            &self.profile,
+            &databases,
+            &environment.caller_addresses,
+            READY_TIMEOUT,
+        )?;
+        let callers = sync::Arc::from(environment.caller_addresses.as_slice());
         let profile = sync::Arc::new(self.profile.clone());
-        let mut load = load::Load::start(&stage);
+        let mut load = load::Load::start(&environment);
         let start = time::Instant::now();
         let workload = workload::Workload::start(&profile, &callers, self.seed)?;
-        let troubles = self.inject_faults(&mut stage, &mut load, start);
+        let troubles = self.inject_faults(&mut environment, &mut load, start);
         let seconds = start.elapsed().as_secs_f64();
         let notes = workload.stop();
-        load.sample(&stage);
-        let settled = stage.settle(SETTLE_TIMEOUT) && stage.quiesce(SETTLE_TIMEOUT);
+        load.sample(&environment);
+        let settled =
+            environment.wait_until_settled(SETTLE_TIMEOUT) && environment.quiesce(SETTLE_TIMEOUT);
         let mut report = self.report(seconds, settled);
-        report.add_audit(self.audit(&stage, &notes)?);
+        report.add_audit(self.audit(&environment, &notes)?);
         report.add_gaps(&failover_gaps(&troubles, &notes));
         let note = merged(notes);
         report.add_note(&note);
         report.add_load(&load, note.reads);
-        stage.stop();
+        environment.stop();
         Ok(report)
     }
 
-    fn stage_options(&self) -> stage::Options {
+    fn environment_options(&self) -> environment::Options {
         let free = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
-        stage::Options {
+        environment::Options {
             program: self.program.clone(),
             profile: self.profile.clone(),
             groups: self.profile.groups,
-            callers: vec![free; self.proxies],
+            caller_addresses: vec![free; self.proxies],
             policy: self.policy,
         }
     }
@@ -95,7 +101,7 @@
     /// All faults have ended when it returns.
     fn inject_faults(
         &self,
-        stage: &mut stage::Stage,
+        environment: &mut environment::Environment,
         load: &mut load::Load,
         start: time::Instant,
     ) -> Vec<trouble::Trouble> {
@@ -105,27 +111,31 @@
         let mut past = Vec::new();
         while start.elapsed() < self.duration {
             thread::sleep(POLL_INTERVAL);
-            load.sample(stage);
+            load.sample(environment);
             while let Some(fault) = pending.pop_if(|fault| fault.start <= start.elapsed()) {
-                active.push(trouble::Trouble::begin(fault, stage, self.seed));
+                active.push(trouble::Trouble::begin(fault, environment, self.seed));
             }
             let ended = active.extract_if(.., |trouble| trouble.is_over());
-            past.extend(ended.inspect(|trouble| trouble.end(stage)));
+            past.extend(ended.inspect(|trouble| trouble.end(environment)));
         }
         for trouble in &active {
-            trouble.end(stage);
+            trouble.end(environment);
         }
         past.extend(active);
         past
     }
 
-    fn audit(&self, stage: &stage::Stage, notes: &[note::Note]) -> eyre::Result<ledger::Audit> {
+    fn audit(
+        &self,
+        environment: &environment::Environment,
+        notes: &[note::Note],
+    ) -> eyre::Result<ledger::Audit> {
         let mut all = ledger::Audit::default();
         for (group, note) in notes.iter().enumerate() {
-            let primary = stage
+            let primary = environment
                 .primary(group)
                 .ok_or_else(|| eyre::eyre!("group {group} has no primary at the end of the run"))?;
-            let contents = inspect::contents(&stage.clusters[group], primary, &self.profile)?;
+            let contents = inspect::contents(&environment.clusters[group], primary, &self.profile)?;
             all = all.plus(ledger::Audit::of(&note.attempts, &contents));
         }
         Ok(all)
--- a/lab/src/serve.rs
+++ b/lab/src/serve.rs
@@ -28,7 +28,7 @@
     platform.set_vms(remote::listings(arguments.vm.iter().map(String::as_str))?);
     println!("platform {}", platform.address());
     let handler = remote::Platform(platform);
-    until_failure(&executor, arguments.control, &handler)
+    run_with_control(&executor, arguments.control, &handler)
 }
 
 /// Runs the instances of one group until interrupted, and prints what operators
@@ -57,17 +57,17 @@
     };
     print!("{}", declare::text(&catalog));
     let handler = remote::Group(cluster);
-    until_failure(&executor, arguments.control, &handler)
+    run_with_control(&executor, arguments.control, &handler)
 }
 
 /// The stand-ins listen on the loopback address only.
 fn loopback_port(address: net::SocketAddr) -> eyre::Result<u16> {
-    let loopback = address.ip() == net::Ipv4Addr::LOCALHOST;
-    eyre::ensure!(loopback, "{address} is not on 127.0.0.1");
+    let is_loopback = address.ip() == net::Ipv4Addr::LOCALHOST;
+    eyre::ensure!(is_loopback, "{address} is not on 127.0.0.1");
     Ok(address.port())
 }
 
-fn until_failure(
+fn run_with_control(
     executor: &Executor,
     control: Option<net::SocketAddr>,
     handler: &dyn control::Handler,
--- a/lab/src/space.rs
+++ b/lab/src/space.rs
@@ -7,18 +7,18 @@
 use mangotray::store;
 
 /// Greatest length of a value in bytes.
-pub const VALUE_LIMIT: usize = 1_000_000;
+pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
 /// Outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Put {
+pub enum Outcome {
     /// The value is stored.
     Stored,
     /// The key has another version.
     Conflict,
     /// The lease to bind to has ended.
     NoLease,
-    /// The value is longer than `VALUE_LIMIT`.
+    /// The value is longer than `MAX_VALUE_BYTES`.
     TooLarge,
 }
 
@@ -28,9 +28,9 @@
     index: store::Version,
     entries: collections::BTreeMap<String, store::Entry>,
     /// Versions at which keys were removed.
-    removed: collections::HashMap<String, store::Version>,
+    removal_versions: collections::HashMap<String, store::Version>,
     leases: collections::BTreeMap<String, Lease>,
-    granted: u64,
+    granted_leases: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -63,53 +63,53 @@
     /// Index of the last change of a key, also of its removal; 1 if it never was.
     #[must_use]
     pub fn index(&self, key: &str) -> store::Version {
-        let removed = self.removed.get(key).copied().unwrap_or(1);
-        self.get(key).map_or(removed, |entry| entry.version)
+        let removal_version = self.removal_versions.get(key).copied().unwrap_or(1);
+        self.get(key).map_or(removal_version, |entry| entry.version)
     }
 
-    /// Stores a value if the key's version is `expect` (0: absent).
+    /// Stores a value if the key's version is `expected_version` (0: absent).
     ///
     /// Without a lease, an entry keeps the one that it is bound to.
     ///
     /// ```
     /// use mangotray_lab::space;
     /// let mut space = space::Space::default();
-    /// assert_eq!(space.put("a", "1".into(), 0, None), space::Put::Stored);
-    /// assert_eq!(space.put("a", "2".into(), 0, None), space::Put::Conflict);
+    /// assert_eq!(space.put("a", "1".into(), 0, None), space::Outcome::Stored);
+    /// assert_eq!(space.put("a", "2".into(), 0, None), space::Outcome::Conflict);
     /// ```
     pub fn put(
         &mut self,
         key: &str,
         value: bytes::Bytes,
-        expect: store::Version,
+        expected_version: store::Version,
         lease: Option<&str>,
-    ) -> Put {
-        if value.len() > VALUE_LIMIT {
-            return Put::TooLarge;
+    ) -> Outcome {
+        if value.len() > MAX_VALUE_BYTES {
+            return Outcome::TooLarge;
         }
         if lease.is_some_and(|lease| !self.leases.contains_key(lease)) {
-            return Put::NoLease;
+            return Outcome::NoLease;
         }
         let found = self.get(key);
-        if found.map_or(0, |entry| entry.version) != expect {
-            return Put::Conflict;
+        if found.map_or(0, |entry| entry.version) != expected_version {
+            return Outcome::Conflict;
         }
-        let kept = found.and_then(|entry| entry.lease.clone());
+        let bound_lease = found.and_then(|entry| entry.lease.clone());
         let entry = store::Entry {
             key: key.into(),
             value,
             version: self.advance(),
-            lease: lease.map(Into::into).or(kept),
+            lease: lease.map(Into::into).or(bound_lease),
         };
-        self.removed.remove(key);
+        self.removal_versions.remove(key);
         self.entries.insert(key.to_owned(), entry);
-        Put::Stored
+        Outcome::Stored
     }
 
     /// Opens a lease that ends `ttl` after its last renewal.
     pub fn grant(&mut self, ttl: time::Duration, now: id::Time) -> String {
-        self.granted += 1;
-        let id = format!("lease-{:08x}", self.granted);
+        self.granted_leases += 1;
+        let id = format!("lease-{:08x}", self.granted_leases);
         let end = now + ttl;
         self.leases.insert(id.clone(), Lease { ttl, end });
         id
@@ -136,7 +136,7 @@
         for key in bound {
             self.entries.remove(&key);
             let index = self.advance();
-            self.removed.insert(key, index);
+            self.removal_versions.insert(key, index);
         }
     }
 
--- a/lab/src/space/tests.rs
+++ b/lab/src/space/tests.rs
@@ -5,15 +5,18 @@
 const TTL: time::Duration = time::Duration::from_secs(10);
 
 #[test]
-fn a_removed_key_moves_its_index_on() {
+fn removal_of_a_key_advances_its_index() {
     let mut space = space::Space::default();
     let lease = space.grant(TTL, time::Duration::ZERO);
     space.put("a", "1".into(), 0, Some(&lease));
-    let seen = space.index("a");
+    let version = space.index("a");
     space.revoke(&lease);
-    assert!(space.index("a") > seen);
-    assert_eq!(space.put("a", "2".into(), seen, None), space::Put::Conflict);
-    assert_eq!(space.put("a", "2".into(), 0, None), space::Put::Stored);
+    assert!(space.index("a") > version);
+    assert_eq!(
+        space.put("a", "2".into(), version, None),
+        space::Outcome::Conflict
+    );
+    assert_eq!(space.put("a", "2".into(), 0, None), space::Outcome::Stored);
 }
 
 #[test]
@@ -26,23 +29,30 @@
     assert!(!space.renew(&lease, TTL * 2));
     assert_eq!(
         space.put("b", "1".into(), 0, Some(&lease)),
-        space::Put::NoLease
+        space::Outcome::NoLease
     );
 }
 
 #[test]
-fn a_prefix_lists_just_its_keys() {
+fn a_list_has_only_keys_with_the_prefix() {
     let mut space = space::Space::default();
     for key in ["a", "b/1", "b/2", "c"] {
         space.put(key, "x".into(), 0, None);
     }
-    let keys: Vec<_> = space.list("b/").into_iter().map(|e| e.key).collect();
+    let keys: Vec<_> = space
+        .list("b/")
+        .into_iter()
+        .map(|entry| entry.key)
+        .collect();
     assert_eq!(keys, ["b/1", "b/2"]);
 }
 
 #[test]
-fn a_value_has_a_greatest_length() {
+fn values_over_the_limit_are_refused() {
     let mut space = space::Space::default();
-    let value = vec![0; space::VALUE_LIMIT + 1];
-    assert_eq!(space.put("a", value.into(), 0, None), space::Put::TooLarge);
+    let value = vec![0; space::MAX_VALUE_BYTES + 1];
+    assert_eq!(
+        space.put("a", value.into(), 0, None),
+        space::Outcome::TooLarge
+    );
 }
--- a/lab/src/statement.rs
+++ b/lab/src/statement.rs
@@ -60,8 +60,8 @@
     pub(crate) fn parse(sql: &str) -> Result<Self, sqlstate::Error> {
         let mut statements = Self::parse_all(sql)?;
         if statements.len() > 1 {
-            let words = "cannot insert multiple commands into a prepared statement";
-            return Err(sqlstate::Error::new("42601", words));
+            let message = "cannot insert multiple commands into a prepared statement";
+            return Err(sqlstate::Error::new("42601", message));
         }
         Ok(statements.pop().unwrap_or_else(|| Self::translate(&[])))
     }
@@ -81,29 +81,29 @@
         let end = statement.locking_clause().unwrap_or(tokens.len());
         let mut index = 0;
         while index < end {
-            index += statement.push(tokens, index);
+            index += statement.translate_token(tokens, index);
         }
         statement
     }
 
     /// Appends the token at `index`; gives the number of tokens consumed.
-    fn push(&mut self, tokens: &[token::Token], index: usize) -> usize {
+    fn translate_token(&mut self, tokens: &[token::Token], index: usize) -> usize {
         let token = &tokens[index];
-        if token.space {
+        if token.after_space {
             self.text.push(' ');
         }
         if token.text == "::" {
-            return self.cast(tokens, index);
+            return self.translate_cast(tokens, index);
         }
         let word = self.tokens[index].as_str();
-        let call = self.tokens.get(index + 1).is_some_and(|next| next == "(");
+        let is_call = self.tokens.get(index + 1).is_some_and(|next| next == "(");
         match word {
-            "now" | "clock_timestamp" if call => {
+            "now" | "clock_timestamp" if is_call => {
                 self.volatile = true;
                 self.text.push_str("datetime('now')");
                 return 3;
             }
-            "random" | "gen_random_uuid" | "randomblob" if call => self.volatile = true,
+            "random" | "gen_random_uuid" | "randomblob" if is_call => self.volatile = true,
             "current_timestamp" | "current_date" | "current_time" => self.volatile = true,
             _ => {}
         }
@@ -117,7 +117,7 @@
         1
     }
 
-    fn cast(&mut self, tokens: &[token::Token], index: usize) -> usize {
+    fn translate_cast(&mut self, tokens: &[token::Token], index: usize) -> usize {
         let name = tokens.get(index + 1).map_or("", |token| &token.text);
         let kind = value::Kind::from_name(name);
         if let Some(number) = index
@@ -149,22 +149,26 @@
     }
 
     /// Type of parameter `number` by its cast, the column it meets, or its place.
-    pub(crate) fn infer(
+    pub(crate) fn infer_kind(
         &self,
         number: usize,
-        declared: &HashMap<String, value::Kind>,
+        declared_kinds: &HashMap<String, value::Kind>,
     ) -> value::Kind {
         let cast = self.casts.iter().find(|(other, _)| *other == number);
-        let place = |at: &usize| token::parameter(&self.tokens[*at]) == Some(number);
+        let is_parameter = |at: &usize| token::parameter(&self.tokens[*at]) == Some(number);
         cast.map(|(_, kind)| *kind)
             .or_else(|| {
-                let mut places = (0..self.tokens.len()).filter(place);
-                places.find_map(|at| self.infer_at(at, declared))
+                let mut positions = (0..self.tokens.len()).filter(is_parameter);
+                positions.find_map(|at| self.infer_kind_at(at, declared_kinds))
             })
             .unwrap_or(value::Kind::Text)
     }
 
-    fn infer_at(&self, at: usize, declared: &HashMap<String, value::Kind>) -> Option<value::Kind> {
+    fn infer_kind_at(
+        &self,
+        at: usize,
+        declared_kinds: &HashMap<String, value::Kind>,
+    ) -> Option<value::Kind> {
         let word = |at: usize| self.tokens.get(at).map_or("", String::as_str);
         let before = |distance: usize| at.checked_sub(distance).map_or("", word);
         if matches!(before(1), "limit" | "offset") {
@@ -175,20 +179,27 @@
         let right = (at + 1..self.tokens.len())
             .map(word)
             .find(|word| !is_sign(word));
-        let range = (before(1) == "and" && before(3) == "between").then(|| before(4));
-        let opening = matches!(before(1), "between" | "in").then(|| before(2));
-        let list = (before(1) == "(" && before(2) == "in").then(|| before(3));
-        [opening, list, range, self.inserted(at), left, right]
-            .into_iter()
-            .flatten()
-            .find_map(|column| declared.get(column).copied())
+        let range_column = (before(1) == "and" && before(3) == "between").then(|| before(4));
+        let operand_column = matches!(before(1), "between" | "in").then(|| before(2));
+        let list_column = (before(1) == "(" && before(2) == "in").then(|| before(3));
+        [
+            operand_column,
+            list_column,
+            range_column,
+            self.insert_column(at),
+            left,
+            right,
+        ]
+        .into_iter()
+        .flatten()
+        .find_map(|column| declared_kinds.get(column).copied())
     }
 
     /// Column that a place in the VALUES of an INSERT belongs to.
-    fn inserted(&self, at: usize) -> Option<&str> {
+    fn insert_column(&self, at: usize) -> Option<&str> {
         let values = self.tokens.iter().position(|word| word == "values")?;
-        let open = self.tokens.iter().position(|word| word == "(")?;
-        if open > values || at < values {
+        let opening = self.tokens.iter().position(|word| word == "(")?;
+        if opening > values || at < values {
             return None;
         }
         let mut depth = 0;
@@ -202,7 +213,7 @@
                 _ => {}
             }
         }
-        let columns = self.tokens[open + 1..values].split(|word| word == ",");
+        let columns = self.tokens[opening + 1..values].split(|word| word == ",");
         let column = columns.map(|words| &words[0]).nth(index)?;
         (depth == 1).then_some(column.as_str())
     }
@@ -219,12 +230,14 @@
 
 fn tag(words: &[String]) -> String {
     let first = words.first().map(String::as_str).unwrap_or_default();
-    let count = if matches!(first, "create" | "drop" | "alter") {
+    let word_count = if matches!(first, "create" | "drop" | "alter") {
         2
     } else {
         1
     };
-    words[..count.min(words.len())].join(" ").to_uppercase()
+    words[..word_count.min(words.len())]
+        .join(" ")
+        .to_uppercase()
 }
 
 fn verb(words: &[String]) -> Verb {
--- a/lab/src/storage.rs
+++ b/lab/src/storage.rs
@@ -12,10 +12,10 @@
 
 const BUSY_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 /// Holds the stamp of the last record, so that each snapshot knows its own.
-const STAMP_TABLE: &str = "CREATE TABLE group_stamp (term INTEGER, position INTEGER);
+const CREATE_STAMP_TABLE_SQL: &str = "CREATE TABLE group_stamp (term INTEGER, position INTEGER);
     INSERT INTO group_stamp VALUES (0, 0);";
-const READ_STAMP: &str = "SELECT term, position FROM group_stamp";
-const WRITE_STAMP: &str = "UPDATE group_stamp SET term = ?1, position = ?2";
+const READ_STAMP_SQL: &str = "SELECT term, position FROM group_stamp";
+const WRITE_STAMP_SQL: &str = "UPDATE group_stamp SET term = ?1, position = ?2";
 
 pub(crate) fn bind(
     prepared: &mut rusqlite::Statement<'_>,
@@ -24,7 +24,7 @@
     parameters
         .iter()
         .enumerate()
-        .try_for_each(|(at, value)| prepared.raw_bind_parameter(at + 1, value))
+        .try_for_each(|(index, value)| prepared.raw_bind_parameter(index + 1, value))
 }
 
 pub(crate) fn connect(path: &path::Path) -> rusqlite::Result<rusqlite::Connection> {
@@ -42,7 +42,7 @@
     schema: &[String],
 ) -> rusqlite::Result<rusqlite::Connection> {
     let connection = connect(path)?;
-    connection.execute_batch(STAMP_TABLE)?;
+    connection.execute_batch(CREATE_STAMP_TABLE_SQL)?;
     schema
         .iter()
         .try_for_each(|sql| connection.execute_batch(sql))?;
@@ -71,13 +71,13 @@
     connection: &rusqlite::Connection,
     stamp: stamp::Stamp,
 ) -> rusqlite::Result<()> {
-    let mut prepared = connection.prepare_cached(WRITE_STAMP)?;
+    let mut prepared = connection.prepare_cached(WRITE_STAMP_SQL)?;
     prepared.execute((stamp.term, stamp.position)).map(drop)
 }
 
 /// Stamp of the snapshot that the connection's transaction sees.
 pub(crate) fn read_stamp(connection: &rusqlite::Connection) -> rusqlite::Result<stamp::Stamp> {
-    let mut prepared = connection.prepare_cached(READ_STAMP)?;
+    let mut prepared = connection.prepare_cached(READ_STAMP_SQL)?;
     prepared.query_one([], |row| Ok(stamp::Stamp::new(row.get(0)?, row.get(1)?)))
 }
 
@@ -85,7 +85,7 @@
 pub(crate) type Rows = Vec<Vec<Option<String>>>;
 
 /// All rows of some queries on one snapshot, for audits.
-pub(crate) fn audit(path: &path::Path, queries: &[&str]) -> rusqlite::Result<Vec<Rows>> {
+pub(crate) fn query_snapshot(path: &path::Path, queries: &[&str]) -> rusqlite::Result<Vec<Rows>> {
     let connection = connect(path)?;
     connection.execute_batch("BEGIN")?;
     queries
@@ -96,10 +96,10 @@
 
 fn all_rows(connection: &rusqlite::Connection, sql: &str) -> rusqlite::Result<Rows> {
     let mut prepared = connection.prepare(sql)?;
-    let width = prepared.column_count();
+    let column_count = prepared.column_count();
     let rows = prepared.query_map([], |row| {
-        (0..width)
-            .map(|at| row.get::<_, types::Value>(at))
+        (0..column_count)
+            .map(|index| row.get::<_, types::Value>(index))
             .map(|value| value.map(|value| optional_text(&value)))
             .collect()
     })?;
--- a/lab/src/token.rs
+++ b/lab/src/token.rs
@@ -6,7 +6,7 @@
 pub(crate) struct Token {
     pub(crate) text: String,
     /// Whether white space stood before it.
-    pub(crate) space: bool,
+    pub(crate) after_space: bool,
 }
 
 impl Token {
@@ -28,36 +28,36 @@
 pub(crate) fn scan(sql: &str) -> Result<Vec<Token>, sqlstate::Error> {
     let mut tokens = Vec::new();
     let mut rest = sql;
-    let mut space = false;
+    let mut after_space = false;
     while let Some(first) = rest.chars().next() {
         let length = token_length(rest, first)?;
         let (text, after) = rest.split_at(length);
         rest = after;
         if first.is_whitespace() || text.starts_with("--") || text.starts_with("/*") {
-            space = true;
+            after_space = true;
             continue;
         }
         let text = text.to_owned();
-        tokens.push(Token { text, space });
-        space = false;
+        tokens.push(Token { text, after_space });
+        after_space = false;
     }
     Ok(tokens)
 }
 
 fn token_length(rest: &str, first: char) -> Result<usize, sqlstate::Error> {
     let unterminated = || sqlstate::Error::new("42601", "syntax error: unterminated token");
-    let found = |end: Option<usize>| end.ok_or_else(unterminated);
+    let require_end = |end: Option<usize>| end.ok_or_else(unterminated);
     if rest.starts_with("--") {
         return Ok(rest.find('\n').unwrap_or(rest.len()));
     }
     if rest.starts_with("/*") {
-        return found(rest.find("*/").map(|end| end + 2));
+        return require_end(rest.find("*/").map(|end| end + 2));
     }
     if rest.starts_with("::") {
         return Ok(2);
     }
     match first {
-        '\'' | '"' => found(rest[1..].find(first).map(|end| end + 2)),
+        '\'' | '"' => require_end(rest[1..].find(first).map(|end| end + 2)),
         _ if is_word(first) => Ok(rest.find(|next| !is_word(next)).unwrap_or(rest.len())),
         _ => Ok(first.len_utf8()),
     }
--- a/lab/src/trouble.rs
+++ b/lab/src/trouble.rs
@@ -1,11 +1,11 @@
-//! Injects faults into a stage and ends them.
+//! Injects faults into an environment and ends them.
 
 use std::time;
 
 use mangotray::id;
 
+use crate::environment;
 use crate::fault;
-use crate::stage;
 
 /// Replication delay to a replica while the fault `replica-lag` is active.
 const REPLICA_LAG: time::Duration = time::Duration::from_secs(4);
@@ -31,24 +31,28 @@
     /// Begins a fault. A primary's fault affects the first instance when the group has no
     /// primary at that moment.
     #[must_use]
-    pub fn begin(fault: fault::Fault, stage: &mut stage::Stage, seed: u64) -> Self {
+    pub fn begin(
+        fault: fault::Fault,
+        environment: &mut environment::Environment,
+        seed: u64,
+    ) -> Self {
         let instance = if fault.kind.hits_primary() {
-            stage.primary(fault.group).unwrap_or_default()
+            environment.primary(fault.group).unwrap_or_default()
         } else {
-            stage.replica(fault.group)
+            environment.replica(fault.group)
         };
-        let cluster = &stage.clusters[fault.group];
+        let cluster = &environment.clusters[fault.group];
         match fault.kind {
             fault::Kind::PrimaryCrash | fault::Kind::ReplicaCrash => cluster.crash(instance),
             fault::Kind::PrimaryPartition => cluster.set_replication_cut(instance, true),
             fault::Kind::PrimaryPause => cluster.set_paused(instance, true),
             fault::Kind::ReplicaLag => cluster.set_lag(instance, REPLICA_LAG),
-            fault::Kind::ProxyCrash => stage.crash_proxy(),
-            fault::Kind::ProxyDrain => stage.drain_proxy(),
-            fault::Kind::PlatformOutage => stage.platform.set_outage(true),
-            fault::Kind::PlatformSlow => stage.platform.set_delay(SLOW_CALL_DELAY),
+            fault::Kind::ProxyCrash => environment.crash_proxy(),
+            fault::Kind::ProxyDrain => environment.drain_proxy(),
+            fault::Kind::PlatformOutage => environment.platform.set_outage(true),
+            fault::Kind::PlatformSlow => environment.platform.set_delay(SLOW_CALL_DELAY),
             fault::Kind::PlatformLostAnswers => {
-                stage.platform.lose_answers(LOST_ANSWER_SHARE, seed);
+                environment.platform.lose_answers(LOST_ANSWER_SHARE, seed);
             }
         }
         tracing::info!(%fault, instance, "fault begins");
@@ -60,17 +64,17 @@
     }
 
     /// Ends the fault; proxies that crashed or drained are not started again.
-    pub fn end(&self, stage: &stage::Stage) {
-        let cluster = &stage.clusters[self.fault.group];
+    pub fn end(&self, environment: &environment::Environment) {
+        let cluster = &environment.clusters[self.fault.group];
         match self.fault.kind {
             fault::Kind::PrimaryCrash | fault::Kind::ReplicaCrash => cluster.restart(self.instance),
             fault::Kind::PrimaryPartition => cluster.set_replication_cut(self.instance, false),
             fault::Kind::PrimaryPause => cluster.set_paused(self.instance, false),
             fault::Kind::ReplicaLag => cluster.restore_lag(self.instance),
             fault::Kind::ProxyCrash | fault::Kind::ProxyDrain => {}
-            fault::Kind::PlatformOutage => stage.platform.set_outage(false),
-            fault::Kind::PlatformSlow => stage.platform.set_delay(time::Duration::ZERO),
-            fault::Kind::PlatformLostAnswers => stage.platform.lose_answers(0.0, 0),
+            fault::Kind::PlatformOutage => environment.platform.set_outage(false),
+            fault::Kind::PlatformSlow => environment.platform.set_delay(time::Duration::ZERO),
+            fault::Kind::PlatformLostAnswers => environment.platform.lose_answers(0.0, 0),
         }
         tracing::info!(fault = %self.fault, instance = self.instance, "fault ends");
     }
--- a/lab/tests/roaming.rs
+++ b/lab/tests/roaming.rs
@@ -4,10 +4,10 @@
 use std::time;
 
 use mangotray::policy;
+use mangotray_lab::environment;
 use mangotray_lab::link;
 use mangotray_lab::profile;
 use mangotray_lab::ready;
-use mangotray_lab::stage;
 
 /// Longest wait for an expected event; long, so that a busy machine fails no test.
 const TIMEOUT: time::Duration = time::Duration::from_secs(30);
@@ -27,23 +27,28 @@
 }
 
 /// Starts a group and two proxies, and waits until both accept writes.
-fn stage() -> stage::Stage {
+fn environment() -> environment::Environment {
     let profile = profile();
-    let stage = stage::Stage::start(&stage::Options {
+    let environment = environment::Environment::start(&environment::Options {
         program: env!("CARGO_BIN_EXE_mangotray-lab").into(),
         groups: profile.groups,
-        callers: vec![net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0)); 2],
+        caller_addresses: vec![net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0)); 2],
         policy: policy::Policy::Default,
         profile,
     });
-    let stage = stage.unwrap();
-    takes_writes(&stage).unwrap();
-    stage
+    let environment = environment.unwrap();
+    takes_writes(&environment).unwrap();
+    environment
 }
 
-fn takes_writes(stage: &stage::Stage) -> eyre::Result<()> {
+fn takes_writes(environment: &environment::Environment) -> eyre::Result<()> {
     let profile = profile();
-    ready::wait(&profile, &[profile.group(0)], &stage.callers, TIMEOUT)
+    ready::wait(
+        &profile,
+        &[profile.group(0)],
+        &environment.caller_addresses,
+        TIMEOUT,
+    )
 }
 
 fn block_on<T>(task: impl Future<Output = T>) -> T {
@@ -54,11 +59,15 @@
     runtime.block_on(task)
 }
 
-async fn open(stage: &stage::Stage, proxy: usize) -> link::Link {
+async fn open(environment: &environment::Environment, proxy: usize) -> link::Link {
     let database = profile().group(0);
-    link::Link::open(stage.callers[proxy], &database, time::Duration::ZERO)
-        .await
-        .unwrap()
+    link::Link::open(
+        environment.caller_addresses[proxy],
+        &database,
+        time::Duration::ZERO,
+    )
+    .await
+    .unwrap()
 }
 
 async fn rows(link: &link::Link, sql: &str) -> Vec<tokio_postgres::SimpleQueryRow> {
@@ -74,13 +83,13 @@
     // through the first proxy, then through the second, and reads through the first, while one
     // replica has only the first write. The first proxy must not rely only on the stamp of the
     // write that went through itself.
-    let stage = stage();
+    let environment = environment();
     let missing = block_on(async {
-        let (first, second) = (open(&stage, 0).await, open(&stage, 1).await);
+        let (first, second) = (open(&environment, 0).await, open(&environment, 1).await);
         rows(&first, "INSERT INTO ledger VALUES ('one', 'm', 1)").await;
-        assert!(stage.settle(TIMEOUT));
-        let lagging = stage.replica(0);
-        stage.clusters[0].set_lag(lagging, REPLICA_LAG);
+        assert!(environment.wait_until_settled(TIMEOUT));
+        let lagging = environment.replica(0);
+        environment.clusters[0].set_lag(lagging, REPLICA_LAG);
         rows(&second, "INSERT INTO ledger VALUES ('two', 'm', 1)").await;
         let mut missing = 0;
         for _ in 0..READ_COUNT {
@@ -89,7 +98,7 @@
         }
         missing
     });
-    stage.stop();
+    environment.stop();
     assert_eq!(missing, 0, "stale reads of {READ_COUNT}");
 }
 
@@ -98,12 +107,12 @@
     // Guards against a group that confirms no write during a partition: the primary cannot reach
     // its replicas, but keeps its role and still answers the proxies. A primary that answers
     // probes is not thereby able to confirm writes.
-    let stage = stage();
-    let old = stage.primary(0).unwrap();
-    stage.clusters[0].set_replication_cut(old, true);
-    let confirmed = takes_writes(&stage);
-    let new = stage.primary(0);
-    stage.stop();
+    let environment = environment();
+    let old = environment.primary(0).unwrap();
+    environment.clusters[0].set_replication_cut(old, true);
+    let confirmed = takes_writes(&environment);
+    let new = environment.primary(0);
+    environment.stop();
     confirmed.unwrap();
     assert_ne!(new, Some(old));
 }
@@ -112,14 +121,14 @@
 fn crashed_proxy_closes_its_connections() {
     // Guards against a caller that waits for an answer after its proxy has crashed, because
     // tasks that outlive the proxy keep its sockets open.
-    let mut stage = stage();
+    let mut environment = environment();
     let closed = block_on(async {
-        let link = open(&stage, 1).await;
+        let link = open(&environment, 1).await;
         rows(&link, "SELECT booking FROM ledger").await;
-        stage.crash_proxy();
+        environment.crash_proxy();
         let (answer, _) = link.query("SELECT booking FROM ledger", TIMEOUT).await;
         matches!(answer, link::Answer::Lost) && !link.is_open()
     });
-    stage.stop();
+    environment.stop();
     assert!(closed);
 }
--- a/lab/tests/status.rs
+++ b/lab/tests/status.rs
@@ -7,10 +7,10 @@
 
 use mangotray::admin;
 use mangotray::policy;
+use mangotray_lab::environment;
 use mangotray_lab::profile;
 use mangotray_lab::proxy;
 use mangotray_lab::ready;
-use mangotray_lab::stage;
 
 const TIMEOUT: time::Duration = time::Duration::from_mins(1);
 
@@ -37,20 +37,26 @@
         ..profile::Profile::tarapath()
     };
     let any = net::SocketAddr::from((net::Ipv4Addr::LOCALHOST, 0));
-    let options = stage::Options {
+    let options = environment::Options {
         program: env!("CARGO_BIN_EXE_mangotray-lab").into(),
         profile: profile.clone(),
         groups: 1,
-        callers: vec![any, any],
+        caller_addresses: vec![any, any],
         policy: policy::Policy::Default,
     };
-    let stage = stage::Stage::start(&options).unwrap();
-    ready::wait(&profile, &[profile.group(0)], &stage.callers, TIMEOUT).unwrap();
-    let admins: Vec<_> = stage
+    let environment = environment::Environment::start(&options).unwrap();
+    ready::wait(
+        &profile,
+        &[profile.group(0)],
+        &environment.caller_addresses,
+        TIMEOUT,
+    )
+    .unwrap();
+    let admins: Vec<_> = environment
         .proxies
         .iter()
         .flatten()
-        .map(proxy::Proxy::admin)
+        .map(proxy::Proxy::admin_address)
         .collect();
     let groups = || {
         let statuses = admins.iter().map(|admin| status(*admin));
@@ -61,14 +67,14 @@
     let promotions = || groups().iter().map(|group| group.promotions).sum::<u64>();
     let before = promotions();
 
-    stage.clusters[0].crash(stage.primary(0).unwrap());
+    environment.clusters[0].crash(environment.primary(0).unwrap());
     let reported = || {
         let measured = groups()
             .iter()
             .any(|group| group.last_failover_gap_ms > Some(0));
         promotions() > before && measured
     };
-    assert!(stage::wait_until(TIMEOUT, reported), "{:?}", groups());
+    assert!(environment::wait_until(TIMEOUT, reported), "{:?}", groups());
 
     // The metrics of a proxy must include everything that its status reports. A proxy that has
     // taken no seats yet reports no group, so reported groups are counted instead of proxies.
@@ -83,7 +89,7 @@
         assert!(text.contains("mangotray_config_revision 1"), "{text}");
     }
     assert!(checked > 0);
-    stage.stop();
+    environment.stop();
 }
 
 fn assert_metrics_report(group: &admin::Group, text: &str) {
