--- a/lab/src/environment.rs
+++ b/lab/src/environment.rs
@@ -1,5 +1,5 @@
-//! Everything that a run or a demonstration needs: stand-ins in this process, and
-//! proxies as processes of their own.
+//! Environment of a run or a demonstration: stand-ins in this process, and proxies as
+//! separate processes.
 
 use std::net;
 use std::path;
@@ -22,16 +22,16 @@
 use crate::proxy;
 use crate::remote;
 
-/// Threads that run the stand-ins.
+/// Number of threads that run the stand-ins.
 const STAND_IN_THREADS: usize = 3;
 
-/// Longest wait of a proxy for one call to the platform.
+/// Timeout of a proxy's calls to the platform.
 const PLATFORM_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
-/// Age of the platform's list of VMs.
+/// Delay before a change of the platform's VM list becomes visible.
 const VM_LIST_LAG: time::Duration = time::Duration::from_secs(3);
 
-/// Pause between two looks at a state that is waited for.
+/// Interval at which a condition is polled.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
 type Executor = sync::Arc<async_executor::Executor<'static>>;
@@ -41,30 +41,33 @@
 pub struct Options {
     /// The lab's binary, which also runs the proxies.
     pub program: path::PathBuf,
-    /// Sizes, delays and tables.
+    /// Profile with sizes, delays and tables.
     pub profile: profile::Profile,
-    /// Groups to start, at most those of the profile.
+    /// Number of groups to start, at most that of the profile.
     pub groups: usize,
-    /// Where each proxy listens for callers; port 0 takes a free one.
+    /// Address that each proxy listens on for callers; port 0 lets the system choose one.
     pub caller_addresses: Vec<net::SocketAddr>,
-    /// Rules of the proxies.
+    /// Policy of the proxies.
     pub policy: policy::Policy,
 }
 
-/// Platform, groups and proxies.
+/// Running platform, groups and proxies.
 pub struct Environment {
     /// The platform's stand-in.
     pub platform: sync::Arc<platform::Platform>,
     /// The stand-in groups, in the order of the profile.
     pub clusters: Vec<sync::Arc<cluster::Cluster>>,
-    /// Running proxies; `None` once one has crashed or drained.
+    /// Running proxies; `None` for a proxy that has crashed or drained.
     pub proxies: Vec<Option<proxy::Proxy>>,
-    /// Where the proxies listen for callers, also of those that are gone.
+    /// Addresses that the proxies listen on for callers, including those of proxies that
+    /// have crashed or drained.
     pub caller_addresses: Vec<net::SocketAddr>,
     profile: profile::Profile,
-    /// Setups of the proxies.
+    /// Directory of the proxies' setup files.
     setup_directory: tempfile::TempDir,
+    /// Closing it ends the threads of the stand-ins.
     stop: async_channel::Sender<()>,
+    /// Threads of the stand-ins, and of proxies that drain.
     threads: Vec<thread::JoinHandle<()>>,
 }
 
@@ -72,7 +75,7 @@
     /// Starts everything and applies the groups' declaration.
     ///
     /// # Errors
-    /// When something cannot be started, or no proxy takes the declaration.
+    /// When a stand-in or proxy cannot be started, or the declaration cannot be applied.
     pub fn start(options: &Options) -> eyre::Result<Self> {
         let executor = sync::Arc::new(async_executor::Executor::new());
         let (stop, stopped) = async_channel::bounded(1);
@@ -102,7 +105,7 @@
         Ok(environment)
     }
 
-    /// What the operators declare about the groups.
+    /// The groups' declaration, as an operator would write it.
     #[must_use]
     pub fn catalog(&self) -> catalog::Catalog {
         let groups = self.clusters.iter();
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Puts the groups' declaration in force, as an operator would.
+    /// Applies the groups' declaration, as an operator would.
     async fn apply(&self, executor: &Executor) -> eyre::Result<()> {
         let options = mangotray::platform::Options::new(self.platform.address());
         let store = mangotray::platform::Client::new(options, executor);
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Replica that a fault is to hit: the first that leads nothing.
+    /// Replica that a fault affects: the first instance that is not the primary.
     #[must_use]
     pub fn replica(&self, group: usize) -> id::Index {
         let primary = self.primary(group);
@@ -139,13 +142,13 @@
             .unwrap_or_default()
     }
 
-    /// Instance that leads a group at the highest term, if any does.
+    /// Index of the primary of a group; that with the highest fence if there are several.
     #[must_use]
     pub fn primary(&self, group: usize) -> Option<id::Index> {
         remote::primary(&self.clusters[group])
     }
 
-    /// Ends a proxy abruptly; the platform's list still shows it for a while.
+    /// Kills a proxy. The platform's VM list still contains it until the lag has passed.
     pub fn crash_proxy(&mut self) {
         if let Some(proxy) = self.take_proxy(false) {
             proxy.crash();
@@ -157,13 +160,14 @@
         if let Some(proxy) = self.take_proxy(true) {
             self.threads.push(thread::spawn(move || {
                 if let Err(error) = proxy.drain() {
-                    tracing::warn!(%error, "proxy not drained");
+                    tracing::warn!(%error, "failed to drain the proxy");
                 }
             }));
         }
     }
 
-    /// Takes the last proxy that still runs, but never the only one.
+    /// Removes the last running proxy from the proxies and from the VM list, where it stays
+    /// as `leaving` if so given. Never removes the first proxy.
     fn take_proxy(&mut self, leaving: bool) -> Option<proxy::Proxy> {
         let index = self.proxies.iter().rposition(Option::is_some)?;
         if index == 0 {
@@ -234,7 +238,8 @@
         Ok(())
     }
 
-    /// Waits until all instances of each group hold the same log under one primary.
+    /// Waits until all instances of each group have the same stamp and fence, and one of
+    /// them is the primary; false when `timeout` ends first.
     #[must_use]
     pub fn wait_until_settled(&self, timeout: time::Duration) -> bool {
         wait_until(timeout, || {
@@ -242,8 +247,9 @@
         })
     }
 
-    /// Ends the proxies and waits until the instances are idle and agree. Requests that
-    /// callers have given up may commit until then, between two reads of an audit.
+    /// Kills the proxies and waits until the instances are idle and agree; false when
+    /// `timeout` ends first. Before that, requests that callers have abandoned may still
+    /// commit between two reads of an audit.
     #[must_use]
     pub fn quiesce(&mut self, timeout: time::Duration) -> bool {
         self.end_proxies();
@@ -273,7 +279,7 @@
         statuses.iter().all(agrees) && primaries.count() == 1
     }
 
-    /// Ends the proxies and the stand-ins.
+    /// Kills the proxies and stops the stand-ins.
     pub fn stop(mut self) {
         self.end_proxies();
         self.stop.close();
@@ -299,6 +305,7 @@
     compact_str::format_compact!("entry-{}", index + 1)
 }
 
+/// Starts a thread that runs the stand-ins' tasks until `stopped` is closed.
 fn spawn_stand_in_thread(
     index: usize,
     executor: &Executor,
--- a/lab/src/platform.rs
+++ b/lab/src/platform.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the platform's key-value service and VM list.
 //!
 //! Serves the published Consul KV HTTP API as far as `mangotray::platform` uses it,
-//! with faults: outages, slow answers, lost answers, lagging lists, rate limits.
+//! with faults: outages, slow answers, lost answers, outdated VM lists, rate limits.
 
 use std::collections;
 use std::net;
@@ -20,43 +20,45 @@
 use crate::rate;
 use crate::space;
 
-/// How often ended leases are looked for.
+/// Interval between two checks for leases that have ended.
 const LEASE_EXPIRY_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Longest time that a watch waits.
+/// Longest wait of a watch.
 const MAX_WATCH_WAIT: time::Duration = time::Duration::from_mins(10);
 
 type Executor = sync::Arc<async_executor::Executor<'static>>;
 
-/// How a stand-in starts.
+/// Initial settings of a stand-in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Options {
-    /// Port on the loopback address; 0 draws a free one.
+    /// Port on the loopback address; 0 lets the system choose one.
     pub port: u16,
-    /// Time that each call takes before it is carried out.
+    /// Delay of each call before it is carried out.
     pub delay: time::Duration,
-    /// Age of the VM list that is handed out.
+    /// Delay before a change of the VM list becomes visible.
     pub lag: time::Duration,
-    /// Calls a second that are admitted; `None` admits all.
+    /// Rate limits; `None` admits all calls.
     pub rates: Option<Rates>,
 }
 
-/// Calls a second that the service admits.
+/// Rate limits of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rates {
-    /// Reads a second; a watch counts as one.
+    /// Reads per second; a watch counts as one.
     pub reads: u32,
-    /// Writes a second.
+    /// Writes per second.
     pub writes: u32,
 }
 
-/// A running stand-in; it ends when the last handle is dropped.
+/// A running stand-in; it stops when the last handle is dropped.
 pub struct Platform {
     address: net::SocketAddr,
     clock: clock::Monotonic,
     executor: Executor,
     outage: atomic::AtomicBool,
+    /// Notified when an entry may have changed.
     changed: event_listener::Event,
+    /// Notified at the start of an outage.
     outage_started: event_listener::Event,
     state: sync::Mutex<State>,
 }
@@ -66,13 +68,17 @@
     space: space::Space,
     delay: time::Duration,
     list_lag: time::Duration,
+    /// VM lists in the order of their times.
     listing_history: Vec<(id::Time, Vec<store::Listing>)>,
     answer_loss: Option<AnswerLoss>,
     limits: Option<Limits>,
+    /// Number of calls that arrived, by kind.
     calls: collections::HashMap<call::Kind, u64>,
 }
 
+/// Random loss of the answers to changes.
 struct AnswerLoss {
+    /// Fraction of answers that are lost, 0 to 1.
     fraction: f64,
     random: fastrand::Rng,
 }
@@ -117,15 +123,15 @@
         Ok(platform)
     }
 
-    /// Where the stand-in listens.
+    /// Address that the stand-in listens on.
     #[must_use]
     pub const fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Starts or ends an outage: open connections are cut, calls are answered 503.
+    /// Starts or ends an outage: open connections are closed, calls are answered 503.
     ///
-    /// Leases go on running out in an outage.
+    /// Leases still expire during an outage.
     pub fn set_outage(&self, outage: bool) {
         self.outage.store(outage, atomic::Ordering::SeqCst);
         if outage {
@@ -133,20 +139,21 @@
         }
     }
 
-    /// Sets the time that each call takes before it is carried out.
+    /// Sets the delay of each call before it is carried out.
     ///
-    /// A caller that gives up meanwhile does not stop its call.
+    /// A call is carried out even if its caller disconnects during the delay.
     pub fn set_delay(&self, delay: time::Duration) {
         self.lock().delay = delay;
     }
 
-    /// Carries out a fraction of the changes and cuts the connection without an answer.
+    /// For a fraction of the changes (0 to 1), carries out the change but closes the
+    /// connection without an answer. `seed` makes the choice repeatable.
     pub fn lose_answers(&self, fraction: f64, seed: u64) {
         let random = fastrand::Rng::with_seed(seed);
         self.lock().answer_loss = (fraction > 0.0).then_some(AnswerLoss { fraction, random });
     }
 
-    /// Admits so many calls a second, answering 429 above; `None` admits all.
+    /// Sets the rate limits, above which calls are answered 429; `None` admits all calls.
     pub fn set_rates(&self, rates: Option<Rates>) {
         let now = self.clock.now();
         self.lock().limits = rates.map(|rates| Limits {
@@ -155,24 +162,24 @@
         });
     }
 
-    /// Sets the VM list, handed out once the lag has passed.
+    /// Sets the VM list, which becomes visible after the lag.
     pub fn set_vms(&self, listings: Vec<store::Listing>) {
         let now = self.clock.now();
         self.lock().listing_history.push((now, listings));
     }
 
-    /// Sets the age of the VM list that is handed out.
+    /// Sets the delay before a change of the VM list becomes visible.
     pub fn set_lag(&self, lag: time::Duration) {
         self.lock().list_lag = lag;
     }
 
-    /// Calls that arrived, refused ones too.
+    /// Number of calls that arrived, including refused ones.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.lock().calls.values().sum()
     }
 
-    /// Calls of one kind that arrived.
+    /// Number of calls of one kind that arrived, including refused ones.
     #[must_use]
     pub fn calls_of(&self, kind: call::Kind) -> u64 {
         self.lock().calls.get(&kind).copied().unwrap_or_default()
@@ -204,7 +211,7 @@
         }
         async_io::Timer::after(delay).await;
         if self.in_outage() {
-            eyre::bail!("cut by an outage");
+            eyre::bail!("connection closed by an outage");
         }
         let response = match kind {
             call::Kind::Watch => self.watch(&call).await?,
@@ -217,6 +224,7 @@
         Ok(response)
     }
 
+    /// Counts a call; returns whether the rate limit admits it, and its delay.
     fn admit(&self, kind: call::Kind) -> (bool, time::Duration) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -231,6 +239,8 @@
         (admitted, state.delay)
     }
 
+    /// Waits until the index of the key differs from the caller's, or for the wait that the
+    /// call asks for; then reads the key.
     async fn watch(&self, call: &call::Call) -> eyre::Result<call::Response> {
         let known_index: store::Version = call.number("index")?;
         let wait = call.duration("wait")?.min(MAX_WATCH_WAIT);
@@ -257,7 +267,7 @@
 }
 
 impl State {
-    /// Carries out a call at time `now`.
+    /// Carries out a call at time `now`. Calls that cannot be read are errors.
     fn run(&mut self, call: &call::Call, now: id::Time) -> eyre::Result<call::Response> {
         self.space.expire(now);
         match call.kind {
@@ -303,7 +313,7 @@
         }
     }
 
-    /// The newest list that is older than the lag; the first one before that.
+    /// The newest list that was set at least the lag ago; the first one if none was.
     fn visible_listings(&self, now: id::Time) -> &[store::Listing] {
         let is_visible = |entry: &&(id::Time, Vec<store::Listing>)| entry.0 + self.list_lag <= now;
         let newest = self.listing_history.iter().rev().find(is_visible);
@@ -312,6 +322,7 @@
             .map_or(&[], |entry| &entry.1)
     }
 
+    /// Draws whether the answer to a change is lost.
     fn loses_answer(&mut self) -> bool {
         self.answer_loss
             .as_mut()
@@ -367,7 +378,7 @@
     serve.or(outage_started).await;
 }
 
-/// Answers one request; an error cuts the connection.
+/// Answers one request; an error closes the connection without an answer.
 async fn respond(
     request: hyper::Request<hyper::body::Incoming>,
     weak: sync::Weak<Platform>,
@@ -380,7 +391,8 @@
     let platform = weak.upgrade().ok_or_else(|| eyre::eyre!("stopped"))?;
     let executor = sync::Arc::clone(&platform.executor);
     let (sender, receiver) = async_channel::bounded(1);
-    // A call goes on when its caller has gone, as at a real service.
+    // The call runs in its own task, so that it is carried out even if the caller
+    // disconnects, as at a real service.
     let serve = async move {
         let _ = sender.send(platform.serve(call).await).await;
     };
--- a/lab/src/prepared.rs
+++ b/lab/src/prepared.rs
@@ -17,19 +17,21 @@
 #[derive(Clone)]
 pub(crate) struct Prepared {
     pub(crate) statement: Arc<statement::Statement>,
+    /// Type OIDs of the parameters.
     pub(crate) parameters: Vec<u32>,
     pub(crate) columns: Vec<column::Column>,
 }
 
-/// Prepared statement with its parameters.
+/// A prepared statement bound to parameter values.
 #[derive(Clone)]
 pub(crate) struct Portal {
     pub(crate) prepared: Prepared,
     pub(crate) values: Vec<types::Value>,
+    /// Format codes of the result columns.
     pub(crate) formats: Vec<i16>,
 }
 
-/// What a session has prepared and bound, by name.
+/// Prepared statements and portals of a session, by name.
 #[derive(Default)]
 pub(crate) struct Cache {
     statements: HashMap<String, Prepared>,
--- a/lab/src/proxy.rs
+++ b/lab/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies as processes of the lab's own binary, so that a crash closes every socket.
+//! Proxies as separate processes of the lab's binary, so that a crash closes all sockets.
 
 use std::fs;
 use std::io;
@@ -15,16 +15,16 @@
 /// Line on its standard input that tells a proxy to shut down gracefully.
 const DRAIN_COMMAND: &str = "drain";
 
-/// What a proxy process is started with; the lab passes it in a file of JSON.
+/// Configuration of a proxy process, which the lab passes in a JSON file.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Setup {
-    /// Where it runs, and how it reaches the platform.
+    /// Settings, as for the product's own daemon.
     pub settings: settings::Settings,
-    /// Its rules, which the product's own daemon does not let anybody choose.
+    /// Its policy, which cannot be set for the product's own daemon.
     pub policy: policy::Policy,
 }
 
-/// A running proxy process; it ends abruptly when dropped.
+/// A running proxy process, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct Proxy {
     caller_address: net::SocketAddr,
@@ -33,11 +33,12 @@
 }
 
 impl Proxy {
-    /// Starts `program`, the lab's binary, and returns once the proxy listens; `setup_file`
-    /// is written for it.
+    /// Writes `setup` to `setup_file`, starts `program`, the lab's binary, with it, and
+    /// returns once the proxy listens.
     ///
     /// # Errors
-    /// When the file cannot be written, or the process does not start to listen.
+    /// When the file cannot be written, or the process cannot be started or ends before it
+    /// listens.
     pub fn start(
         program: &path::Path,
         setup_file: &path::Path,
@@ -65,19 +66,19 @@
         })
     }
 
-    /// Where it listens for callers.
+    /// Address that it listens on for callers.
     #[must_use]
     pub const fn caller_address(&self) -> net::SocketAddr {
         self.caller_address
     }
 
-    /// Where operators ask it for status and metrics.
+    /// Address of its status and metrics.
     #[must_use]
     pub const fn admin_address(&self) -> net::SocketAddr {
         self.admin_address
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn crash(self) {
         drop(self);
     }
@@ -85,7 +86,7 @@
     /// Asks the process to shut down gracefully and waits for its end.
     ///
     /// # Errors
-    /// When the process is gone already.
+    /// When the process has already ended.
     pub fn drain(mut self) -> eyre::Result<()> {
         if let Some(input) = self.child.stdin.as_mut() {
             writeln!(input, "{DRAIN_COMMAND}")?;
@@ -102,11 +103,11 @@
     }
 }
 
-/// Runs a proxy until standard input says to drain; its end, as when the lab itself has
-/// ended, stops the proxy at once.
+/// Runs a proxy until its standard input gives a line or ends. The line `drain` shuts it
+/// down gracefully; the end of the input, as when the lab has ended, stops it at once.
 ///
 /// # Errors
-/// When the file is wrong or an address cannot be bound.
+/// When the file cannot be read or is invalid, or the proxy cannot be started.
 pub fn serve(setup_file: &path::Path) -> eyre::Result<()> {
     let setup: Setup = serde_json::from_slice(&fs::read(setup_file)?)?;
     let proxy = daemon::Daemon::start(&setup.settings, setup.policy)?;
--- a/lab/src/rate.rs
+++ b/lab/src/rate.rs
@@ -1,17 +1,18 @@
-//! Rate limit of the stand-in service, as a plain function of time.
+//! Rate limit of the stand-in service; callers pass the current time.
 
 use mangotray::id;
 
-/// Token bucket that holds at most one second's worth of calls.
+/// Token bucket with a capacity of one second of calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
+    /// Calls per second.
     rate: f64,
     tokens: f64,
     refilled_at: id::Time,
 }
 
 impl Limit {
-    /// A full bucket that admits `rate` calls a second.
+    /// A full bucket that admits `rate` calls per second.
     ///
     /// ```
     /// use std::time;
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Takes one call out of the bucket; false when it is empty.
+    /// Takes a token for one call; false when the bucket is empty.
     pub fn admit(&mut self, now: id::Time) -> bool {
         let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + refill).min(self.rate);
--- a/lab/src/ready.rs
+++ b/lab/src/ready.rs
@@ -1,4 +1,4 @@
-//! Waits until every group takes a write through every proxy.
+//! Waits until each proxy can write to each group.
 
 use std::net;
 use std::time;
@@ -6,13 +6,14 @@
 use crate::link;
 use crate::profile;
 
-/// Pause between two attempts.
+/// Pause between two attempts to write.
 const RETRY_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
-/// Waits for one write to each group through each proxy. The write changes nothing.
+/// Waits until one write to each group through each proxy has succeeded. The write leaves
+/// the data as it is.
 ///
 /// # Errors
-/// When that takes longer than `timeout`; says which proxy and group are missing.
+/// When this takes longer than `timeout`; the error names the proxy and the database.
 pub fn wait(
     profile: &profile::Profile,
     databases: &[compact_str::CompactString],
@@ -28,7 +29,10 @@
             for database in databases {
                 while !accepts_write(profile, *proxy, database).await {
                     let remaining = deadline.saturating_duration_since(time::Instant::now());
-                    eyre::ensure!(!remaining.is_zero(), "{proxy} takes no write to {database}");
+                    eyre::ensure!(
+                        !remaining.is_zero(),
+                        "no write to {database} through {proxy} succeeded"
+                    );
                     tokio::time::sleep(RETRY_INTERVAL).await;
                 }
             }
--- a/lab/src/remote.rs
+++ b/lab/src/remote.rs
@@ -1,4 +1,4 @@
-//! Commands that a running stand-in takes on its control port.
+//! Commands that a running stand-in accepts on its control port.
 
 use std::sync;
 use std::time;
@@ -13,24 +13,24 @@
 use crate::control;
 use crate::platform;
 
-/// What a group knows; `I` is the index of an instance, or `primary`.
+/// Commands for a group; `I` is the index of an instance, or `primary`.
 pub const GROUP_HELP: &str = "crash I | restart I | cut I | heal I | blackhole I | \
     unblackhole I | pause I | resume I | lag I TIME | sql I QUERY | status";
 
-/// What the platform knows.
+/// Commands for the platform.
 pub const PLATFORM_HELP: &str =
     "outage on|off | delay TIME | lose FRACTION | vms NAME@DOMAIN[@leaving]... | calls";
 
-/// Seed of lost answers.
+/// Seed for the choice of lost answers.
 const LOST_ANSWER_SEED: u64 = 1;
 
-/// Takes commands for a group.
+/// Handles commands for a group.
 pub struct Group(pub sync::Arc<cluster::Cluster>);
 
-/// Takes commands for the platform.
+/// Handles commands for the platform.
 pub struct Platform(pub sync::Arc<platform::Platform>);
 
-/// Takes commands for the platform after the word `platform`, others for a group.
+/// Passes commands that start with `platform` to the platform, others to a group.
 pub struct Router(pub Group, pub Platform);
 
 impl control::Handler for Group {
@@ -73,7 +73,7 @@
             "pause" => cluster.set_paused(self.parse_index(target)?, true),
             "resume" => cluster.set_paused(self.parse_index(target)?, false),
             "lag" => cluster.set_lag(self.parse_index(target)?, parse_duration(rest)?),
-            _ => eyre::bail!("no command {verb:?}; there are {GROUP_HELP}"),
+            _ => eyre::bail!("unknown command {verb:?}; known are {GROUP_HELP}"),
         }
         Ok("done".to_owned())
     }
@@ -117,13 +117,13 @@
             "delay" => self.0.set_delay(parse_duration(rest)?),
             "lose" => self.0.lose_answers(rest.parse()?, LOST_ANSWER_SEED),
             "vms" => self.0.set_vms(listings(rest.split_whitespace())?),
-            _ => eyre::bail!("no command {verb:?}; there are {PLATFORM_HELP}"),
+            _ => eyre::bail!("unknown command {verb:?}; known are {PLATFORM_HELP}"),
         }
         Ok("done".to_owned())
     }
 }
 
-/// Instance that leads a group at the highest term, if any does.
+/// Index of the primary of a group; that with the highest fence if there are several.
 #[must_use]
 pub fn primary(cluster: &cluster::Cluster) -> Option<id::Index> {
     (0..cluster::INSTANCE_COUNT)
@@ -131,7 +131,7 @@
         .max_by_key(|index| cluster.status(*index).fence)
 }
 
-/// Lines of the VM list, each written `NAME@DOMAIN` or `NAME@DOMAIN@leaving`.
+/// Parses entries of the VM list, each written `NAME@DOMAIN` or `NAME@DOMAIN@leaving`.
 ///
 /// ```
 /// let listings = mangotray_lab::remote::listings(["entry-1@patan-hall"]).unwrap();
@@ -139,7 +139,7 @@
 /// ```
 ///
 /// # Errors
-/// When a line is written otherwise.
+/// When an entry has another form.
 pub fn listings<'a>(words: impl IntoIterator<Item = &'a str>) -> eyre::Result<Vec<store::Listing>> {
     words.into_iter().map(parse_listing).collect()
 }
--- a/lab/src/serve.rs
+++ b/lab/src/serve.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own.
+//! Runs stand-ins as separate processes.
 
 use std::net;
 use std::sync;
@@ -17,7 +17,7 @@
 /// Runs the platform's stand-in until interrupted.
 ///
 /// # Errors
-/// When an address is taken, or a VM is written wrongly.
+/// When an address is in use or not 127.0.0.1, or an entry of the VM list is invalid.
 pub fn platform(arguments: &cli::Platform) -> eyre::Result<()> {
     let executor = Executor::default();
     let options = platform::Options {
@@ -31,11 +31,11 @@
     run_with_control(&executor, arguments.control, &handler)
 }
 
-/// Runs the instances of one group until interrupted, and prints what operators
-/// declare about it.
+/// Runs the instances of one group until interrupted, and prints the declaration of the
+/// group for the configuration.
 ///
 /// # Errors
-/// When an address is taken, or not three are given.
+/// When an address is in use or not 127.0.0.1, or the number of addresses is not three.
 pub fn group(arguments: &cli::Group) -> eyre::Result<()> {
     let executor = Executor::default();
     let ports: Vec<_> = arguments
@@ -60,13 +60,14 @@
     run_with_control(&executor, arguments.control, &handler)
 }
 
-/// The stand-ins listen on the loopback address only.
+/// Port of an address; refuses other addresses than the loopback address.
 fn loopback_port(address: net::SocketAddr) -> eyre::Result<u16> {
     let is_loopback = address.ip() == net::Ipv4Addr::LOCALHOST;
     eyre::ensure!(is_loopback, "{address} is not on 127.0.0.1");
     Ok(address.port())
 }
 
+/// Runs the executor, and the control port if there is one, until that fails.
 fn run_with_control(
     executor: &Executor,
     control: Option<net::SocketAddr>,
--- a/lab/src/space.rs
+++ b/lab/src/space.rs
@@ -1,4 +1,4 @@
-//! Keys, versions and leases of the stand-in service, as a plain state machine.
+//! Keys, versions and leases of the stand-in service; callers pass the current time.
 
 use std::collections;
 use std::time;
@@ -16,20 +16,22 @@
     Stored,
     /// The key has another version.
     Conflict,
-    /// The lease to bind to has ended.
+    /// The lease given for the entry has ended.
     NoLease,
     /// The value is longer than `MAX_VALUE_BYTES`.
     TooLarge,
 }
 
-/// Everything the service keeps.
+/// Entries and leases of the service.
 #[derive(Clone, Debug, Default)]
 pub struct Space {
+    /// Index of the last change.
     index: store::Version,
     entries: collections::BTreeMap<String, store::Entry>,
     /// Versions at which keys were removed.
     removal_versions: collections::HashMap<String, store::Version>,
     leases: collections::BTreeMap<String, Lease>,
+    /// Number of leases granted so far.
     granted_leases: u64,
 }
 
@@ -50,7 +52,7 @@
         self.entries.get(key)
     }
 
-    /// All entries whose key starts with `prefix`, by key.
+    /// All entries whose key starts with `prefix`, in the order of keys.
     #[must_use]
     pub fn list(&self, prefix: &str) -> Vec<store::Entry> {
         self.entries
@@ -60,7 +62,7 @@
             .collect()
     }
 
-    /// Index of the last change of a key, also of its removal; 1 if it never was.
+    /// Index of the last change of a key, including its removal; 1 if it never existed.
     #[must_use]
     pub fn index(&self, key: &str) -> store::Version {
         let removal_version = self.removal_versions.get(key).copied().unwrap_or(1);
@@ -69,7 +71,7 @@
 
     /// Stores a value if the key's version is `expected_version` (0: absent).
     ///
-    /// Without a lease, an entry keeps the one that it is bound to.
+    /// An entry that is stored without a lease keeps its former lease.
     ///
     /// ```
     /// use mangotray_lab::space;
@@ -106,7 +108,7 @@
         Outcome::Stored
     }
 
-    /// Opens a lease that ends `ttl` after its last renewal.
+    /// Grants a lease that ends `ttl` after its last renewal; returns its id.
     pub fn grant(&mut self, ttl: time::Duration, now: id::Time) -> String {
         self.granted_leases += 1;
         let id = format!("lease-{:08x}", self.granted_leases);
@@ -115,7 +117,7 @@
         id
     }
 
-    /// Renews a lease; false when it has ended.
+    /// Renews a lease; false when it has ended or is unknown.
     pub fn renew(&mut self, id: &str, now: id::Time) -> bool {
         self.expire(now);
         let lease = self.leases.get_mut(id);
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Ends the leases whose time is over; returns how many there were.
+    /// Ends the leases that have expired; returns their number.
     ///
     /// ```
     /// use std::time;
@@ -166,7 +168,7 @@
     }
 
     fn advance(&mut self) -> store::Version {
-        // Index 1 stands for "never was", so the first change is number 2.
+        // Index 1 stands for a key that never existed, so the first change has index 2.
         self.index = self.index.max(1) + 1;
         self.index
     }
--- a/lab/src/sqlstate.rs
+++ b/lab/src/sqlstate.rs
@@ -1,6 +1,6 @@
 //! SQL errors with their SQLSTATE.
 
-/// SQL error as it goes over the wire.
+/// SQL error as it is sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Error {
     pub(crate) code: &'static str,
--- a/lab/src/statement.rs
+++ b/lab/src/statement.rs
@@ -1,4 +1,4 @@
-//! One SQL statement, translated from the `PostgreSQL` dialect for the embedded library.
+//! SQL statements, translated from the `PostgreSQL` dialect to that of the embedded library.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::token;
 use crate::value;
 
-/// What a statement does to its transaction.
+/// Kind of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Verb {
     Empty,
@@ -21,7 +21,7 @@
     Savepoint(String),
     Release(String),
     RollbackTo(String),
-    /// Session settings, which change nothing here.
+    /// Statements on session settings, which have no effect here.
     Setting,
     Control(command::Command),
 }
@@ -31,17 +31,17 @@
 pub(crate) struct Statement {
     pub(crate) text: String,
     pub(crate) verb: Verb,
-    /// First words, for the command tag.
+    /// First word or words in upper case, for the command tag.
     pub(crate) tag: String,
-    /// Calls functions whose result differs from instance to instance.
+    /// Whether it calls functions whose result can differ between instances.
     pub(crate) volatile: bool,
     /// Number of parameters.
     pub(crate) parameters: usize,
-    /// Parameter types given by casts.
+    /// Parameter numbers with the types that casts give them.
     pub(crate) casts: Vec<(usize, value::Kind)>,
-    /// Column types given by `expression::type AS alias`.
+    /// Column names with the types that `expression::type AS alias` gives them.
     pub(crate) aliases: Vec<(String, value::Kind)>,
-    /// Lower-case words and signs, for the types of parameters.
+    /// Tokens in lower case, except literals and quoted names.
     pub(crate) tokens: Vec<String>,
 }
 
@@ -56,7 +56,7 @@
             .collect())
     }
 
-    /// The one statement of an extended query.
+    /// Parses the only statement of an extended query.
     pub(crate) fn parse(sql: &str) -> Result<Self, sqlstate::Error> {
         let mut statements = Self::parse_all(sql)?;
         if statements.len() > 1 {
@@ -86,7 +86,7 @@
         statement
     }
 
-    /// Appends the token at `index`; gives the number of tokens consumed.
+    /// Appends the translation of the token at `index`; returns the number of tokens used.
     fn translate_token(&mut self, tokens: &[token::Token], index: usize) -> usize {
         let token = &tokens[index];
         if token.after_space {
@@ -117,6 +117,7 @@
         1
     }
 
+    /// Drops the cast at `index` and notes its type; returns the number of tokens used.
     fn translate_cast(&mut self, tokens: &[token::Token], index: usize) -> usize {
         let name = tokens.get(index + 1).map_or("", |token| &token.text);
         let kind = value::Kind::from_name(name);
@@ -141,14 +142,16 @@
         next - index
     }
 
-    /// Start of `FOR UPDATE` and its kin: the whole database is locked anyway.
+    /// Index of `FOR UPDATE` or a similar clause. It is dropped, because a write transaction
+    /// locks the whole database anyway.
     fn locking_clause(&self) -> Option<usize> {
         self.tokens.windows(2).position(|pair| {
             pair[0] == "for" && matches!(pair[1].as_str(), "update" | "share" | "no" | "key")
         })
     }
 
-    /// Type of parameter `number` by its cast, the column it meets, or its place.
+    /// Type of parameter `number`: that of its cast, or of the column it is compared with
+    /// or inserted into, or else text.
     pub(crate) fn infer_kind(
         &self,
         number: usize,
@@ -164,6 +167,7 @@
             .unwrap_or(value::Kind::Text)
     }
 
+    /// Type of the parameter at token `at`, if the tokens around it tell.
     fn infer_kind_at(
         &self,
         at: usize,
@@ -195,7 +199,7 @@
         .find_map(|column| declared_kinds.get(column).copied())
     }
 
-    /// Column that a place in the VALUES of an INSERT belongs to.
+    /// Column that the token at `at` in the VALUES of an INSERT is inserted into.
     fn insert_column(&self, at: usize) -> Option<&str> {
         let values = self.tokens.iter().position(|word| word == "values")?;
         let opening = self.tokens.iter().position(|word| word == "(")?;
@@ -218,7 +222,7 @@
         (depth == 1).then_some(column.as_str())
     }
 
-    /// Whether the statement may only run while the instance's one writer.
+    /// Whether the statement needs the instance's write lock.
     pub(crate) fn writes(&self) -> bool {
         match self.verb {
             Verb::Write | Verb::Begin { read_only: false } => true,
--- a/lab/src/storage.rs
+++ b/lab/src/storage.rs
@@ -1,4 +1,4 @@
-//! Data files of an instance.
+//! Data files of the instances.
 
 use std::path;
 use std::sync::Arc;
@@ -10,8 +10,10 @@
 use crate::journal;
 use crate::value;
 
+/// Longest wait for another connection's lock on the data file.
 const BUSY_TIMEOUT: time::Duration = time::Duration::from_secs(5);
-/// Holds the stamp of the last record, so that each snapshot knows its own.
+
+/// Table with the stamp of the last applied record, so that a snapshot contains its stamp.
 const CREATE_STAMP_TABLE_SQL: &str = "CREATE TABLE group_stamp (term INTEGER, position INTEGER);
     INSERT INTO group_stamp VALUES (0, 0);";
 const READ_STAMP_SQL: &str = "SELECT term, position FROM group_stamp";
@@ -36,7 +38,7 @@
     Ok(connection)
 }
 
-/// Creates an instance's file with its schema.
+/// Creates a data file with the schema.
 pub(crate) fn create(
     path: &path::Path,
     schema: &[String],
@@ -49,7 +51,7 @@
     Ok(connection)
 }
 
-/// Applies whole records in one transaction.
+/// Applies records in one transaction.
 pub(crate) fn replay(
     connection: &rusqlite::Connection,
     records: &[Arc<journal::Record>],
@@ -75,7 +77,7 @@
     prepared.execute((stamp.term, stamp.position)).map(drop)
 }
 
-/// Stamp of the snapshot that the connection's transaction sees.
+/// Stamp of the snapshot that the connection's transaction reads.
 pub(crate) fn read_stamp(connection: &rusqlite::Connection) -> rusqlite::Result<stamp::Stamp> {
     let mut prepared = connection.prepare_cached(READ_STAMP_SQL)?;
     prepared.query_one([], |row| Ok(stamp::Stamp::new(row.get(0)?, row.get(1)?)))
@@ -84,7 +86,7 @@
 /// Rows of a query as text; `None` stands for NULL.
 pub(crate) type Rows = Vec<Vec<Option<String>>>;
 
-/// All rows of some queries on one snapshot, for audits.
+/// All rows of each query, on one snapshot, for audits.
 pub(crate) fn query_snapshot(path: &path::Path, queries: &[&str]) -> rusqlite::Result<Vec<Rows>> {
     let connection = connect(path)?;
     connection.execute_batch("BEGIN")?;
--- a/lab/src/token.rs
+++ b/lab/src/token.rs
@@ -1,16 +1,16 @@
-//! Words, literals and signs of SQL text.
+//! Tokens of SQL text: words, literals and signs.
 
 use crate::sqlstate;
 
 /// A word, literal or sign.
 pub(crate) struct Token {
     pub(crate) text: String,
-    /// Whether white space stood before it.
+    /// Whether white space or a comment precedes it.
     pub(crate) after_space: bool,
 }
 
 impl Token {
-    /// Lower case, but for literals and quoted names.
+    /// Text in lower case; literals and quoted names are unchanged.
     pub(crate) fn lower(&self) -> String {
         if self.text.starts_with(['\'', '"']) {
             return self.text.clone();
@@ -24,7 +24,10 @@
     word.strip_prefix('$')?.parse().ok()
 }
 
-/// Splits SQL text, without its comments.
+/// Splits SQL text into tokens; comments are dropped.
+///
+/// # Errors
+/// When a literal, quoted name or comment is unterminated.
 pub(crate) fn scan(sql: &str) -> Result<Vec<Token>, sqlstate::Error> {
     let mut tokens = Vec::new();
     let mut rest = sql;
--- a/lab/src/value.rs
+++ b/lab/src/value.rs
@@ -1,4 +1,4 @@
-//! Types of the wire protocol and their text and binary forms.
+//! Types of the wire protocol with their text and binary formats.
 
 use bytes::BufMut;
 use pgwire::messages::data;
@@ -31,6 +31,7 @@
         }
     }
 
+    /// Length of the binary format in bytes; -1 if it varies.
     pub(crate) const fn size(self) -> i16 {
         match self {
             Self::Bool => 1,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Type named in a cast or a column declaration.
+    /// Type with the name given in a cast or a column declaration.
     pub(crate) fn from_name(name: &str) -> Self {
         let lower = name.to_ascii_lowercase();
         let word = lower.split(['(', ' ']).next().unwrap_or_default();
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Type of an expression that has no declared type, by its value.
+    /// Type of an expression without a declared type, by its value; `None` for NULL.
     pub(crate) fn of_value(value: &types::Value) -> Option<Self> {
         match value {
             types::Value::Integer(_) => Some(Self::Int8),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Any value of the type, to find out what an expression gives.
+    /// A value of the type, bound to find out the types of a statement's columns.
     pub(crate) fn sample(self) -> types::Value {
         match self {
             Self::Text => types::Value::Text(String::new()),
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Reads a bound parameter.
+    /// Decodes a bound parameter.
     pub(crate) fn decode(self, bytes: &[u8], format: i16) -> Result<types::Value, sqlstate::Error> {
         let value = if format == data::FORMAT_CODE_BINARY {
             self.decode_binary(bytes)
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Appends a result cell with its length to a data row.
+    /// Appends a value with its length to a data row.
     pub(crate) fn encode(self, value: &types::Value, format: i16, row: &mut data::DataRow) {
         let cell = if *value == types::Value::Null {
             None
@@ -140,7 +141,7 @@
         match cell {
             None => row.data.put_i32(-1),
             Some(bytes) => {
-                let length = i32::try_from(bytes.len()).expect("cell within protocol limits");
+                let length = i32::try_from(bytes.len()).expect("the value fits the length field");
                 row.data.put_i32(length);
                 row.data.put_slice(&bytes);
             }
@@ -149,7 +150,7 @@
 
     #[expect(
         clippy::cast_possible_truncation,
-        reason = "columns hold what their type allows"
+        reason = "values fit the type of their column"
     )]
     fn encode_binary(self, value: &types::Value) -> Vec<u8> {
         let integer = match value {
@@ -180,7 +181,7 @@
     }
 }
 
-/// Plain text of a value.
+/// Text format of a value; empty for NULL.
 pub(crate) fn text(value: &types::Value) -> String {
     match value {
         types::Value::Null => String::new(),
