--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -280,7 +280,7 @@
 
     fn parse(&mut self, parse: extendedquery::Parse) -> Result<(), sqlstate::Error> {
         let statement = statement::Statement::parse(&parse.query)?;
-        let (parameters, columns) = match statement.verb {
+        let (parameter_oids, columns) = match statement.verb {
             statement::Verb::Control(_) => {
                 let status = command::Command::Status.run(&self.instance)?;
                 (Vec::new(), status.columns)
@@ -289,7 +289,7 @@
         };
         let prepared = prepared::Prepared {
             statement: Arc::new(statement),
-            parameters,
+            parameter_oids,
             columns,
         };
         self.prepared.insert(parse.name, prepared);
@@ -302,7 +302,7 @@
         let portal = self.prepared.portal(&name)?.clone();
         let answer = self.execute_statement(&portal.prepared.statement, &portal.values)?;
         let columns = &portal.prepared.columns;
-        self.output.rows(&answer, columns, &portal.formats);
+        self.output.rows(&answer, columns, &portal.result_formats);
         self.output.complete(answer.tag);
         Ok(())
     }
--- a/lab/src/column.rs
+++ b/lab/src/column.rs
@@ -55,7 +55,7 @@
         let mut prepared = connection.prepare_cached(&statement.text)?;
         let declared_kinds = declared_kinds(connection, statement);
         let given_oid = |index: usize| oids.get(index).copied().filter(|oid| *oid != 0);
-        let parameters: Vec<u32> = (0..statement.parameters)
+        let parameter_oids: Vec<u32> = (0..statement.parameter_count)
             .map(|index| {
                 given_oid(index)
                     .unwrap_or_else(|| statement.infer_kind(index + 1, &declared_kinds).oid())
@@ -63,10 +63,10 @@
             .collect();
         let mut columns = Self::of_statement(connection, statement, &prepared);
         if columns.iter().any(|column| column.kind.is_none()) && prepared.readonly() {
-            let samples = parameters
+            let samples = parameter_oids
                 .iter()
                 .map(|oid| value::Kind::from_oid(*oid).sample());
-            storage::bind(&mut prepared, &samples.collect::<Vec<_>>())?;
+            storage::bind_parameters(&mut prepared, &samples.collect::<Vec<_>>())?;
             let mut cursor = prepared.raw_query();
             let row = cursor.next()?;
             for (index, column) in columns.iter_mut().enumerate() {
@@ -75,7 +75,7 @@
                 column.kind = column.kind.or(value);
             }
         }
-        Ok((parameters, columns))
+        Ok((parameter_oids, columns))
     }
 }
 
--- a/lab/src/database.rs
+++ b/lab/src/database.rs
@@ -238,7 +238,7 @@
         parameters: &[types::Value],
     ) -> Result<Answer, sqlstate::Error> {
         let mut prepared = self.connection.prepare_cached(&statement.text)?;
-        storage::bind(&mut prepared, parameters)?;
+        storage::bind_parameters(&mut prepared, parameters)?;
         let mut columns = column::Column::of_statement(&self.connection, statement, &prepared);
         let mut rows = Vec::new();
         let mut cursor = prepared.raw_query();
--- a/lab/src/environment.rs
+++ b/lab/src/environment.rs
@@ -66,7 +66,7 @@
     /// Directory of the proxies' setup files.
     setup_directory: tempfile::TempDir,
     /// Closing it ends the threads of the stand-ins.
-    stop: async_channel::Sender<()>,
+    stop_sender: async_channel::Sender<()>,
     /// Threads of the stand-ins, and of proxies that drain.
     threads: Vec<thread::JoinHandle<()>>,
 }
@@ -78,9 +78,9 @@
     /// When a stand-in or proxy cannot be started, or the declaration cannot be applied.
     pub fn start(options: &Options) -> eyre::Result<Self> {
         let executor = sync::Arc::new(async_executor::Executor::new());
-        let (stop, stopped) = async_channel::bounded(1);
+        let (stop_sender, stop_receiver) = async_channel::bounded(1);
         let threads = (0..STAND_IN_THREADS)
-            .map(|index| spawn_stand_in_thread(index, &executor, &stopped))
+            .map(|index| spawn_stand_in_thread(index, &executor, &stop_receiver))
             .collect::<Result<_, _>>()?;
         let platform = platform::Platform::start(platform::Options::default(), &executor)?;
         let clusters = (0..options.groups)
@@ -93,10 +93,10 @@
             caller_addresses: Vec::new(),
             profile: options.profile.clone(),
             setup_directory: tempfile::tempdir()?,
-            stop,
+            stop_sender,
             threads,
         };
-        environment.platform.set_lag(VM_LIST_LAG);
+        environment.platform.set_list_lag(VM_LIST_LAG);
         environment.list_vms(options.caller_addresses.len());
         async_io::block_on(environment.apply(&executor))?;
         for (index, callers) in options.caller_addresses.iter().enumerate() {
@@ -183,8 +183,8 @@
         proxy
     }
 
-    fn list_vms(&self, proxies: usize) {
-        let listings = (0..proxies).map(|vm| self.listing(vm, false)).collect();
+    fn list_vms(&self, proxy_count: usize) {
+        let listings = (0..proxy_count).map(|vm| self.listing(vm, false)).collect();
         self.platform.set_vms(listings);
     }
 
@@ -282,7 +282,7 @@
     /// Kills the proxies and stops the stand-ins.
     pub fn stop(mut self) {
         self.end_proxies();
-        self.stop.close();
+        self.stop_sender.close();
         for thread in self.threads {
             let _ = thread.join();
         }
@@ -305,17 +305,17 @@
     compact_str::format_compact!("entry-{}", index + 1)
 }
 
-/// Starts a thread that runs the stand-ins' tasks until `stopped` is closed.
+/// Starts a thread that runs the stand-ins' tasks until `stop_receiver` is closed.
 fn spawn_stand_in_thread(
     index: usize,
     executor: &Executor,
-    stopped: &async_channel::Receiver<()>,
+    stop_receiver: &async_channel::Receiver<()>,
 ) -> std::io::Result<thread::JoinHandle<()>> {
     let executor = sync::Arc::clone(executor);
-    let stopped = stopped.clone();
+    let stop_receiver = stop_receiver.clone();
     thread::Builder::new()
         .name(format!("stand-ins-{index}"))
         .spawn(move || {
-            let _ = async_io::block_on(executor.run(stopped.recv()));
+            let _ = async_io::block_on(executor.run(stop_receiver.recv()));
         })
 }
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -51,11 +51,11 @@
     ///
     /// ```
     /// use mangotray_lab::fault::Kind;
-    /// assert!(Kind::PrimaryPause.hits_primary());
-    /// assert!(!Kind::ReplicaLag.hits_primary());
+    /// assert!(Kind::PrimaryPause.affects_primary());
+    /// assert!(!Kind::ReplicaLag.affects_primary());
     /// ```
     #[must_use]
-    pub const fn hits_primary(self) -> bool {
+    pub const fn affects_primary(self) -> bool {
         matches!(
             self,
             Self::PrimaryCrash | Self::PrimaryPartition | Self::PrimaryPause
--- a/lab/src/platform.rs
+++ b/lab/src/platform.rs
@@ -36,7 +36,7 @@
     /// Delay of each call before it is carried out.
     pub delay: time::Duration,
     /// Delay before a change of the VM list becomes visible.
-    pub lag: time::Duration,
+    pub list_lag: time::Duration,
     /// Rate limits; `None` admits all calls.
     pub rates: Option<Rates>,
 }
@@ -115,7 +115,7 @@
             state: sync::Mutex::default(),
         });
         platform.set_delay(options.delay);
-        platform.set_lag(options.lag);
+        platform.set_list_lag(options.list_lag);
         platform.set_rates(options.rates);
         let weak = sync::Arc::downgrade(&platform);
         executor.spawn(accept(listener, weak.clone())).detach();
@@ -169,8 +169,8 @@
     }
 
     /// Sets the delay before a change of the VM list becomes visible.
-    pub fn set_lag(&self, lag: time::Duration) {
-        self.lock().list_lag = lag;
+    pub fn set_list_lag(&self, list_lag: time::Duration) {
+        self.lock().list_lag = list_lag;
     }
 
     /// Number of calls that arrived, including refused ones.
--- a/lab/src/prepared.rs
+++ b/lab/src/prepared.rs
@@ -18,7 +18,7 @@
 pub(crate) struct Prepared {
     pub(crate) statement: Arc<statement::Statement>,
     /// Type OIDs of the parameters.
-    pub(crate) parameters: Vec<u32>,
+    pub(crate) parameter_oids: Vec<u32>,
     pub(crate) columns: Vec<column::Column>,
 }
 
@@ -28,7 +28,7 @@
     pub(crate) prepared: Prepared,
     pub(crate) values: Vec<types::Value>,
     /// Format codes of the result columns.
-    pub(crate) formats: Vec<i16>,
+    pub(crate) result_formats: Vec<i16>,
 }
 
 /// Prepared statements and portals of a session, by name.
@@ -60,7 +60,7 @@
     pub(crate) fn bind(&mut self, bind: extendedquery::Bind) -> Result<(), sqlstate::Error> {
         let name = bind.statement_name.unwrap_or_default();
         let prepared = self.statement(&name)?.clone();
-        if bind.parameters.len() != prepared.parameters.len() {
+        if bind.parameters.len() != prepared.parameter_oids.len() {
             let message = "bind message has the wrong number of parameters";
             return Err(sqlstate::Error::new("08P01", message));
         }
@@ -69,7 +69,7 @@
             .iter()
             .enumerate()
             .map(|(index, parameter)| {
-                let kind = value::Kind::from_oid(prepared.parameters[index]);
+                let kind = value::Kind::from_oid(prepared.parameter_oids[index]);
                 let format = output::format(&bind.parameter_format_codes, index);
                 let bytes = parameter.as_ref();
                 bytes.map_or(Ok(types::Value::Null), |bytes| kind.decode(bytes, format))
@@ -77,7 +77,7 @@
         let portal = Portal {
             values: decoded.collect::<Result<_, _>>()?,
             prepared,
-            formats: bind.result_column_format_codes,
+            result_formats: bind.result_column_format_codes,
         };
         self.portals
             .insert(bind.portal_name.unwrap_or_default(), portal);
@@ -92,11 +92,11 @@
         let name = describe.name.unwrap_or_default();
         let (columns, formats) = if describe.target_type == extendedquery::TARGET_TYPE_BYTE_PORTAL {
             let portal = self.portal(&name)?;
-            (&portal.prepared.columns, portal.formats.as_slice())
+            (&portal.prepared.columns, portal.result_formats.as_slice())
         } else {
             let prepared = self.statement(&name)?;
-            let parameters = prepared.parameters.clone();
-            output.push(&data::ParameterDescription::new(parameters));
+            let oids = prepared.parameter_oids.clone();
+            output.push(&data::ParameterDescription::new(oids));
             (&prepared.columns, [].as_slice())
         };
         if columns.is_empty() {
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -162,7 +162,7 @@
 ) -> Vec<Option<time::Duration>> {
     troubles
         .iter()
-        .filter(|trouble| trouble.fault.kind.hits_primary())
+        .filter(|trouble| trouble.fault.kind.affects_primary())
         .map(|trouble| notes[trouble.fault.group].failover_gap(trouble.started_at))
         .collect()
 }
--- a/lab/src/statement.rs
+++ b/lab/src/statement.rs
@@ -36,7 +36,7 @@
     /// Whether it calls functions whose result can differ between instances.
     pub(crate) volatile: bool,
     /// Number of parameters.
-    pub(crate) parameters: usize,
+    pub(crate) parameter_count: usize,
     /// Parameter numbers with the types that casts give them.
     pub(crate) casts: Vec<(usize, value::Kind)>,
     /// Column names with the types that `expression::type AS alias` gives them.
@@ -73,7 +73,7 @@
             verb: verb(&words),
             tag: tag(&words),
             volatile: false,
-            parameters: 0,
+            parameter_count: 0,
             casts: Vec::new(),
             aliases: Vec::new(),
             tokens: words,
@@ -108,7 +108,7 @@
             _ => {}
         }
         if let Some(number) = token::parameter(word) {
-            self.parameters = self.parameters.max(number);
+            self.parameter_count = self.parameter_count.max(number);
             self.text.push('?');
             self.text.push_str(&word[1..]);
         } else {
--- a/lab/src/storage.rs
+++ b/lab/src/storage.rs
@@ -19,7 +19,7 @@
 const READ_STAMP_SQL: &str = "SELECT term, position FROM group_stamp";
 const WRITE_STAMP_SQL: &str = "UPDATE group_stamp SET term = ?1, position = ?2";
 
-pub(crate) fn bind(
+pub(crate) fn bind_parameters(
     prepared: &mut rusqlite::Statement<'_>,
     parameters: &[types::Value],
 ) -> rusqlite::Result<()> {
@@ -59,7 +59,7 @@
     connection.execute_batch("BEGIN IMMEDIATE")?;
     for write in records.iter().flat_map(|record| &record.statements) {
         let mut prepared = connection.prepare_cached(&write.sql)?;
-        bind(&mut prepared, &write.parameters)?;
+        bind_parameters(&mut prepared, &write.parameters)?;
         let mut cursor = prepared.raw_query();
         while cursor.next()?.is_some() {}
     }
--- a/lab/src/trouble.rs
+++ b/lab/src/trouble.rs
@@ -36,7 +36,7 @@
         environment: &mut environment::Environment,
         seed: u64,
     ) -> Self {
-        let instance = if fault.kind.hits_primary() {
+        let instance = if fault.kind.affects_primary() {
             environment.primary(fault.group).unwrap_or_default()
         } else {
             environment.replica(fault.group)
