--- a/lab/src/backend.rs
+++ b/lab/src/backend.rs
@@ -26,6 +26,7 @@
 use crate::statement;
 use crate::stats;
 
+/// Longest message from a caller; longer ones end the session.
 const MAX_FRAME_BYTES: usize = 64 << 20;
 
 /// One caller's session at an instance.
--- a/lab/src/instance.rs
+++ b/lab/src/instance.rs
@@ -34,6 +34,7 @@
     pub(crate) network_gate: gate::Gate,
     /// Closed while the process is frozen.
     pub(crate) process_gate: gate::Gate,
+    /// Limits the batches that run at once.
     pub(crate) slots: async_lock::Semaphore,
     /// Held by the session that runs a write transaction.
     pub(crate) write_lock: Arc<async_lock::Mutex<()>>,
@@ -46,7 +47,9 @@
     /// demoted primary still holds the file's write lock and waits for the state's lock.
     transition: sync::Mutex<()>,
     state: sync::Mutex<state::State>,
+    /// Open sessions, whose transactions a change of the role or the data revokes.
     sessions: sync::Mutex<Vec<sync::Weak<sync::Mutex<database::Database>>>>,
+    /// Tasks that serve connections; a crash drops them.
     session_tasks: sync::Mutex<Vec<async_executor::Task<()>>>,
 }
 
--- a/lab/src/prepared.rs
+++ b/lab/src/prepared.rs
@@ -17,7 +17,6 @@
 #[derive(Clone)]
 pub(crate) struct Prepared {
     pub(crate) statement: Arc<statement::Statement>,
-    /// Type OIDs of the parameters.
     pub(crate) parameter_oids: Vec<u32>,
     pub(crate) columns: Vec<column::Column>,
 }
@@ -27,7 +26,7 @@
 pub(crate) struct Portal {
     pub(crate) prepared: Prepared,
     pub(crate) values: Vec<types::Value>,
-    /// Format codes of the result columns.
+    /// Format codes of the result columns, as in the Bind message.
     pub(crate) result_formats: Vec<i16>,
 }
 
--- a/lab/src/sqlstate.rs
+++ b/lab/src/sqlstate.rs
@@ -13,16 +13,19 @@
         Self { code, message }
     }
 
+    /// Error of a write in a read-only transaction, as all are on a replica.
     pub(crate) fn read_only(tag: &str) -> Self {
         let message = format!("cannot execute {tag} in a read-only transaction");
         Self::new("25006", message)
     }
 
+    /// Error in a transaction that the instance has rolled back.
     pub(crate) fn transaction_revoked() -> Self {
         let message = "transaction rolled back: the instance is no longer the primary";
         Self::new("25006", message)
     }
 
+    /// Error of a statement after another one of its transaction has failed.
     pub(crate) fn transaction_failed() -> Self {
         let message =
             "current transaction is aborted, commands ignored until end of transaction block";
--- a/lab/src/statement.rs
+++ b/lab/src/statement.rs
@@ -29,13 +29,13 @@
 /// A translated statement.
 #[derive(Clone, Debug)]
 pub(crate) struct Statement {
+    /// SQL for the embedded library.
     pub(crate) text: String,
     pub(crate) verb: Verb,
     /// First word or words in upper case, for the command tag.
     pub(crate) tag: String,
     /// Whether it calls functions whose result can differ between instances.
     pub(crate) volatile: bool,
-    /// Number of parameters.
     pub(crate) parameter_count: usize,
     /// Parameter numbers with the types that casts give them.
     pub(crate) casts: Vec<(usize, value::Kind)>,
@@ -56,7 +56,10 @@
             .collect())
     }
 
-    /// Parses the only statement of an extended query.
+    /// Parses the only statement of a Parse message.
+    ///
+    /// # Errors
+    /// When there are several, or a token is unterminated.
     pub(crate) fn parse(sql: &str) -> Result<Self, sqlstate::Error> {
         let mut statements = Self::parse_all(sql)?;
         if statements.len() > 1 {
--- a/lab/src/storage.rs
+++ b/lab/src/storage.rs
@@ -29,6 +29,7 @@
         .try_for_each(|(index, value)| prepared.raw_bind_parameter(index + 1, value))
 }
 
+/// Opens a data file; its writes are not synced to disk.
 pub(crate) fn connect(path: &path::Path) -> rusqlite::Result<rusqlite::Connection> {
     let connection = rusqlite::Connection::open(path)?;
     connection.busy_timeout(BUSY_TIMEOUT)?;
